--- a/internal/control/phases/phases.go
+++ b/internal/control/phases/phases.go
@@ -146,9 +146,6 @@
 	b.uneven, b.changed = now, now
 }
 
-// Target is how many writers are wanted.
-func (b *Balance) Target() int { return b.target }
-
 // View is what the balance saw and wanted last.
 func (b *Balance) View() View { return b.seen }
 
--- a/internal/control/phases/phases_test.go
+++ b/internal/control/phases/phases_test.go
@@ -21,6 +21,15 @@
 	return workers
 }
 
+// occupy has each writer report so many requests that run and that wait.
+func occupy(workers []Worker, working, queued int) {
+	for i := range workers {
+		if workers[i].Phase == Writing {
+			workers[i].Working, workers[i].Queued = working, queued
+		}
+	}
+}
+
 // carryOut applies orders to the workers, as their next heartbeats show.
 func carryOut(workers []Worker, orders []Order) {
 	for _, order := range orders {
@@ -76,11 +85,7 @@
 	c := qt.New(t)
 	// Given three writers whose places are nearly all taken.
 	workers := fleet(6, 3, 3)
-	for i := range workers {
-		if workers[i].Phase == Writing {
-			workers[i].Working = 60
-		}
-	}
+	occupy(workers, 60, 0)
 	var balance Balance
 	// When they are observed for a while.
 	for now := time.Second; now < 10*time.Second; now += time.Second {
--- a/internal/control/phases/stability_test.go
+++ b/internal/control/phases/stability_test.go
@@ -173,21 +173,13 @@
 func TestNewOwnerWatchesBeforeItOrders(t *testing.T) {
 	c := qt.New(t)
 	// Given a service whose writers are full for a moment, with requests that wait for them.
-	var workers []Worker
-	for i := range 44 {
-		worker := Worker{ID: string(rune('a' + i)), Zone: "z", Phase: Reading, Capacity: 12}
-		if i >= 22 {
-			worker.Phase, worker.Working, worker.Queued = Writing, 12, 6
-		}
-		workers = append(workers, worker)
-	}
+	workers := fleet(22, 22, 4)
+	occupy(workers, 64, 32)
 	balance := &Balance{}
 	now := 20 * time.Second
 	// When a new owner sees that, it gives no order, and none later if it has passed.
 	c.Assert(balance.Observe(now, workers), qt.HasLen, 0)
-	for i := range workers {
-		workers[i].Working, workers[i].Queued = 0, 0
-	}
+	occupy(workers, 0, 0)
 	for range 10 {
 		now += reportEvery
 		c.Assert(balance.Observe(now, workers), qt.HasLen, 0)
@@ -212,14 +204,8 @@
 func TestBurstsUseTheRoomThatIsMeantForThem(t *testing.T) {
 	c := qt.New(t)
 	// Given a service whose writers are two thirds full for as long as a burst lasts, while its readers have room.
-	var workers []Worker
-	for i := range 44 {
-		worker := Worker{ID: string(rune('a' + i)), Zone: "z", Phase: Reading, Capacity: 12}
-		if i >= 22 {
-			worker.Phase, worker.Working = Writing, 8
-		}
-		workers = append(workers, worker)
-	}
+	workers := fleet(22, 22, 4)
+	occupy(workers, 43, 0)
 	balance := &Balance{}
 	// When it is observed, no order is given.
 	now := 20 * time.Second
@@ -228,9 +214,7 @@
 		now += reportEvery
 	}
 	// When the writers become full, orders are.
-	for i := range workers[22:] {
-		workers[22+i].Working = 12
-	}
+	occupy(workers, 64, 0)
 	ordered := 0
 	for range 10 {
 		now += reportEvery
--- a/internal/lab/build.go
+++ b/internal/lab/build.go
@@ -114,7 +114,7 @@
 	for i := range f.o.Servers {
 		p("[[chat.server]]\nid = %q\naddr = %q\nzone = %q", serverName(i), f.back[[2]string{d.Name, serverName(i)}].Addr(), f.o.site(i, f.o.Servers))
 	}
-	p("[members]\nprefix = \"/sumacloft/members/%s/\"", d.Name) // each reaches the servers by links of its own
+	p("[members]\nprefix = %q", memberPrefix(d))
 	if f.o.Watched && !f.o.member(at) {
 		p("endpoints = [\"%s\"]", strings.Join(f.ends(d), "\", \""))
 	}
--- a/internal/lab/copies.go
+++ b/internal/lab/copies.go
@@ -151,15 +151,10 @@
 			if err != nil {
 				return err
 			}
-			txn.Success = append(txn.Success, etcd.Put(fmt.Sprintf("/sumacloft/members/%s/%s", d.Name, serverName(j)), value, 0))
-		}
-	}
-	for {
-		_, err := f.kv.Txn(ctx, txn)
-		if err == nil || ctx.Err() != nil {
-			return err
+			txn.Success = append(txn.Success, etcd.Put(memberKey(d, serverName(j)), value, 0))
 		}
 	}
+	return answered(ctx, func() error { _, err := f.kv.Txn(ctx, txn); return err })
 }
 
 // opening is a first message of 500 tokens, and the number that routers know it by.
--- a/internal/lab/deployer.go
+++ b/internal/lab/deployer.go
@@ -223,32 +223,23 @@
 	}
 }
 
+// recordAll writes down that all servers start now with a label.
+func (f *OutageFleet) recordAll(ctx context.Context, label string) error {
+	started := float64(time.Now().UnixMilli())
+	for i := range f.servers {
+		if err := answered(ctx, func() error { return f.record(ctx, serverName(i), label, started) }); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // record writes a server's start and label into every router's list.
 func (f *OutageFleet) record(ctx context.Context, server, label string, started float64) error {
 	ctx, done := context.WithTimeout(ctx, 2*time.Second)
 	defer done()
-	txn := &pb.TxnRequest{}
-	for _, d := range f.Daemons {
-		key := fmt.Sprintf("/sumacloft/members/%s/%s", d.Name, server)
-		r, err := f.kv.Range(ctx, &pb.RangeRequest{Key: []byte(key)})
-		if err != nil {
-			return err
-		}
-		if len(r.Kvs) == 0 { // a daemon without a member of the store has its list from its file
-			continue
-		}
-		var m discovery.Member
-		if err := json.Unmarshal(r.Kvs[0].Value, &m); err != nil {
-			return err
-		}
-		m.ID, m.Label, m.UpSinceMs = server, label, started
-		value, err := json.Marshal(m)
-		if err != nil {
-			return err
-		}
-		txn.Success = append(txn.Success, etcd.Put(key, value, 0))
-	}
-	if _, err := f.kv.Txn(ctx, txn); err != nil {
+	err := f.amend(ctx, []string{server}, func(m *discovery.Member) { m.Label, m.UpSinceMs = label, started })
+	if err != nil {
 		return err
 	}
 	f.mu.Lock()
@@ -259,6 +250,43 @@
 	return nil
 }
 
+// amend changes what every router's list in the store has of some servers, in one transaction. A daemon that has no list there
+// has it from its file.
+func (f *OutageFleet) amend(ctx context.Context, servers []string, change func(m *discovery.Member)) error {
+	txn := &pb.TxnRequest{}
+	for _, d := range f.Daemons {
+		for _, server := range servers {
+			key := memberKey(d, server)
+			r, err := f.kv.Range(ctx, &pb.RangeRequest{Key: []byte(key)})
+			if err != nil {
+				return err
+			}
+			if len(r.Kvs) == 0 {
+				continue
+			}
+			var m discovery.Member
+			if err := json.Unmarshal(r.Kvs[0].Value, &m); err != nil {
+				return err
+			}
+			m.ID = server
+			change(&m)
+			value, err := json.Marshal(m)
+			if err != nil {
+				return err
+			}
+			txn.Success = append(txn.Success, etcd.Put(key, value, 0))
+		}
+	}
+	_, err := f.kv.Txn(ctx, txn)
+	return err
+}
+
+// memberPrefix begins the keys of a daemon's list of servers in the store: each reaches them by links of its own.
+func memberPrefix(d *Daemon) string { return "/sumacloft/members/" + d.Name + "/" }
+
+// memberKey is the key of a server in a daemon's list.
+func memberKey(d *Daemon, server string) string { return memberPrefix(d) + server }
+
 func relabel(path, label string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/jointfleet.go
+++ b/internal/lab/jointfleet.go
@@ -12,7 +12,6 @@
 
 	"sumacloft/internal/config"
 	"sumacloft/internal/decide/outage"
-	"sumacloft/internal/decide/samples"
 )
 
 // JointClasses are the classes of the joint day: filings are work in hand, whose clients come again with their key.
@@ -102,27 +101,13 @@
 	if err := f.copies.list(ctx); err != nil {
 		return err
 	}
-	started := float64(time.Now().UnixMilli())
-	for i := range f.servers {
-		if err := answered(ctx, func() error { return f.record(ctx, serverName(i), jointLabel("p1", 1), started) }); err != nil {
-			return err
-		}
+	if err := f.recordAll(ctx, jointLabel("p1", 1)); err != nil {
+		return err
 	}
 	if without {
 		return nil
 	}
-	if err := answered(ctx, func() error { _, err := f.tuning.tuner.put(ctx); return err }); err != nil {
-		return err
-	}
-	var last *samples.State
-	if !until(ctx, within, func() bool {
-		time.Sleep(50 * time.Millisecond)
-		last = f.tuning.Board(ctx)
-		return last != nil && len(last.Workers) == 9 && last.Version == 1 && len(last.Marks) == 6
-	}) {
-		return &NotSeenError{"a board with nine workers and six routers", fmt.Sprintf("%+v", last)}
-	}
-	return nil
+	return f.tuning.tuned(ctx)
 }
 
 // jointTables is what runs beside the clerks where the tables are there: the deployer, the tuner, those who ask for samples.
--- a/internal/lab/jointhand.go
+++ b/internal/lab/jointhand.go
@@ -2,16 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"slices"
 	"syscall"
 	"time"
 
-	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
-
 	"sumacloft/internal/discovery"
-	"sumacloft/internal/etcd"
 )
 
 // byHand is the day without the tables. A script takes two servers at a time, of different sites, out of the lists, replaces
@@ -106,42 +101,15 @@
 func (d *jointDay) drained(list []int, is bool) error {
 	ctx, done := context.WithTimeout(d.ctx, within)
 	defer done()
-	for {
-		err := d.drainOnce(ctx, list, is)
-		if err == nil || ctx.Err() != nil {
-			return err
-		}
-		time.Sleep(100 * time.Millisecond)
+	phase := "SERVING"
+	if is {
+		phase = "DRAINING"
 	}
-}
-
-func (d *jointDay) drainOnce(ctx context.Context, list []int, is bool) error {
-	txn := &pb.TxnRequest{}
-	for _, router := range d.Daemons {
-		for _, i := range list {
-			key := fmt.Sprintf("/sumacloft/members/%s/%s", router.Name, serverName(i))
-			r, err := d.kv.Range(ctx, &pb.RangeRequest{Key: []byte(key)})
-			if err != nil {
-				return err
-			}
-			if len(r.Kvs) == 0 { // it has its list from its file
-				continue
-			}
-			var m discovery.Member
-			if err := json.Unmarshal(r.Kvs[0].Value, &m); err != nil {
-				return err
-			}
-			m.ID, m.Phase = serverName(i), "SERVING"
-			if is {
-				m.Phase = "DRAINING"
-			}
-			value, err := json.Marshal(m)
-			if err != nil {
-				return err
-			}
-			txn.Success = append(txn.Success, etcd.Put(key, value, 0))
-		}
+	servers := make([]string, 0, len(list))
+	for _, i := range list {
+		servers = append(servers, serverName(i))
 	}
-	_, err := d.kv.Txn(ctx, txn)
-	return err
+	return answered(ctx, func() error {
+		return d.amend(ctx, servers, func(m *discovery.Member) { m.Phase = phase })
+	})
 }
--- a/internal/lab/jointsite.go
+++ b/internal/lab/jointsite.go
@@ -176,7 +176,7 @@
 func (d *jointDay) recorded(i int) (string, error) {
 	ctx, done := context.WithTimeout(d.ctx, time.Second)
 	defer done()
-	r, err := d.kv.Range(ctx, &pb.RangeRequest{Key: fmt.Appendf(nil, "/sumacloft/members/%s/%s", d.Daemons[0].Name, serverName(i))})
+	r, err := d.kv.Range(ctx, &pb.RangeRequest{Key: []byte(memberKey(d.Daemons[0], serverName(i)))})
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/outage.go
+++ b/internal/lab/outage.go
@@ -103,7 +103,7 @@
 func (f *OutageFleet) listed(ctx context.Context, d *Daemon) bool {
 	ctx, done := context.WithTimeout(ctx, time.Second)
 	defer done()
-	list, err := f.kv.Range(ctx, etcd.Under(fmt.Sprintf("/sumacloft/members/%s/", d.Name), false))
+	list, err := f.kv.Range(ctx, etcd.Under(memberPrefix(d), false))
 	return err == nil && len(list.Kvs) == len(f.servers)
 }
 
--- a/internal/lab/outsteps.go
+++ b/internal/lab/outsteps.go
@@ -357,7 +357,7 @@
 		}
 		txn := &pb.TxnRequest{}
 		for _, d := range r.Daemons {
-			txn.Success = append(txn.Success, etcd.Del(fmt.Sprintf("/sumacloft/members/%s/%s", d.Name, name)))
+			txn.Success = append(txn.Success, etcd.Del(memberKey(d, name)))
 		}
 		if !until(r.ctx, within, func() bool { _, err := r.kv.Txn(r.ctx, txn); return err == nil }) {
 			r.fault("%s could not be taken off the lists", name)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -214,7 +214,7 @@
 		if err != nil {
 			return err
 		}
-		txn.Success = append(txn.Success, etcd.Put("/sumacloft/members/"+d.Name+"/"+serverName(i), value, 0))
+		txn.Success = append(txn.Success, etcd.Put(memberKey(d, serverName(i)), value, 0))
 	}
 	_, err = client.Txn(ctx, txn)
 	return err
--- a/internal/lab/tuning.go
+++ b/internal/lab/tuning.go
@@ -87,12 +87,14 @@
 	if err := f.OutageFleet.Up(ctx); err != nil {
 		return err
 	}
-	started := float64(time.Now().UnixMilli())
-	for i := range f.servers {
-		if err := answered(ctx, func() error { return f.record(ctx, serverName(i), "w1", started) }); err != nil {
-			return err
-		}
+	if err := f.recordAll(ctx, "w1"); err != nil {
+		return err
 	}
+	return f.tuned(ctx)
+}
+
+// tuned publishes the first version and waits until the board knows it, all servers and all routers.
+func (f *TuningFleet) tuned(ctx context.Context) error {
 	if err := answered(ctx, func() error { _, err := f.tuner.put(ctx); return err }); err != nil {
 		return err
 	}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -48,22 +48,13 @@
 	for _, name := range names {
 		mechanism := Mechanism(name)
 		if !slices.Contains(All, mechanism) {
-			return nil, Error.New("there is no mechanism %q; there are: %s", name, known())
+			return nil, Error.New("there is no mechanism %q; there are: %s", name, Off(All))
 		}
 		off = append(off, mechanism)
 	}
 	return off, nil
 }
 
-// known lists the names.
-func known() string {
-	names := make([]string, 0, len(All))
-	for _, one := range All {
-		names = append(names, string(one))
-	}
-	return strings.Join(names, ", ")
-}
-
 // Has tells whether a mechanism is switched off.
 func (o Off) Has(mechanism Mechanism) bool { return slices.Contains(o, mechanism) }
 
