--- a/cmd/fleetd/main.go
+++ b/cmd/fleetd/main.go
@@ -26,6 +26,7 @@
 	Control controlCommand `cmd:"" help:"Serve workers and the operator, and keep the configuration."`
 	Check   checkCommand   `cmd:"" help:"Check a file before it is put in place."`
 	Status  statusCommand  `cmd:"" help:"Show the fleet as a control member or an agent knows it."`
+	Disk    diskCommand    `cmd:"" help:"Look at the disk of a stopped control member, or restore from it."`
 	Log     logCommand     `cmd:"" help:"Show the newest log lines of a process, which it holds in memory."`
 	Trial   bool           `help:"Take part in a trial: mechanisms may be switched off. Never in service."`
 	Without []string       `help:"Mechanisms to switch off in a trial, by their names in internal/trial."`
--- a/cmd/fleetd/table.go
+++ b/cmd/fleetd/table.go
@@ -68,7 +68,7 @@
 		text += fmt.Sprintf("disk log: record %d, segment %d of generation %d, %d bytes used, %d free\n",
 			disk.Sequence, disk.Segment, disk.Generation, disk.UsedBytes, disk.FreeBytes)
 	}
-	return text
+	return text + linkText(report.Link) + ordersText(report.Orders) + endingText(report.Ending)
 }
 
 func configurationText(configuration status.Configuration) string {
@@ -180,7 +180,7 @@
 	for _, decision := range report.Decisions {
 		t.row(decision.Service, decision.Kind, decimal(decision.Count), decision.Why)
 	}
-	return titleText(report, "proxy") + "\n" + t.String()
+	return titleText(report, "proxy") + linkText(report.Link) + connectionsText(report.Connections) + "\n" + t.String()
 }
 
 // balancesText is what the balances of phases saw last, and what they want.
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -74,6 +74,13 @@
 	return c.confirmed
 }
 
+// byMajority tells whether a majority of the voters has told what its disks know.
+func (c *confirmation) byMajority() (voters int, is bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.voters), len(c.voters) >= c.majority
+}
+
 // vote notes that a voter has told what its disk knows. With a majority of them, the agent holds the newest configuration
 // that was known to be committed when the leader was lost.
 func (c *confirmation) vote(address string) {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -28,6 +28,7 @@
 	node *node.Node
 	life uint64          // tells this agent's revisions from those of an earlier life
 	open <-chan struct{} // closed once the configuration is told
+	link func() message.Link
 
 	mu      sync.Mutex
 	waiting int
@@ -35,8 +36,8 @@
 	next    time.Time // the next answer is given then at the earliest
 }
 
-func newFeed(of *node.Node, open <-chan struct{}) *feed {
-	return &feed{node: of, life: rand.Uint64() | 1, open: open, last: time.Now()}
+func newFeed(of *node.Node, open <-chan struct{}, link func() message.Link) *feed {
+	return &feed{node: of, life: rand.Uint64() | 1, open: open, link: link, last: time.Now()}
 }
 
 // watch answers once the state differs from what the proxy knows, or after watchLimit.
@@ -60,7 +61,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-limit.C:
-			return &message.Snapshot{Same: true}, nil
+			return &message.Snapshot{Same: true, Link: f.link()}, nil
 		case <-changed:
 			time.Sleep(max(gatherTime, f.untilNext()))
 		case <-opening:
@@ -110,6 +111,7 @@
 		Workers:  snapshot.Prefix(topic.Workers),
 		Orders:   snapshot.Prefix(topic.Orders),
 		Routers:  hosts(topic.Peers(snapshot.Prefix(topic.Routers))),
+		Link:     f.link(),
 	}
 	entry, _ := f.settings(snapshot)
 	answer.Settings = entry.Version.Major
--- /dev/null
+++ b/internal/agent/link.go
@@ -0,0 +1,24 @@
+package agent
+
+import (
+	"sumacloft/internal/mesh/message"
+	"sumacloft/internal/mesh/topic"
+)
+
+// link is how this router stands to the control plane.
+func (a *Agent) link() message.Link {
+	snapshot, _ := a.members.Node().Snapshot()
+	if settings, _ := snapshot.Get(topic.Settings); settings.Version.Major == 0 {
+		return message.LinkSeeking
+	}
+	_, byMajority := a.confirmation.byMajority()
+	switch {
+	case a.confirmation.isConfirmed() && a.members.InContact(contactLimit):
+		return message.LinkConfirmed
+	case a.confirmation.isConfirmed():
+		return message.LinkLost
+	case byMajority:
+		return message.LinkDisks
+	}
+	return message.LinkUnconfirmed
+}
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -25,6 +25,9 @@
 		Zone: a.settings.Zone,
 		UpMS: time.Since(a.began).Milliseconds(),
 	}
+	link := a.link()
+	voters, _ := a.confirmation.byMajority()
+	report.Link = &status.Link{State: link.String(), Advice: link.Advice(), DisksHeard: voters, DisksWanted: a.confirmation.majority}
 	snapshot, _ := a.members.Node().Snapshot()
 	status.Gather(report, snapshot)
 	return report, nil
--- a/internal/control/configstate/order.go
+++ b/internal/control/configstate/order.go
@@ -3,8 +3,9 @@
 // Replicas apply the same orders of the operator in the order of the log and come to the same state: an order either
 // becomes the next configuration or changes nothing. An order that was taken is recognised when it is sent again, however
 // many others came between, up to MaxRemembered of them; after that it is answered that nothing is known of it. One that
-// was refused before the version that it builds on came is refused for good, up to MaxRefused of them. All of it is free of I/O, clock and goroutines; callers see to
-// it that a State is used by one goroutine at a time.
+// was refused before the version that it builds on came is refused for good; while MaxRefused of them are remembered, a
+// further one is not refused but answered that nothing is known. So no answer is ever wrong, however many orders come. All
+// of it is free of I/O, clock and goroutines; callers see to it that a State is used by one goroutine at a time.
 package configstate
 
 import (
--- a/internal/control/configstate/snapshot.go
+++ b/internal/control/configstate/snapshot.go
@@ -13,7 +13,7 @@
 
 const (
 	// snapshotFormat is the format of snapshots; it rises when an older release can no longer read them.
-	snapshotFormat = 2
+	snapshotFormat = 3
 	// maxDocumentBytes bounds what a snapshot may unpack to.
 	maxDocumentBytes = 64 << 20
 )
@@ -36,11 +36,32 @@
 	Length   int    // length of the unpacked document; 0 where there is no configuration
 	Document []byte // the JSON document, packed with DEFLATE
 	Taken    []takenOrder
-	Refused  []digest
+	Refused  []refusedOrder
 	// Forgotten is the highest version of taken orders that are not remembered.
 	Forgotten uint64
 }
 
+// secondSnapshot is a State as releases of the second format stored it: without the bases of refused orders.
+type secondSnapshot struct {
+	_         struct{} `cbor:",toarray"`
+	Format    int
+	Index     uint64
+	Length    int
+	Document  []byte
+	Taken     []takenOrder
+	Refused   []digest
+	Forgotten uint64
+}
+
+// upgraded is the snapshot in the format of this release.
+func (s *secondSnapshot) upgraded() snapshot {
+	next := snapshot{Format: snapshotFormat, Index: s.Index, Length: s.Length, Document: s.Document, Taken: s.Taken, Forgotten: s.Forgotten}
+	for _, order := range s.Refused {
+		next.Refused = append(next.Refused, refusedOrder{Digest: order})
+	}
+	return next
+}
+
 // firstSnapshot is a State as releases before the second format stored it.
 type firstSnapshot struct {
 	_        struct{} `cbor:",toarray"`
@@ -55,9 +76,13 @@
 func read(image []byte) (snapshot, error) {
 	var stored snapshot
 	err := cbor.Unmarshal(image, &stored)
-	if err == nil {
+	if err == nil && stored.Format != 2 {
 		return stored, nil
 	}
+	var second secondSnapshot
+	if cbor.Unmarshal(image, &second) == nil && second.Format == 2 {
+		return second.upgraded(), nil
+	}
 	var first firstSnapshot
 	if cbor.Unmarshal(image, &first) != nil {
 		return snapshot{}, Error.New("snapshot is damaged, restore this replica from another one: %w", err)
@@ -70,7 +95,7 @@
 
 // Snapshot returns the whole state, for Restore.
 func (s *State) Snapshot() []byte {
-	stored := snapshot{Format: snapshotFormat, Index: s.index, Taken: s.taken.list(), Refused: s.refused.order, Forgotten: s.taken.forgotten}
+	stored := snapshot{Format: snapshotFormat, Index: s.index, Taken: s.taken.list(), Refused: s.refused.orders, Forgotten: s.taken.forgotten}
 	if s.current != nil {
 		document := s.current.Raw()
 		stored.Length = len(document)
--- a/internal/control/configstate/state.go
+++ b/internal/control/configstate/state.go
@@ -15,7 +15,7 @@
 	AlreadyTaken                          // the very same order was taken before
 	OtherVersion                          // the order builds on a version that is not the current one
 	Invalid                               // the order builds on the current version but may not be taken
-	Unknown                               // the order may have been taken so long ago that it is not remembered
+	Unknown                               // nothing is promised: the order may have been taken before, or may be taken later
 )
 
 // String returns the name of the status.
@@ -44,7 +44,7 @@
 type Outcome struct {
 	Status  OutcomeStatus
 	Version uint64 // the version that the order made where it was taken, or else the current one
-	// Err says why it was not taken: *OtherVersionError, *RefusedError, *ForgottenError, *VersionError, *KindError, or an
+	// Err says why it was not taken: *OtherVersionError, *RefusedError, *ForgottenError, *CrowdedError, *VersionError, *KindError, or an
 	// error of package opconf.
 	Err error
 }
@@ -84,6 +84,19 @@
 		e.Version, e.Current)
 }
 
+// CrowdedError tells that an order builds on a version that has not come, and that so many such orders were refused that
+// this one could not be remembered. It is not refused: it may be taken if it comes again once its version is there.
+type CrowdedError struct {
+	BuiltOn uint64
+	Current uint64
+}
+
+// Error says which version to build on.
+func (e *CrowdedError) Error() string {
+	return fmt.Sprintf("version %d has not come and %d orders on such versions were refused already: read the configuration and build on version %d",
+		e.BuiltOn, MaxRefused, e.Current)
+}
+
 // VersionError tells that the version of an order is not above the current one.
 type VersionError struct {
 	Version uint64
@@ -118,6 +131,8 @@
 type Faults struct {
 	ForgetTaken   bool // orders that were taken are not recognised
 	ForgetRefused bool // orders that were refused may be taken later
+	// RefuseUnremembered refuses orders on versions to come for good though there is no room to remember them.
+	RefuseUnremembered bool
 }
 
 // NewBroken returns an empty state that is broken on purpose.
@@ -133,6 +148,14 @@
 	return s.index
 }
 
+// Rebase has the current configuration stand as if the entry at the index had set it, where there is one. A partition that
+// was restored from one disk stands above all that its members and routers knew.
+func (s *State) Rebase(index uint64) {
+	if s.current != nil {
+		s.index = index
+	}
+}
+
 // Version returns the version of the current configuration, 0 while there is none.
 func (s *State) Version() uint64 {
 	if s.current == nil {
@@ -156,8 +179,9 @@
 		s.current = next
 		s.index = index
 		s.taken.add(takenOrder{Digest: sum, Version: next.Version})
+		s.refused.pass(next.Version)
 	case outcome.Status == OtherVersion && order.BuiltOn > s.Version():
-		s.refused.add(sum)
+		s.refused.add(refusedOrder{Digest: sum, BuiltOn: order.BuiltOn})
 	}
 	return outcome
 }
@@ -179,6 +203,10 @@
 		err := &ForgottenError{Version: version, Current: current}
 		return Outcome{Status: Unknown, Version: current, Err: Error.Wrap(err)}, nil
 	}
+	if order.BuiltOn > current && s.refused.full() && !s.faults.RefuseUnremembered {
+		err := &CrowdedError{BuiltOn: order.BuiltOn, Current: current}
+		return Outcome{Status: Unknown, Version: current, Err: Error.Wrap(err)}, nil
+	}
 	if order.BuiltOn != current {
 		err := &OtherVersionError{BuiltOn: order.BuiltOn, Current: current}
 		return Outcome{Status: OtherVersion, Version: current, Err: Error.Wrap(err)}, nil
--- a/internal/control/configstate/taken.go
+++ b/internal/control/configstate/taken.go
@@ -4,9 +4,22 @@
 // nothing is known.
 const MaxRemembered = 4096
 
-// MaxRefused is how many refused orders a State recognises.
+// MaxRefused is how many orders are refused for good at a time because the version that they build on has not come. Of
+// further ones nothing is said: see CrowdedError.
 const MaxRefused = 1024
 
+// Memory is how much a State remembers of orders, for operators.
+type Memory struct {
+	Taken     int    // orders that are acknowledged again if they are sent again, MaxRemembered at most
+	Forgotten uint64 // highest version of taken orders that are not remembered; 0: all are
+	Refused   int    // orders refused before the version that they build on came, MaxRefused at most
+}
+
+// Memory tells how much the state remembers of orders.
+func (s *State) Memory() Memory {
+	return Memory{Taken: len(s.taken.ring), Forgotten: s.taken.forgotten, Refused: len(s.refused.orders)}
+}
+
 // takenOrder is what is remembered of an order that was taken.
 type takenOrder struct {
 	_       struct{} `cbor:",toarray"`
--- a/internal/control/consensus/config.go
+++ b/internal/control/consensus/config.go
@@ -71,6 +71,8 @@
 	leaseFromAnswerTime bool
 	// skipLogCheck accepts appends without comparing the preceding entry.
 	skipLogCheck bool
+	// countHalf takes half of the voters, rounded down, for a majority.
+	countHalf bool
 	// commitOldTerms commits entries of former terms by counting copies.
 	commitOldTerms bool
 	// overlapMemberships takes a change of the membership before the one before is
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -104,7 +104,7 @@
 			count++
 		}
 	}
-	return count >= membership.quorum()
+	return count >= node.quorum(membership)
 }
 
 // sticksToLeader reports whether a request for a vote is refused because a leader
--- a/internal/control/consensus/export_test.go
+++ b/internal/control/consensus/export_test.go
@@ -23,6 +23,7 @@
 	LeaseFromAnswerTime       = faults{leaseFromAnswerTime: true}
 	SkipLogCheck              = faults{skipLogCheck: true}
 	CommitOldTerms            = faults{commitOldTerms: true}
+	CountHalf                 = faults{countHalf: true}
 	OverlapMemberships        = faults{overlapMemberships: true}
 	ChangeManyMembers         = faults{changeManyMembers: true}
 	ChangeMembersBeforeCommit = faults{changeMembersBeforeCommit: true}
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -186,7 +186,7 @@
 		return 0
 	}
 	slices.Sort(indexes)
-	return indexes[len(indexes)-membership.quorum()]
+	return indexes[len(indexes)-node.quorum(membership)]
 }
 
 // matchOf returns the index up to which a member has the leader's log on disk.
--- a/internal/control/consensus/lease.go
+++ b/internal/control/consensus/lease.go
@@ -20,7 +20,7 @@
 		return noContact
 	}
 	slices.Sort(times)
-	return times[len(times)-membership.quorum()]
+	return times[len(times)-node.quorum(membership)]
 }
 
 // acknowledgedBy returns when the latest message that a voter answered was sent.
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -45,6 +45,14 @@
 	return len(membership.Voters)/2 + 1
 }
 
+// quorum returns the size of a majority of a membership's voters.
+func (node *Node) quorum(membership Membership) int {
+	if node.config.faults.countHalf {
+		return max(len(membership.Voters)/2, 1)
+	}
+	return membership.quorum()
+}
+
 // place is what a membership says of one member.
 type place struct {
 	member Member
--- a/internal/control/consensus/model_action_test.go
+++ b/internal/control/consensus/model_action_test.go
@@ -33,10 +33,15 @@
 	actionTick
 	// actionOrder has the holder of a duty give an order.
 	actionOrder
+	// actionRefuse has a disk begin to refuse writes, and actionAccept take them again.
+	actionRefuse
+	actionAccept
+	// actionJump sets the time of day of a member's machine back.
+	actionJump
 )
 
 var actionNames = [...]string{"deliver", "deliver and keep", "deliver late", "lapse", "beat", "persist", "crash", "propose",
-	"reconfigure", "change", "transfer", "wipe", "pass", "tick", "order"}
+	"reconfigure", "change", "transfer", "wipe", "pass", "tick", "order", "refuse", "accept", "jump"}
 
 // action is one thing that happens.
 type action struct {
@@ -106,9 +111,18 @@
 
 // happenings lists what can happen to a member.
 func (w *world) happenings(list []action, member *actor) []action {
-	if len(member.writes) > 0 {
+	if member.refuses {
+		list = append(list, action{kind: actionAccept, member: member.id})
+	}
+	if len(member.writes) > 0 && (!member.refuses || w.plan.ignoresRefusal) {
 		list = append(list, action{kind: actionPersist, member: member.id})
 	}
+	if w.left.refusals > 0 && !member.refuses && among(w.plan.refuse, member.id) {
+		list = append(list, action{kind: actionRefuse, member: member.id})
+	}
+	if w.left.jumps > 0 {
+		list = append(list, action{kind: actionJump, member: member.id})
+	}
 	if w.left.crashes > 0 && among(w.plan.crash, member.id) {
 		list = append(list, action{kind: actionCrash, member: member.id})
 	}
@@ -282,6 +296,16 @@
 		member.node.Tick(member.clock)
 	case actionPersist:
 		member.persist()
+	case actionRefuse:
+		w.left.refusals--
+		member.refuse(w.plan)
+	case actionAccept:
+		member.accept(w.plan)
+	case actionJump:
+		w.left.jumps--
+		if w.plan.timeOfDay {
+			member.clock -= w.plan.timing.election
+		}
 	case actionCrash:
 		w.left.crashes--
 		if w.plan.restarts != nil {
--- a/internal/control/consensus/model_history_test.go
+++ b/internal/control/consensus/model_history_test.go
@@ -10,7 +10,7 @@
 // Bounds of what a history can hold; a model keeps well inside of them.
 const (
 	mostTerms   = 12
-	mostMembers = 6
+	mostMembers = 8
 	mostEntries = 12
 )
 
--- a/internal/control/consensus/model_member_test.go
+++ b/internal/control/consensus/model_member_test.go
@@ -35,6 +35,18 @@
 	return disk
 }
 
+// connects reports whether a batch's entries follow those on the disk: not where a batch before it was lost.
+func (disk image) connects(batch *consensus.PersistBatch) bool {
+	if batch.Snapshot != nil || len(batch.Entries) == 0 {
+		return true
+	}
+	last := disk.snapshot.Index
+	if count := len(disk.entries); count > 0 {
+		last = disk.entries[count-1].Index
+	}
+	return batch.Entries[0].Index <= last+1
+}
+
 // actor is one member in a state of the model. It is not changed once the state is made.
 type actor struct {
 	id consensus.MemberID
@@ -51,6 +63,8 @@
 	held []consensus.Outgoing
 	// led is since when the member leads, as its host notes it.
 	led time.Duration
+	// refuses says that the disk refuses writes; a restart finds one that takes them.
+	refuses bool
 	// print is the actor's part of the fingerprint where times do not count.
 	print []byte
 }
@@ -94,9 +108,28 @@
 	if timed {
 		bytes = append(bytes, byte(min(member.clock-member.led, longestHold)))
 	}
+	if member.refuses {
+		bytes = append(bytes, 1)
+	}
 	return append(bytes, byte(len(member.held)))
 }
 
+// refuse has the disk refuse writes, of which the build that ignores it does not hear.
+func (member *actor) refuse(plan *scenario) {
+	member.refuses = true
+	if !plan.ignoresRefusal {
+		member.node.DiskFailed(member.clock)
+	}
+}
+
+// accept has the disk take writes again.
+func (member *actor) accept(plan *scenario) {
+	member.refuses = false
+	if !plan.ignoresRefusal {
+		member.node.DiskRecovered(member.clock)
+	}
+}
+
 // leads reports whether the member believes itself the leader.
 func (member *actor) leads() bool { return member.node.IsLeader() }
 
--- a/internal/control/consensus/model_scenarios_test.go
+++ b/internal/control/consensus/model_scenarios_test.go
@@ -132,7 +132,18 @@
 	many := scenario{voters: 3, settled: true, lastTerm: 3, changes: []change{alone(1)}, budget: budget{lapses: 1, changes: 1}}
 	early := scenario{voters: 2, learners: 1, lastTerm: 5, disks: changeAtLearner(), changes: []change{dropped(1)},
 		stand: []consensus.MemberID{2, 3}, inTurn: true, budget: budget{lapses: 2, changes: 1}}
+	refused := behind
+	refused.budget.refusals = 1
+	refused.budget.crashes = 1
+	refused.refuse, refused.crash = []consensus.MemberID{2}, []consensus.MemberID{2}
+	refused.stand = []consensus.MemberID{2}
+	refused.ignoresRefusal = true
+	four := scenario{voters: 4, lastTerm: 2, budget: budget{lapses: 2}}
+	five := scenario{voters: 5, lastTerm: 2, budget: budget{lapses: 2}, stand: []consensus.MemberID{1, 2}, inTurn: true}
 	return []brokenCourse{
+		{"takes what the disk refused for written", refused, func(plan *scenario) { plan.ignoresRefusal = false }},
+		{"takes two of four for a majority", withFault(four, consensus.CountHalf), noFaults},
+		{"takes two of five for a majority", withFault(five, consensus.CountHalf), noFaults},
 		{"a vote is given twice in a term", withFault(elections, consensus.VoteTwice), noFaults},
 		{"a restart forgets the vote", restarts, func(plan *scenario) { plan.restarts = nil }},
 		{"votes for an older log", withFault(behind, consensus.IgnoreLogInVotes), noFaults},
@@ -181,7 +192,10 @@
 	hasty.timing.wait = func(lease partition.Lease, _ *timing) bool { return lease.Left > 0 }
 	endless := scenario{voters: 3, settled: true, lastTerm: 3, timing: calm(), budget: budget{lapses: 1, orders: 1}}
 	endless.timing.limit = func(partition.Lease, *timing) (time.Duration, bool) { return 8, true }
-	for _, plan := range []*scenario{&drift, &hasty, &endless} {
+	jump := coup(consensus.Faults{})
+	jump.budget.jumps = 1
+	jump.timeOfDay = true
+	for _, plan := range []*scenario{&drift, &hasty, &endless, &jump} {
 		plan.stand = []consensus.MemberID{3}
 	}
 	return []brokenCourse{
@@ -190,6 +204,7 @@
 		{"begins the lease with the answer", late, noFaults},
 		{"keeps the lease in a transfer", handover, noFaults},
 		{"clocks that differ by more than the margin", drift, func(plan *scenario) { plan.budget.stalls = 1 }},
+		{"goes by the time of day, which jumps", jump, func(plan *scenario) { plan.timeOfDay = false }},
 		{"a new holder orders at once", hasty, func(plan *scenario) { plan.timing.wait = waits }},
 		{"an order outlives the lease", endless, func(plan *scenario) { plan.timing.limit = limits }},
 	}
@@ -231,6 +246,25 @@
 			stand: []consensus.MemberID{3}, budget: budget{lapses: 1, orders: 2}}, short: 5_000},
 		{name: "a duty passed on, two rounds of heartbeats", plan: scenario{voters: 3, settled: true, lastTerm: 3, timing: calm(),
 			stand: []consensus.MemberID{3}, budget: budget{lapses: 1, beats: 2, orders: 2}}},
+		{name: "four members, one lapse, one proposal", plan: scenario{voters: 4, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 1}}},
+		{name: "five members, one lapse, one proposal", plan: scenario{voters: 5, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 1}}},
+		{name: "four members, the first election, two lapses", plan: scenario{voters: 4, lastTerm: 3, budget: budget{lapses: 2}}},
+		{name: "five members, a disk wiped and its machine taken in again, one lapse", plan: scenario{voters: 5, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, changes: 3, wipes: 1}}},
+		{name: "a disk that refuses for a while, one lapse, two proposals", plan: scenario{voters: 3, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 2, refusals: 1}}},
+		{name: "a disk that refuses for a while, one lapse, one proposal and a crash", plan: scenario{voters: 3, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 1, refusals: 1, crashes: 1}}},
+		{name: "four members, a disk that refuses for a while, one lapse, one proposal", plan: scenario{voters: 4, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 1, refusals: 1}}},
+		{name: "five members, two disks that refuse for a while, one lapse, one proposal", plan: scenario{voters: 5, settled: true, lastTerm: 3,
+			budget: budget{lapses: 1, proposals: 1, refusals: 2}}},
+		{name: "a lease, one lapse, a jump of the time of day", plan: scenario{voters: 3, settled: true, lastTerm: 3, timing: calm(),
+			budget: budget{lapses: 1, beats: 1, jumps: 1}}},
+		{name: "a lease of four members, one lapse", plan: scenario{voters: 4, settled: true, lastTerm: 3, timing: quick(),
+			stand: []consensus.MemberID{3}, budget: budget{lapses: 1}}},
 		{name: "a duty handed over", plan: scenario{voters: 3, settled: true, lastTerm: 3, timing: calm(), stand: []consensus.MemberID{3},
 			budget: budget{beats: 2, orders: 2, transfers: 1}}},
 	}
--- a/internal/control/consensus/model_world_test.go
+++ b/internal/control/consensus/model_world_test.go
@@ -23,6 +23,8 @@
 	transfers  int8 // of leadership
 	stalls     int8 // units of time that a clock misses
 	orders     int8 // of the duty's holder
+	refusals   int8 // disks that refuse writes for a while
+	jumps      int8 // of a machine's time of day
 }
 
 // scenario is what is searched.
@@ -54,6 +56,11 @@
 	// keepsIdentity has a member whose disk is lost come back as who it was, in a broken build.
 	keepsIdentity bool
 	timing        *timing
+	refuse        []consensus.MemberID // members whose disks may refuse writes; none: all of them
+	// ignoresRefusal takes what the disk refused for written, in a broken build.
+	ignoresRefusal bool
+	// timeOfDay has members go by their machines' time of day, in a broken build.
+	timeOfDay bool
 }
 
 // change makes another membership of one; false: it can't be made.
@@ -187,6 +194,7 @@
 	member.writes = nil
 	member.held = nil
 	member.reported = 0
+	member.refuses = false
 }
 
 // clone returns a state that may be changed, with one member that may be, too.
@@ -219,7 +227,7 @@
 		if err := w.release(member); err != nil {
 			return err
 		}
-		if w.plan.slowDisk || len(member.writes) == 0 {
+		if w.plan.slowDisk || len(member.writes) == 0 || member.refuses && !w.plan.ignoresRefusal {
 			break
 		}
 		member.persist()
@@ -235,7 +243,9 @@
 func (member *actor) persist() {
 	batch := member.writes[0]
 	member.writes = member.writes[1:]
-	member.disk = member.disk.write(batch)
+	if !member.refuses && member.disk.connects(batch) {
+		member.disk = member.disk.write(batch)
+	}
 	member.reported = batch.Sequence
 	member.node.Persisted(member.clock, batch.Sequence)
 }
@@ -328,7 +338,8 @@
 	}
 	left := w.left
 	bytes = append(bytes, byte(left.lapses), byte(left.proposals), byte(left.crashes), byte(left.duplicates), byte(left.beats),
-		byte(left.changes), byte(left.wipes), byte(left.transfers), byte(left.stalls), byte(left.orders))
+		byte(left.changes), byte(left.wipes), byte(left.transfers), byte(left.stalls), byte(left.orders),
+		byte(left.refusals), byte(left.jumps))
 	bytes = w.duty.appendPrint(bytes)
 	return xxhash.Sum64(w.past.appendPrint(bytes))
 }
--- a/internal/control/consensus/property_test.go
+++ b/internal/control/consensus/property_test.go
@@ -10,7 +10,11 @@
 
 // simulate runs a schedule and returns the first violation.
 func simulate(run schedule, broken faults) error {
-	simulated := newCluster(run.Seed, run.Voters, broken)
+	return goThrough(newCluster(run.Seed, run.Voters, broken), run)
+}
+
+// goThrough has a cluster go through a schedule and returns the first violation.
+func goThrough(simulated *cluster, run schedule) error {
 	simulated.clients.start(3)
 	simulated.run(3 * simElectionTimeout)
 	for _, step := range run.Actions {
@@ -127,6 +131,55 @@
 	}
 }
 
+// brokenMachine is a deliberately broken host of the algorithm and the faults that are aimed at it.
+type brokenMachine struct {
+	name   string
+	breaks func(*cluster)
+	kinds  []action
+	voters int
+}
+
+func brokenMachines() []brokenMachine {
+	jumps := []action{actionJump, actionIsolateLeader, actionMuteLeader, actionCoup, actionHeal}
+	refusals := []action{actionFailDisk, actionRecoverDisk, actionRestartAll, actionRestart, actionStopLeader, actionStartAll}
+	return []brokenMachine{
+		{"goes by the time of day", func(c *cluster) { c.timeOfDay = true }, jumps, 3},
+		{"goes by the time of day, five members", func(c *cluster) { c.timeOfDay = true }, jumps, 5},
+		{"takes what the disk refused for written", func(c *cluster) { c.ignoresRefusal = true }, refusals, 3},
+		{"takes what the disk refused for written, four members", func(c *cluster) { c.ignoresRefusal = true }, refusals, 4},
+		{"takes what the disk refused for written, five members", func(c *cluster) { c.ignoresRefusal = true }, refusals, 5},
+	}
+}
+
+func TestBrokenMachinesAreFound(t *testing.T) {
+	const limit = 400
+	for _, broken := range brokenMachines() {
+		t.Run(broken.name, func(t *testing.T) {
+			t.Parallel()
+			// Given a host of the algorithm that is broken on purpose.
+			var found error
+			tried := 0
+			// When it goes through courses of faults aimed at it.
+			for ; tried < limit && found == nil; tried++ {
+				run := aimedSchedule(uint64(tried), broken.kinds)
+				run.Voters = broken.voters
+				simulated := newCluster(run.Seed, run.Voters, faults{})
+				broken.breaks(simulated)
+				found = goThrough(simulated, run)
+			}
+			// Then one of them shows it,
+			qt.Assert(t, found, qt.IsNotNil)
+			t.Logf("found after %d: %v", tried, found)
+			// and the host as it is goes through as many without a violation.
+			for seed := range min(tried, 40) {
+				run := aimedSchedule(uint64(seed), broken.kinds)
+				run.Voters = broken.voters
+				qt.Assert(t, simulate(run, faults{}), qt.IsNil)
+			}
+		})
+	}
+}
+
 func TestBrokenVariantsAreFound(t *testing.T) {
 	const limit = 400
 	for _, variant := range variants() {
--- a/internal/control/consensus/schedule_test.go
+++ b/internal/control/consensus/schedule_test.go
@@ -36,6 +36,7 @@
 	actionSlow
 	actionLossy
 	actionNormal
+	actionJump
 	actionCount
 )
 
@@ -138,6 +139,8 @@
 		simulated.operator.replaceWiped(one)
 	case actionReplace:
 		simulated.operator.replaceRunning(one)
+	case actionJump:
+		one.jump(simulated.between(-maxJump, maxJump))
 	case actionIsolateNextLeader:
 		simulated.isolateNextLeader()
 	case actionStopAtNextCommit:
--- a/internal/control/consensus/sim_disk_test.go
+++ b/internal/control/consensus/sim_disk_test.go
@@ -64,7 +64,8 @@
 // finish ends the write in progress, unless the disk does not let it.
 func (disk *disk) finish() {
 	disk.busy = false
-	if disk.stalled || disk.failed {
+	lost := disk.failed && disk.machine.cluster.ignoresRefusal
+	if disk.stalled || disk.failed && !lost {
 		disk.busy = true
 		generation := disk.generation
 		disk.machine.cluster.after(time.Millisecond, func() {
@@ -76,7 +77,9 @@
 	}
 	write := disk.queue[0]
 	disk.queue = disk.queue[1:]
-	disk.apply(write)
+	if !lost {
+		disk.apply(write)
+	}
 	disk.proceed()
 	disk.report(write)
 }
@@ -101,6 +104,9 @@
 		return
 	}
 	first := batch.Entries[0].Index
+	if disk.machine.cluster.ignoresRefusal && first > disk.last()+1 {
+		return // what they follow was lost
+	}
 	keep := slices.IndexFunc(disk.entries, func(entry Entry) bool { return entry.Index >= first })
 	if keep >= 0 {
 		disk.entries = slices.Clip(disk.entries[:keep])
@@ -108,6 +114,14 @@
 	disk.entries = append(disk.entries, batch.Entries...)
 }
 
+// last returns the index of the last entry on the disk.
+func (disk *disk) last() Index {
+	if count := len(disk.entries); count > 0 {
+		return disk.entries[count-1].Index
+	}
+	return disk.snapshot.Index
+}
+
 // report tells the member that a write is done.
 func (disk *disk) report(write diskWrite) {
 	machine := disk.machine
@@ -140,6 +154,9 @@
 		return
 	}
 	disk.failed = true
+	if disk.machine.cluster.ignoresRefusal {
+		return
+	}
 	disk.machine.node.DiskFailed(disk.machine.clock())
 	disk.machine.drain()
 }
--- a/internal/control/consensus/sim_machine_test.go
+++ b/internal/control/consensus/sim_machine_test.go
@@ -27,6 +27,7 @@
 	retired  bool
 	offset   time.Duration
 	rate     float64
+	jumped   time.Duration // the machine's time of day
 	held     []Outgoing
 	reported uint64
 	state    register
@@ -41,16 +42,38 @@
 	return Member{ID: machine.id, Address: fmt.Sprintf("address-%d", machine.id), Node: "node"}
 }
 
-// clock returns the machine's own time.
+// maxJump is how far the time of day of a machine jumps at most.
+const maxJump = 12 * time.Hour
+
+// clock returns the machine's own time: a steady one, unless the build is broken.
 func (machine *machine) clock() time.Duration {
+	if machine.cluster.timeOfDay {
+		return machine.steady() + machine.jumped
+	}
+	return machine.steady()
+}
+
+// steady returns the time since the machine's start, which no change of the time of day moves.
+func (machine *machine) steady() time.Duration {
 	return machine.offset + time.Duration(float64(machine.cluster.now)*machine.rate)
 }
 
+// jump changes the machine's time of day.
+func (machine *machine) jump(by time.Duration) {
+	machine.jumped += by
+	if machine.node != nil {
+		machine.scheduleTick()
+	}
+}
+
 // trueTime returns when the machine's clock shows a time.
 func (machine *machine) trueTime(local time.Duration) time.Duration {
 	if local == never {
 		return never
 	}
+	if machine.cluster.timeOfDay {
+		local -= machine.jumped
+	}
 	return time.Duration(math.Ceil(float64(local-machine.offset)/machine.rate)) + 1
 }
 
--- a/internal/control/consensus/sim_test.go
+++ b/internal/control/consensus/sim_test.go
@@ -67,6 +67,10 @@
 	voters   int
 	// maxBatchBytes is small in some runs, so that entries travel alone.
 	maxBatchBytes int
+	// timeOfDay has members go by their machines' time of day, in a broken build.
+	timeOfDay bool
+	// ignoresRefusal has disks report what they refused as written, in a broken build.
+	ignoresRefusal bool
 	// repaired says that no more faults begin.
 	repaired bool
 }
--- a/internal/control/disklog/control.go
+++ b/internal/control/disklog/control.go
@@ -1,7 +1,10 @@
 package disklog
 
+// ControlName is the name of the file that a folder with a log holds.
+const ControlName = "control.log"
+
 const (
-	controlName = "control.log"
+	controlName = ControlName
 	// controlSlots are written in turn, so that a torn write leaves the slot before it.
 	controlSlots = 2
 	// controlSlotSpace keeps the slots apart from each other by more than a disk's block.
--- a/internal/control/disklog/export_test.go
+++ b/internal/control/disklog/export_test.go
@@ -21,7 +21,6 @@
 
 // Names and places of the files.
 const (
-	ControlName  = controlName
 	RecordsStart = recordsStart
 	SlotSpace    = controlSlotSpace
 )
--- a/internal/control/member/leave.go
+++ b/internal/control/member/leave.go
@@ -2,7 +2,12 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"time"
+
+	"sumacloft/internal/control/reconfigure"
+	"sumacloft/internal/status"
 )
 
 const (
@@ -18,8 +23,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), max(m.settings.Rules.Grace-leaveMargin, 0))
 	defer cancel()
 	if !m.faults.LeaveAtOnce && !m.host.Leave(ctx) {
-		m.log.Warn().Msg("ending though the other members may not hold everything")
+		m.log.Warn().Interface("waited_for", m.ending()).Msg("ending though the other members may not hold everything")
 	}
 	m.members.Leave()
 	time.Sleep(leaveWait)
 }
+
+// ending lists what this member, told to end, still waits for.
+func (m *Member) ending() []status.Wait {
+	holds := m.host.Ending()
+	var waits []status.Wait
+	for _, number := range slices.Sorted(maps.Keys(holds)) {
+		why := holds[number].String()
+		if holds[number] == reconfigure.Free {
+			why = "the answer of its leader"
+		}
+		waits = append(waits, status.Wait{Partition: partitionName(number), For: why})
+	}
+	return waits
+}
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -155,10 +155,8 @@
 
 // machines are the state machines of all partitions.
 func (m *Member) machines() map[partition.Group]partition.StateMachine {
-	machines := map[partition.Group]partition.StateMachine{settingsGroup: m.orders.machine}
-	for number := range servicePartitions {
-		machines[firstServiceGroup+partition.Group(number)] = &intentMachine{}
-	}
+	machines := serviceMachines()
+	machines[settingsGroup] = m.orders.machine
 	return machines
 }
 
--- /dev/null
+++ b/internal/control/member/remains.go
@@ -0,0 +1,62 @@
+package member
+
+import (
+	"sumacloft/internal/control/consensus"
+	"sumacloft/internal/control/disklog"
+	"sumacloft/internal/control/partition"
+	"sumacloft/internal/status"
+)
+
+// Remains is what the disk of a stopped control member holds, for operators who lost a majority of the disks. Use
+// OpenRemains, then Close.
+type Remains struct {
+	held     *partition.Remains
+	settings *settingsMachine
+}
+
+// OpenRemains reads the disk of a control member that does not run.
+func OpenRemains(files disklog.FileSystem) (*Remains, error) {
+	r := &Remains{settings: &settingsMachine{publish: func(uint64, []byte) {}}}
+	machines := serviceMachines()
+	machines[settingsGroup] = r.settings
+	held, err := partition.OpenRemains(files, machines)
+	if err != nil {
+		return nil, err
+	}
+	r.held = held
+	return r, nil
+}
+
+// Close lets go of the disk.
+func (r *Remains) Close() error { return r.held.Close() }
+
+// Self is the member whose disk it is.
+func (r *Remains) Self() consensus.Member { return r.held.Self() }
+
+// Groups lists what it holds of each partition.
+func (r *Remains) Groups() []partition.GroupRemains { return r.held.Groups() }
+
+// Name says what a partition holds.
+func (r *Remains) Name(number partition.Group) string { return partitionName(number) }
+
+// Restore makes the disk the only member of all partitions, with all that it holds; see partition.Remains. It gives the
+// configuration in force from then on.
+func (r *Remains) Restore() (status.Configuration, error) {
+	if err := r.held.Restore(); err != nil {
+		return status.Configuration{}, err
+	}
+	state := &r.settings.state
+	return status.Configuration{Version: state.Version(), Index: state.Index()}, nil
+}
+
+// Rebase serves partition.Rebaser.
+func (s *settingsMachine) Rebase(index uint64) { s.state.Rebase(index) }
+
+// serviceMachines are the state machines of the services' partitions.
+func serviceMachines() map[partition.Group]partition.StateMachine {
+	machines := map[partition.Group]partition.StateMachine{}
+	for number := range servicePartitions {
+		machines[firstServiceGroup+partition.Group(number)] = &intentMachine{}
+	}
+	return machines
+}
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"time"
 
+	"sumacloft/internal/control/configstate"
 	"sumacloft/internal/control/consensus"
 	"sumacloft/internal/control/disklog"
 	"sumacloft/internal/control/partition"
@@ -36,6 +37,8 @@
 		Disk: diskOf(state.Disk),
 
 		Balances: m.views.report(),
+		Ending:   m.ending(),
+		Orders:   m.orderMemory(ctx),
 	}
 	snapshot, _ := m.members.Node().Snapshot()
 	status.Gather(report, snapshot)
@@ -45,6 +48,19 @@
 	return report, nil
 }
 
+// orderMemory is how much this member remembers of orders; nil where it does not answer in time.
+func (m *Member) orderMemory(ctx context.Context) *status.OrderMemory {
+	told := &status.OrderMemory{MostTaken: configstate.MaxRemembered, MostRefused: configstate.MaxRefused}
+	err := m.host.ReadUnconfirmed(ctx, settingsGroup, func() {
+		memory := m.orders.machine.state.Memory()
+		told.Taken, told.Forgotten, told.Refused = memory.Taken, memory.Forgotten, memory.Refused
+	})
+	if err != nil {
+		return nil
+	}
+	return told
+}
+
 func diskOf(stats disklog.Stats) *status.Disk {
 	return &status.Disk{
 		Sequence:   stats.Sequence,
--- a/internal/control/partition/duties.go
+++ b/internal/control/partition/duties.go
@@ -21,38 +21,46 @@
 	leaveMemory = 500 * time.Millisecond
 )
 
-// noteJoin takes a machine's wish to join, or its word that it ends. It gives the partitions that this member leads and
-// that let it end.
-func (h *Host) noteJoin(join *Join) (mayLeave []Group) {
+// noteJoin takes a machine's wish to join, or its word that it ends. It says which of the partitions that this member leads
+// let it end.
+func (h *Host) noteJoin(join *Join) *JoinAnswer {
+	answer := &JoinAnswer{}
 	id := join.Member.ID
 	if !join.Leaving {
 		delete(h.leaving, id)
 		h.joining[id] = joiner{member: join.Member, at: h.now()}
-		return nil
+		return answer
 	}
 	delete(h.joining, id)
 	now := h.now()
 	word, before := h.leaving[id]
 	if !before || now-word.last > h.leaveMemory() {
 		h.leaving[id] = leaver{first: now, last: now}
-		return nil // its place is looked at first
+		return answer // its place is looked at first
 	}
 	h.leaving[id] = leaver{first: word.first, last: now}
 	for _, g := range h.groups {
 		status := g.node.Status()
-		if status.Role == consensus.RoleLeader && reconfigure.MayLeave(h.situationFor(g, status, id), id) {
-			mayLeave = append(mayLeave, g.number)
+		if status.Role != consensus.RoleLeader {
+			continue
+		}
+		if why := reconfigure.HoldOf(h.situationFor(g, status, id), id); why != reconfigure.Free {
+			answer.Holds = append(answer.Holds, Held{Group: g.number, Why: why})
+			continue
 		}
+		answer.MayLeave = append(answer.MayLeave, g.number)
 	}
-	return mayLeave
+	return answer
 }
 
-// situationFor is the situation as it counts for a member that ends: those that said so after it stay for that long.
+// situationFor is the situation as it counts for a member that ends: those that said so after it stay for that long. Of two
+// that said so at the same moment the one with the higher identity stays, or both would be let go.
 func (h *Host) situationFor(g *group, status consensus.Status, id consensus.MemberID) reconfigure.Situation {
 	situation := h.situation(g, status)
 	own := h.leaving[id].first
 	situation.Leaving = slices.DeleteFunc(situation.Leaving, func(other consensus.MemberID) bool {
-		return other != id && h.leaving[other].first >= own
+		said := h.leaving[other].first
+		return said > own || said == own && other > id
 	})
 	return situation
 }
--- a/internal/control/partition/host.go
+++ b/internal/control/partition/host.go
@@ -92,6 +92,7 @@
 	joining map[consensus.MemberID]joiner
 	leaving map[consensus.MemberID]leaver
 	stopped bool
+	ending  ending
 	ledAt   atomic.Int64 // as time.Duration: all partitions had a leader
 	voter   atomic.Bool  // in all partitions
 	leading atomic.Bool  // one of the partitions at least
--- /dev/null
+++ b/internal/control/partition/remains.go
@@ -0,0 +1,155 @@
+package partition
+
+import (
+	"cmp"
+	"maps"
+	"math/rand/v2"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/zeebo/errs"
+
+	"sumacloft/internal/control/consensus"
+	"sumacloft/internal/control/disklog"
+)
+
+// ErrRemains is the class of disks from which partitions can't be restored.
+var ErrRemains = errs.Class("partition: this disk can't be restored from")
+
+// RestoreGap is how far the indexes and terms of restored partitions lie above those on the disk. What others may have
+// seen beyond this disk, entries and elections, is less than that.
+const RestoreGap = 1 << 20
+
+// Remains is what the disk of a stopped member holds of the partitions. Use OpenRemains, then Close.
+type Remains struct {
+	log      *disklog.Log
+	state    *diskState
+	machines map[Group]StateMachine
+}
+
+// GroupRemains is what it holds of one partition.
+type GroupRemains struct {
+	Number    Group
+	Term      consensus.Term  // the latest that the member has seen
+	Committed consensus.Index // up to which the member knew the log to be committed
+	Last      consensus.Index // of the log
+	LastTerm  consensus.Term  // of the log's last entry: of two disks the one with the higher last term holds more, then the longer one
+	Voters    []consensus.Member
+}
+
+// OpenRemains reads the disk of a member that does not run. The machines are those of all partitions, empty.
+func OpenRemains(files disklog.FileSystem, machines map[Group]StateMachine) (*Remains, error) {
+	sizes, err := disklog.Measures(files)
+	if err != nil {
+		return nil, err
+	}
+	log, records, err := disklog.Open(files, sizes)
+	if err != nil {
+		return nil, err
+	}
+	state, err := recovered(records)
+	if err != nil {
+		_ = log.Close() // what can't be read matters more
+		return nil, err
+	}
+	return &Remains{log: log, state: state, machines: machines}, nil
+}
+
+// Close lets go of the disk.
+func (r *Remains) Close() error { return r.log.Close() }
+
+// Self is the member whose disk it is.
+func (r *Remains) Self() consensus.Member { return r.state.identity }
+
+// Groups lists what is there, by partition.
+func (r *Remains) Groups() []GroupRemains {
+	var list []GroupRemains
+	for number, held := range r.state.groups {
+		list = append(list, held.remains(number))
+	}
+	slices.SortFunc(list, func(a, b GroupRemains) int { return cmp.Compare(a.Number, b.Number) })
+	return list
+}
+
+func (g *diskGroup) remains(number Group) GroupRemains {
+	told := GroupRemains{
+		Number:    number,
+		Term:      g.hardState.Term,
+		Committed: max(g.committed, g.snapshot.Index),
+		Last:      g.snapshot.Index,
+		LastTerm:  g.snapshot.Term,
+		Voters:    g.snapshot.Membership.Voters,
+	}
+	for _, entry := range g.entries {
+		told.Last, told.LastTerm = entry.Index, entry.Term
+		if entry.Kind == consensus.EntryMembership {
+			var membership consensus.Membership
+			if cbor.Unmarshal(entry.Data, &membership) == nil {
+				told.Voters = membership.Voters
+			}
+		}
+	}
+	told.Term = max(told.Term, told.LastTerm)
+	return told
+}
+
+// Restore makes this disk the only member of all partitions, under a new identity, with all that it holds: also entries
+// of which it is not known whether they were committed. Terms, and with them fences, and indexes go on RestoreGap above
+// what the disk knows. The machine's other disks must never be used again, as their members would count for the old
+// partitions. It changes the disk in one step, or fails and changes nothing.
+func (r *Remains) Restore() error {
+	if len(r.state.groups) == 0 || r.state.identity.ID == 0 {
+		return ErrRemains.New("it holds no partition: its member had not joined yet; use the disk of another member")
+	}
+	self := r.state.identity
+	self.ID = consensus.MemberID(rand.Uint64() | 1)
+	next := &diskState{identity: self, note: r.state.note, groups: map[Group]*diskGroup{}}
+	for _, number := range slices.Sorted(maps.Keys(r.machines)) {
+		held := r.state.groups[number]
+		if held == nil {
+			return ErrRemains.New("partition %d is missing: its member had not joined it yet; use the disk of another member", number)
+		}
+		restored, err := held.restored(self, r.machines[number])
+		if err != nil {
+			return err
+		}
+		next.groups[number] = restored
+	}
+	if err := r.log.Checkpoint(next.records()); err != nil {
+		return err
+	}
+	r.state = next
+	return nil
+}
+
+// Rebaser is a state machine whose state names indexes of the log.
+type Rebaser interface {
+	// Rebase has the state stand as if the entry at the index had set it.
+	Rebase(index uint64)
+}
+
+// restored is the partition's state as one snapshot whose only member is self.
+func (g *diskGroup) restored(self consensus.Member, machine StateMachine) (*diskGroup, error) {
+	if len(g.snapshot.Data) > 0 {
+		if err := machine.Restore(g.snapshot.Data); err != nil {
+			return nil, err
+		}
+	}
+	for _, entry := range g.entries {
+		if entry.Index > g.snapshot.Index && entry.Kind == consensus.EntryCommand {
+			machine.Apply(uint64(entry.Index), entry.Data)
+		}
+	}
+	known := g.remains(0)
+	index, term := known.Last+RestoreGap, known.Term+RestoreGap
+	if rebased, does := machine.(Rebaser); does {
+		rebased.Rebase(uint64(index))
+	}
+	snapshot := consensus.Snapshot{
+		Index:      index,
+		Term:       term,
+		Membership: consensus.Membership{Voters: []consensus.Member{self}},
+		Data:       machine.Snapshot(),
+	}
+	return &diskGroup{hardState: consensus.HardState{Term: term}, snapshot: snapshot, committed: index}, nil
+}
--- a/internal/control/partition/transport.go
+++ b/internal/control/partition/transport.go
@@ -9,6 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"sumacloft/internal/control/consensus"
+	"sumacloft/internal/control/reconfigure"
 	"sumacloft/internal/mesh/rpc"
 )
 
@@ -39,6 +40,13 @@
 // JoinAnswer says that the wish is known.
 type JoinAnswer struct {
 	MayLeave []Group `cbor:"1,keyasint,omitempty"` // partitions that the answering member leads and that let the member end
+	Holds    []Held  `cbor:"2,keyasint,omitempty"` // those that it leads and that do not, and why
+}
+
+// Held is a partition that does not let a member end yet.
+type Held struct {
+	Group Group            `cbor:"1,keyasint"`
+	Why   reconfigure.Hold `cbor:"2,keyasint"`
 }
 
 const (
@@ -64,7 +72,7 @@
 // answerJoin takes a wish.
 func (h *Host) answerJoin(ctx context.Context, join *Join) (*JoinAnswer, error) {
 	answer := make(chan *JoinAnswer, 1)
-	h.post(func() { answer <- &JoinAnswer{MayLeave: h.noteJoin(join)} })
+	h.post(func() { answer <- h.noteJoin(join) })
 	select {
 	case told := <-answer:
 		return told, nil
--- a/internal/control/reconfigure/reconfigure.go
+++ b/internal/control/reconfigure/reconfigure.go
@@ -3,6 +3,7 @@
 package reconfigure
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -16,6 +17,9 @@
 	forgetLimit = 10 * time.Second
 	// answerLimit is how long ago a member that lives may have answered.
 	answerLimit = time.Second
+	// staysLimit is the same where another member asks whether it may end. It is shorter than the time for which the word
+	// that a member ends is remembered: one that ended must not count as staying once its word is forgotten.
+	staysLimit = 400 * time.Millisecond
 )
 
 // Situation is what the leader of a partition knows.
@@ -29,6 +33,8 @@
 	Target  int // voters wanted
 	// Settled is the commit index as it was a moment ago: who counts as a voter holds all up to it.
 	Settled consensus.Index
+	// answered is how long ago a member that lives may have answered; 0: answerLimit.
+	answered time.Duration
 	// DropFirst drops a leaving or silent voter before another votes and whoever is left, for the tests of the tests.
 	DropFirst bool
 }
@@ -114,17 +120,26 @@
 	return consensus.Membership{}, false
 }
 
-// MayLeave tells whether a member may end: it votes no more, or without it a majority of the voters that are left lives,
-// stays and holds all that is committed, and nobody is about to take its place.
-func MayLeave(s Situation, id consensus.MemberID) bool {
-	if s.Status.MembershipPending {
-		return false
-	}
-	if !s.votes(id) {
-		return true
+// MayLeave tells whether a member may end; see HoldOf.
+func MayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == Free }
+
+// HoldOf says why a member that was told to end has to go on. It is Free once it votes no more, or once without it a
+// majority of all voters lives, stays and holds all that is committed, and nobody is about to take its place.
+func HoldOf(s Situation, id consensus.MemberID) Hold {
+	switch {
+	case s.Status.MembershipPending:
+		return HoldChange
+	case !s.votes(id):
+		return Free
+	case len(s.Status.Membership.Voters) > s.Target || s.replacing():
+		return HoldPlace
 	}
 	s.Settled = s.Status.Commit
-	return len(s.Status.Membership.Voters) <= s.Target && !s.replacing() && s.bears(id)
+	s.answered = staysLimit
+	if s.DropFirst || s.soundBut(id) > len(s.Status.Membership.Voters)/2 {
+		return Free
+	}
+	return HoldMajority
 }
 
 // votes tells whether a member is a voter.
@@ -140,20 +155,18 @@
 
 // bears tells whether without a member a majority of the voters that are left lives, stays and holds what is committed.
 func (s Situation) bears(without consensus.MemberID) bool {
-	if s.DropFirst {
-		return true
-	}
-	left, sound := 0, 0
+	return s.DropFirst || s.soundBut(without) > (len(s.Status.Membership.Voters)-1)/2
+}
+
+// soundBut is how many voters but one live, stay and hold what is committed.
+func (s Situation) soundBut(id consensus.MemberID) int {
+	sound := 0
 	for _, voter := range s.Status.Membership.Voters {
-		if voter.ID == without {
-			continue
-		}
-		left++
-		if voter.ID == s.Status.Self || s.ready(voter.ID) {
+		if voter.ID != id && (voter.ID == s.Status.Self || s.ready(voter.ID)) {
 			sound++
 		}
 	}
-	return sound > left/2
+	return sound
 }
 
 // staying is how many voters are not about to end. One that is silent may come back.
@@ -207,7 +220,7 @@
 func (s Situation) lives(id consensus.MemberID) bool {
 	for _, member := range s.Status.Members {
 		if member.Member.ID == id {
-			return member.Contacted && s.Now-member.LastContact <= answerLimit
+			return member.Contacted && s.Now-member.LastContact <= cmp.Or(s.answered, answerLimit)
 		}
 	}
 	return false
--- a/internal/fleettest/repair_test.go
+++ b/internal/fleettest/repair_test.go
@@ -255,3 +255,63 @@
 		c.Assert(f.Now()-began <= catchUp, qt.IsTrue, qt.Commentf("%v", f.Now()-began))
 	})
 }
+
+func TestOfTwoMembersThatEndAtOnceTheSecondSaysWhyItWaits(t *testing.T) {
+	Run(t, Plan{Edges: -1}, func(c *qt.C, f *Fleet) {
+		// Given three members, when two are told to end at the same moment,
+		f.Operator.Acknowledge(0, Document(1))
+		time.Sleep(catchUp)
+		others := f.Others(f.Leader(settingsPartition))
+		ended := make(chan *Control, len(others))
+		for _, one := range others {
+			go func() {
+				one.Stop()
+				ended <- one
+			}()
+		}
+		// then one ends, and the other says that without it no majority would be left.
+		first := <-ended
+		held := others[0]
+		if held == first {
+			held = others[1]
+		}
+		f.Until(time.Second, "a reason", func() bool {
+			report := held.Report()
+			return report != nil && len(report.Ending) > 0 && strings.Contains(report.Ending[0].For, "no majority would be left")
+		})
+		first.Start(false)
+		c.Assert(<-ended, qt.Equals, held)
+	})
+}
+
+func TestTwoOfFiveMembersThatEndAtOnceAreBothLetGo(t *testing.T) {
+	Run(t, Plan{Controls: 5, Edges: -1}, func(c *qt.C, f *Fleet) {
+		// Given five members, when two are told to end at the same moment, the leader among them,
+		f.Operator.Acknowledge(0, Document(1))
+		time.Sleep(catchUp)
+		leader := f.Leader(settingsPartition)
+		began := f.Now()
+		ended := make(chan struct{}, 2)
+		for _, one := range []*Control{leader, f.Others(leader)[0]} {
+			go func() {
+				one.Stop()
+				ended <- struct{}{}
+			}()
+		}
+		// then both end well before their grace does, and orders go on.
+		<-ended
+		<-ended
+		c.Assert(f.Now()-began < 4*time.Second, qt.IsTrue, qt.Commentf("%v", f.Now()-began))
+		f.Controls = f.Others(leader)
+		f.Operator.Acknowledge(1, Document(2))
+	})
+}
+
+func TestMemberThatIsAloneEndsAtOnce(t *testing.T) {
+	Run(t, Plan{Controls: 1, Edges: -1}, func(c *qt.C, f *Fleet) {
+		f.Operator.Acknowledge(0, Document(1))
+		began := f.Now()
+		f.Controls[0].Stop()
+		c.Assert(f.Now()-began < 2*time.Second, qt.IsTrue, qt.Commentf("%v", f.Now()-began))
+	})
+}
--- /dev/null
+++ b/internal/mesh/message/link.go
@@ -0,0 +1,55 @@
+package message
+
+// Link is how an edge router stands to the control plane.
+type Link uint8
+
+// The links.
+const (
+	// LinkSeeking: no control member has told of a configuration since this router started.
+	LinkSeeking Link = iota
+	// LinkUnconfirmed: the configuration is what a control member or another router told, no majority stands behind it.
+	LinkUnconfirmed
+	// LinkDisks: a majority of the voters has told what its disks know; no leader has confirmed it yet.
+	LinkDisks
+	// LinkLost: the configuration was confirmed in this router's life, but no control member that hears of its leader has
+	// answered for a while: changes since then are not known here.
+	LinkLost
+	// LinkConfirmed: a control member that hears of its leader has confirmed the configuration and answered lately.
+	LinkConfirmed
+)
+
+// String names the link.
+func (l Link) String() string {
+	switch l {
+	case LinkSeeking:
+		return "seeking"
+	case LinkUnconfirmed:
+		return "unconfirmed"
+	case LinkDisks:
+		return "known to a majority of the disks"
+	case LinkLost:
+		return "out of contact"
+	case LinkConfirmed:
+		return "confirmed"
+	}
+	return "unknown"
+}
+
+// Advice says what the link means for the router's clients and what an operator can do; "" where nothing is to be done.
+func (l Link) Advice() string {
+	switch l {
+	case LinkSeeking:
+		return "no control member has told of a configuration: requests are answered 503; if none of the starters in the boot file " +
+			"lives any more, write the addresses of others there and send SIGHUP to the agent"
+	case LinkUnconfirmed:
+		return "no majority of the control members stands behind the configuration: this router serves by it, and it may be old; " +
+			"look at its links, at the starters in its boot file, and at how many control members run"
+	case LinkDisks:
+		return "no leader is known yet: an order that was acknowledged in the last moment before a loss of all power may not be in force; " +
+			"if this lasts for more than a few seconds, count the control members that run and reach each other"
+	case LinkLost:
+		return "changes of the configuration and of workers since the last contact are not known here: look at this machine's links " +
+			"and at the leaders of the partitions"
+	}
+	return ""
+}
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -96,6 +96,7 @@
 	Routers  []string        `cbor:"6,keyasint,omitempty"` // IP addresses of the edge routers that are alive, this one included
 	Same     bool            `cbor:"7,keyasint,omitempty"` // nothing has changed
 	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"` // workers that are about to change their phase
+	Link     Link            `cbor:"9,keyasint,omitempty"` // of the agent to the control plane, also where nothing else has changed
 }
 
 // CallWatch is served by agents on the loopback address.
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"net/http"
+	"sync/atomic"
 	"time"
 
 	"sumacloft/internal/core"
@@ -33,8 +34,9 @@
 
 // Calls makes calls over one pool of connections. Safe for concurrent use.
 type Calls struct {
-	Faults Faults
-	pool   *upstream.Pool
+	Faults    Faults
+	pool      *upstream.Pool
+	withoutID atomic.Uint64 // answers that lacked the request's id
 }
 
 // Faults are deliberate violations, for the tests of the tests. All are off outside tests.
@@ -46,6 +48,9 @@
 // New makes calls over the pool's connections.
 func New(pool *upstream.Pool) *Calls { return &Calls{pool: pool} }
 
+// WithoutID is how many answers lacked the request's id. The connection of each carried nothing more.
+func (c *Calls) WithoutID() uint64 { return c.withoutID.Load() }
+
 // Probe asks a worker for its report, as a sign of life; it serves core.Prober.
 func (c *Calls) Probe(ctx context.Context, worker core.Worker) error {
 	answer, err := c.bare(ctx, worker, http.MethodGet, "/v1/report")
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -344,6 +344,9 @@
 	if id == j.request.ID && id != "" || j.calls.Faults.AnyAnswer {
 		return nil
 	}
+	if id == "" {
+		j.calls.withoutID.Add(1)
+	}
 	if id == "" && answer.Fresh() {
 		answer.Last()
 		return nil
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -59,6 +59,7 @@
 	configuredFor int
 	orders        orders
 	ready         atomic.Bool
+	link          atomic.Uint32 // message.Link, as the agent told it last
 }
 
 // New makes a feed from the agent at the loopback address to the front.
@@ -70,6 +71,9 @@
 // Ready tells whether a configuration is in force.
 func (f *Feed) Ready() bool { return f.ready.Load() }
 
+// Link is how this router stands to the control plane, as its agent told it last.
+func (f *Feed) Link() message.Link { return message.Link(f.link.Load()) }
+
 // Run follows the agent until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -101,6 +105,7 @@
 	if err != nil {
 		return err
 	}
+	f.link.Store(uint32(snapshot.Link))
 	if snapshot.Same {
 		return nil
 	}
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -151,13 +151,6 @@
 // unbounded leaves a listener as it is.
 func unbounded(l net.Listener) net.Listener { return l }
 
-// answerReady tells the platform whether this proxy takes new connections.
-func (p *Proxy) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if !p.ready.Load() || !p.feed.Ready() {
-		w.WriteHeader(http.StatusServiceUnavailable)
-	}
-}
-
 // end serves on until the platform has noticed that this proxy is not ready, then finishes what is open.
 func (p *Proxy) end(server *http.Server) {
 	began := time.Now()
--- a/internal/proxy/run/status.go
+++ b/internal/proxy/run/status.go
@@ -23,6 +23,9 @@
 		Zone: p.settings.Zone,
 		UpMS: time.Since(p.began).Milliseconds(),
 	}
+	link := p.feed.Link()
+	report.Link = &status.Link{State: link.String(), Advice: link.Advice()}
+	report.Connections = &status.Connections{Opened: p.pool.Dialed(), WithoutID: p.front.Calls.WithoutID()}
 	decided := p.feed.Decisions()
 	for _, service := range slices.Sorted(maps.Keys(decided)) {
 		for _, one := range decided[service] {
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -22,10 +22,45 @@
 	Controls      []Peer        `cbor:"6,keyasint,omitempty" json:"controls"`
 	Routers       []Peer        `cbor:"7,keyasint,omitempty" json:"routers"`
 	Workers       []Workers     `cbor:"8,keyasint,omitempty" json:"workers"`
-	Partitions    []Partition   `cbor:"9,keyasint,omitempty" json:"partitions,omitempty"` // of control members
-	Disk          *Disk         `cbor:"10,keyasint,omitempty" json:"disk,omitempty"`      // of control members
-	Balances      []Balance     `cbor:"11,keyasint,omitempty" json:"balances,omitempty"`  // of the member that looks after phases
-	Decisions     []Decision    `cbor:"12,keyasint,omitempty" json:"decisions,omitempty"` // of proxies
+	Partitions    []Partition   `cbor:"9,keyasint,omitempty" json:"partitions,omitempty"`   // of control members
+	Disk          *Disk         `cbor:"10,keyasint,omitempty" json:"disk,omitempty"`        // of control members
+	Balances      []Balance     `cbor:"11,keyasint,omitempty" json:"balances,omitempty"`    // of the member that looks after phases
+	Decisions     []Decision    `cbor:"12,keyasint,omitempty" json:"decisions,omitempty"`   // of proxies
+	Ending        []Wait        `cbor:"13,keyasint,omitempty" json:"ending,omitempty"`      // of control members that were told to end
+	Orders        *OrderMemory  `cbor:"14,keyasint,omitempty" json:"orders,omitempty"`      // of control members
+	Link          *Link         `cbor:"15,keyasint,omitempty" json:"link,omitempty"`        // of agents and proxies
+	Connections   *Connections  `cbor:"16,keyasint,omitempty" json:"connections,omitempty"` // of proxies
+}
+
+// Wait is what a control member that was told to end still waits for.
+type Wait struct {
+	Partition string `cbor:"1,keyasint" json:"partition"` // its name
+	For       string `cbor:"2,keyasint" json:"for"`
+}
+
+// OrderMemory is how much is remembered of the operator's orders. Of an order beyond it nothing is said: it is answered 503.
+type OrderMemory struct {
+	Taken       int    `cbor:"1,keyasint" json:"taken"`        // acknowledged again if they are sent again
+	MostTaken   int    `cbor:"2,keyasint" json:"most_taken"`   // bound of Taken
+	Forgotten   uint64 `cbor:"3,keyasint" json:"forgotten"`    // highest version of taken orders that are not remembered; 0: none
+	Refused     int    `cbor:"4,keyasint" json:"refused"`      // refused before the version that they build on came
+	MostRefused int    `cbor:"5,keyasint" json:"most_refused"` // bound of Refused
+}
+
+// Link is how an edge router stands to the control plane.
+type Link struct {
+	State       string `cbor:"1,keyasint" json:"state"`
+	Advice      string `cbor:"2,keyasint,omitempty" json:"advice,omitempty"`
+	DisksHeard  int    `cbor:"3,keyasint,omitempty" json:"disks_heard"`  // voters that told what their disks know, since the start
+	DisksWanted int    `cbor:"4,keyasint,omitempty" json:"disks_wanted"` // a majority of them
+}
+
+// Connections counts a proxy's connections to workers since it began.
+type Connections struct {
+	Opened uint64 `cbor:"1,keyasint" json:"opened"`
+	// WithoutID counts answers without the request's id: each costs its connection, as nothing would tell a second answer there
+	// from the answer to the next request.
+	WithoutID uint64 `cbor:"2,keyasint" json:"without_id"`
 }
 
 // Decision counts what a proxy decided for one reason since it began.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -80,6 +80,9 @@
 // after the one before it, and must be seen before the next request is written.
 const settleTime = 15 * time.Millisecond
 
+// Dialed is how many connections the pool has opened.
+func (p *Pool) Dialed() uint64 { return p.dialed.Load() }
+
 // get takes an idle connection that is fit for use, or dials. Where the address's share is in use it waits for a short time.
 func (p *Pool) get(ctx context.Context, addr string, attempt bool, avoid func(uint64) bool) (*conn, error) {
 	if c := p.reuse(addr, avoid); c != nil {
