--- a/cmd/fleetd/headlines.go
+++ b/cmd/fleetd/headlines.go
@@ -52,3 +52,19 @@
 	return fmt.Sprintf("connections to workers: %d opened; %d answers without the request's id, each of which cost its connection\n",
 		connections.Opened, connections.WithoutID)
 }
+
+// trafficText is where a process' bytes went.
+func trafficText(totals []status.Traffic) string {
+	if len(totals) == 0 {
+		return ""
+	}
+	t := newTable("KIND", "ZONE", "MESSAGES", "SENT BYTES", "RECEIVED BYTES")
+	for _, total := range totals {
+		zone := "other"
+		if total.Near {
+			zone = "own"
+		}
+		t.row(total.Kind, zone, decimal(total.Messages), decimal(total.Sent), decimal(total.Received))
+	}
+	return "\n" + t.String()
+}
--- a/cmd/fleetd/table.go
+++ b/cmd/fleetd/table.go
@@ -49,7 +49,7 @@
 		parts = append(parts, balancesText(report.Balances))
 	}
 	parts = append(parts, controlsText(report.Controls), routersText(report.Routers), workersText(report.Workers))
-	return strings.Join(parts, "\n")
+	return strings.Join(parts, "\n") + trafficText(report.Traffic)
 }
 
 // titleText says which process reports.
@@ -180,7 +180,7 @@
 	for _, decision := range report.Decisions {
 		t.row(decision.Service, decision.Kind, decimal(decision.Count), decision.Why)
 	}
-	return titleText(report, "proxy") + linkText(report.Link) + connectionsText(report.Connections) + "\n" + t.String()
+	return titleText(report, "proxy") + linkText(report.Link) + connectionsText(report.Connections) + "\n" + t.String() + trafficText(report.Traffic)
 }
 
 // balancesText is what the balances of phases saw last, and what they want.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -74,7 +74,7 @@
 		Client:   a.client,
 		Log:      log,
 	})
-	a.feed = newFeed(a.members.Node(), a.confirmation.open, a.link)
+	a.feed = newFeed(a.members.Node(), settings.Zone, a.confirmation.open, a.link)
 	return a
 }
 
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -4,6 +4,7 @@
 	"context"
 	"math/rand/v2"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -26,6 +27,7 @@
 // feed answers the proxy's questions for the state of the fleet.
 type feed struct {
 	node *node.Node
+	zone string          // of this machine
 	life uint64          // tells this agent's revisions from those of an earlier life
 	open <-chan struct{} // closed once the configuration is told
 	link func() message.Link
@@ -36,8 +38,8 @@
 	next    time.Time // the next answer is given then at the earliest
 }
 
-func newFeed(of *node.Node, open <-chan struct{}, link func() message.Link) *feed {
-	return &feed{node: of, life: rand.Uint64() | 1, open: open, link: link, last: time.Now()}
+func newFeed(of *node.Node, zone string, open <-chan struct{}, link func() message.Link) *feed {
+	return &feed{node: of, zone: zone, life: rand.Uint64() | 1, open: open, link: link, last: time.Now()}
 }
 
 // watch answers once the state differs from what the proxy knows, or after watchLimit.
@@ -105,12 +107,14 @@
 
 // answer is the state as the proxy needs it.
 func (f *feed) answer(snapshot replica.Snapshot, question *message.Watch) (*message.Snapshot, error) {
+	peers := topic.Peers(snapshot.Prefix(topic.Routers))
 	answer := &message.Snapshot{
 		Revision: snapshot.Revision(),
 		Life:     f.life,
 		Workers:  snapshot.Prefix(topic.Workers),
 		Orders:   snapshot.Prefix(topic.Orders),
-		Routers:  hosts(topic.Peers(snapshot.Prefix(topic.Routers))),
+		Routers:  hosts(peers),
+		Near:     hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone })),
 		Link:     f.link(),
 	}
 	entry, _ := f.settings(snapshot)
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -30,5 +30,6 @@
 	report.Link = &status.Link{State: link.String(), Advice: link.Advice(), DisksHeard: voters, DisksWanted: a.confirmation.majority}
 	snapshot, _ := a.members.Node().Snapshot()
 	status.Gather(report, snapshot)
+	report.Traffic = status.TrafficOf(a.client.Meter(), status.NearHosts(snapshot, a.settings.Zone))
 	return report, nil
 }
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -42,6 +42,7 @@
 	}
 	snapshot, _ := m.members.Node().Snapshot()
 	status.Gather(report, snapshot)
+	report.Traffic = status.TrafficOf(m.client.Meter(), status.NearHosts(snapshot, m.settings.Zone))
 	for _, group := range state.Groups {
 		report.Partitions = append(report.Partitions, partitionOf(group, state.Now))
 	}
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -93,10 +93,11 @@
 	Settings uint64          `cbor:"3,keyasint,omitempty"` // index of the newest configuration; 0: none is known
 	Document []byte          `cbor:"4,keyasint,omitempty"` // of that configuration; empty if the proxy knows it
 	Workers  []replica.Entry `cbor:"5,keyasint,omitempty"`
-	Routers  []string        `cbor:"6,keyasint,omitempty"` // IP addresses of the edge routers that are alive, this one included
-	Same     bool            `cbor:"7,keyasint,omitempty"` // nothing has changed
-	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"` // workers that are about to change their phase
-	Link     Link            `cbor:"9,keyasint,omitempty"` // of the agent to the control plane, also where nothing else has changed
+	Routers  []string        `cbor:"6,keyasint,omitempty"`  // IP addresses of the edge routers that are alive, this one included
+	Same     bool            `cbor:"7,keyasint,omitempty"`  // nothing has changed
+	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"`  // workers that are about to change their phase
+	Link     Link            `cbor:"9,keyasint,omitempty"`  // of the agent to the control plane, also where nothing else has changed
+	Near     []string        `cbor:"10,keyasint,omitempty"` // those of Routers that are in the own zone
 }
 
 // CallWatch is served by agents on the loopback address.
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -13,6 +14,7 @@
 	"github.com/zeebo/errs"
 
 	"sumacloft/internal/mesh/network"
+	"sumacloft/internal/mesh/traffic"
 )
 
 // Error is the class of failures of calls between the system's processes. The peer may be down or cut off; callers
@@ -32,7 +34,8 @@
 
 // Client makes calls. It keeps connections for later calls. Safe for concurrent use.
 type Client struct {
-	http *http.Client
+	http  *http.Client
+	meter *traffic.Meter
 }
 
 // NewClient makes a client that dials over the network.
@@ -46,14 +49,49 @@
 		MaxIdleConnsPerHost: 2,
 		IdleConnTimeout:     idleLimit,
 	}
-	return &Client{http: &http.Client{Transport: shortHeads{transport}}}
+	meter := &traffic.Meter{}
+	return &Client{http: &http.Client{Transport: shortHeads{transport, meter}}, meter: meter}
 }
 
-// shortHeads leaves out of calls what no server here reads: heads are most of what a small call carries.
-type shortHeads struct{ http.RoundTripper }
+// Meter counts the client's calls by their paths.
+func (c *Client) Meter() *traffic.Meter { return c.meter }
+
+// headBytes is what the heads of a call and of its answer take, each.
+const headBytes = 93
+
+// shortHeads leaves out of calls what no server here reads: heads are most of what a small call carries. It counts the calls.
+type shortHeads struct {
+	http.RoundTripper
+	meter *traffic.Meter
+}
 
 // RoundTrip serves http.RoundTripper.
 func (s shortHeads) RoundTrip(call *http.Request) (*http.Response, error) {
+	kind := traffic.Kind(call.URL.Path)
+	s.meter.Add(kind, call.URL.Host, headBytes+int(max(call.ContentLength, 0)), headBytes)
+	answer, err := s.roundTrip(call)
+	if err == nil {
+		answer.Body = &countedBody{ReadCloser: answer.Body, count: func(n int) { s.meter.AddReceived(kind, call.URL.Host, n) }}
+	}
+	return answer, err
+}
+
+// countedBody counts what is read of a body.
+type countedBody struct {
+	io.ReadCloser
+	count func(n int)
+}
+
+// Read serves io.Reader.
+func (b *countedBody) Read(into []byte) (int, error) {
+	n, err := b.ReadCloser.Read(into)
+	if n > 0 {
+		b.count(n)
+	}
+	return n, err
+}
+
+func (s shortHeads) roundTrip(call *http.Request) (*http.Response, error) {
 	short := call.Clone(call.Context())
 	short.Header["User-Agent"] = nil // one that is missing would be filled in
 	short.Header.Del("Accept-Encoding")
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -12,6 +12,7 @@
 
 	"sumacloft/brain"
 	"sumacloft/internal/core"
+	"sumacloft/internal/mesh/traffic"
 	"sumacloft/internal/upstream"
 )
 
@@ -131,7 +132,7 @@
 // askToRead makes one call to have the prompt read.
 func (j *Job) askToRead(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	own := []string{headerStage, RoleReading, headerMeantServer, worker.Name}
-	answer, err := j.call(ctx, worker, clear, own, func() { j.reads++ })
+	answer, err := j.call(ctx, worker, traffic.Read, clear, own, func() { j.reads++ })
 	first := j.again(func() bool { return j.reads == 1 && j.sent == 0 })
 	if err != nil {
 		return core.Reply{}, err
@@ -192,7 +193,7 @@
 	if held != nil {
 		own = append(own, headerKvFrom, held.reader.Addr+"/"+held.id)
 	}
-	answer, err := j.call(ctx, worker, clear, own, func() {
+	answer, err := j.call(ctx, worker, traffic.Run, clear, own, func() {
 		j.sent++
 		j.maybe++
 	})
@@ -207,7 +208,7 @@
 
 // call writes the request to a worker with headers of our own, names and values in turn, unless it is called off or closed
 // by then. It is counted under the lock just before it is written.
-func (j *Job) call(ctx context.Context, worker core.Worker, clear func() error, own []string, count func()) (*upstream.Answer, error) {
+func (j *Job) call(ctx context.Context, worker core.Worker, kind traffic.Kind, clear func() error, own []string, count func()) (*upstream.Answer, error) {
 	written := func() ([]byte, error) {
 		if err := clear(); err != nil {
 			return nil, err
@@ -221,7 +222,7 @@
 		j.paid = false
 		return j.request.encode(deadlineOf(ctx, j.request), own...), nil
 	}
-	answer, err := j.calls.pool.DoAtWrite(ctx, worker.Addr, j.request.Method, j.used, written)
+	answer, err := j.calls.pool.DoAtWrite(ctx, worker.Addr, j.request.Method, kind, j.used, written)
 	if err == nil {
 		j.use(answer.Connection())
 	}
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"net"
 	"slices"
 	"sort"
 	"sync"
@@ -60,6 +61,7 @@
 	orders        orders
 	ready         atomic.Bool
 	link          atomic.Uint32 // message.Link, as the agent told it last
+	near          atomic.Pointer[map[string]bool]
 }
 
 // New makes a feed from the agent at the loopback address to the front.
@@ -74,6 +76,29 @@
 // Link is how this router stands to the control plane, as its agent told it last.
 func (f *Feed) Link() message.Link { return message.Link(f.link.Load()) }
 
+// Near tells whether a host is a worker's or a router's of the own zone.
+func (f *Feed) Near(host string) bool {
+	near := f.near.Load()
+	return near != nil && (*near)[host]
+}
+
+// noteNear keeps which hosts are of the own zone.
+func (f *Feed) noteNear(routers []string) {
+	near := make(map[string]bool, len(routers))
+	for _, host := range routers {
+		near[host] = true
+	}
+	view := f.workers.View()
+	for name := range f.lanes {
+		for _, worker := range view.Workers(name) {
+			if host, _, err := net.SplitHostPort(worker.Address); err == nil && worker.Zone == f.around.Zone {
+				near[host] = true
+			}
+		}
+	}
+	f.near.Store(&near)
+}
+
 // Run follows the agent until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -142,6 +167,7 @@
 		f.configure()
 	}
 	f.list(snapshot.Workers, f.orders.take(snapshot.Orders, time.Now()))
+	f.noteNear(snapshot.Near)
 	f.use()
 	return nil
 }
--- a/internal/proxy/hints/hints.go
+++ b/internal/proxy/hints/hints.go
@@ -17,6 +17,7 @@
 
 	"sumacloft/internal/mesh/network"
 	"sumacloft/internal/mesh/ring"
+	"sumacloft/internal/mesh/traffic"
 	"sumacloft/internal/periodic"
 )
 
@@ -72,8 +73,12 @@
 	heard map[string]heard
 	known map[uint64]bool // engines that were reported with work and not yet without
 	count uint64
+	meter traffic.Meter
 }
 
+// Meter counts the hints that were sent.
+func (h *Hints) Meter() *traffic.Meter { return &h.meter }
+
 // New listens on a port of the machine's address.
 func New(over network.Network, ip string, port int, load Load, log zerolog.Logger) (*Hints, error) {
 	conn, err := over.ListenPacket(net.JoinHostPort(ip, strconv.Itoa(port)))
@@ -128,6 +133,7 @@
 		panic(err) // plain fields can always be encoded
 	}
 	for _, target := range targets {
+		h.meter.Add(traffic.Hint, target, len(datagram), 0)
 		_, _ = h.conn.WriteTo(datagram, &net.UDPAddr{IP: net.ParseIP(target), Port: h.port}) // the next one makes up for it
 	}
 }
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -19,6 +19,7 @@
 	"sumacloft/internal/boot"
 	"sumacloft/internal/mesh/membership"
 	"sumacloft/internal/mesh/network"
+	"sumacloft/internal/mesh/traffic"
 	"sumacloft/internal/periodic"
 	"sumacloft/internal/proxy/bounds"
 	"sumacloft/internal/proxy/budget"
@@ -60,6 +61,8 @@
 	front    *front.Front
 	feed     *feed.Feed
 	pool     *upstream.Pool
+	meter    *traffic.Meter // of exchanges with workers
+	hints    *hints.Hints
 	ready    atomic.Bool
 	began    time.Time
 }
@@ -78,9 +81,11 @@
 // New makes a proxy on a machine's network. The output of the parts that log by logrus goes to the same ring.
 func New(settings *boot.Settings, over network.Network, logger zerolog.Logger, ring io.Writer) *Proxy {
 	sockets := max(settings.Limits.OpenFiles-reservedDescriptors, 64) / 2
-	pool := upstream.NewPoolOn(WorkerTerms(over), upstream.NewBudget(sockets), dialLimit, idleLimit)
+	terms := WorkerTerms(over)
+	terms.Meter = &traffic.Meter{}
+	pool := upstream.NewPoolOn(terms, upstream.NewBudget(sockets), dialLimit, idleLimit)
 	worker := calls.New(pool)
-	p := &Proxy{settings: settings, network: over, log: logger, pool: pool, began: time.Now()}
+	p := &Proxy{settings: settings, network: over, log: logger, pool: pool, meter: terms.Meter, began: time.Now()}
 	p.front = &front.Front{Calls: worker, Bounds: bounds.New(), NoPickUp: settings.Trial.Has(trial.PickUp)}
 	lines := logrus.New()
 	lines.SetOutput(ring)
@@ -124,6 +129,7 @@
 	if err != nil {
 		return err
 	}
+	p.hints = exchange
 	p.feed.OnRouters = exchange.Peers
 	if !p.settings.Trial.Has(trial.Hints) {
 		go exchange.Run(following)
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -30,6 +30,17 @@
 	Orders        *OrderMemory  `cbor:"14,keyasint,omitempty" json:"orders,omitempty"`      // of control members
 	Link          *Link         `cbor:"15,keyasint,omitempty" json:"link,omitempty"`        // of agents and proxies
 	Connections   *Connections  `cbor:"16,keyasint,omitempty" json:"connections,omitempty"` // of proxies
+	Traffic       []Traffic     `cbor:"17,keyasint,omitempty" json:"traffic,omitempty"`
+}
+
+// Traffic counts the messages of one kind that this process sent since it began, with their answers, to its own zone or to
+// others. Bytes are without those of TCP, UDP and IP.
+type Traffic struct {
+	Kind     string `cbor:"1,keyasint" json:"kind"` // path of a call, or a kind of package traffic
+	Near     bool   `cbor:"2,keyasint,omitempty" json:"own_zone"`
+	Messages uint64 `cbor:"3,keyasint" json:"messages"`
+	Sent     uint64 `cbor:"4,keyasint" json:"sent_bytes"`
+	Received uint64 `cbor:"5,keyasint" json:"received_bytes"`
 }
 
 // Wait is what a control member that was told to end still waits for.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"sumacloft/internal/core"
+	"sumacloft/internal/mesh/traffic"
 )
 
 const (
@@ -41,7 +42,7 @@
 // once a connection is there and before anything is written; calls without it may use the spare sockets. Errors are *core.AttemptError; ctx's cause is
 // among what they wrap when that ended the exchange.
 func (p *Pool) Do(ctx context.Context, addr, method string, request []byte, clear func() error) (*Answer, error) {
-	return p.exchange(ctx, addr, method, clear != nil, nil, func() ([]byte, error) {
+	return p.exchange(ctx, addr, method, traffic.Service, clear != nil, nil, func() ([]byte, error) {
 		if clear == nil {
 			return request, nil
 		}
@@ -50,13 +51,13 @@
 }
 
 // DoAtWrite is Do for an attempt whose request tells what is true as it is written: its bytes are asked for once a
-// connection is there. An error instead of them ends the exchange before anything is written. Connections that avoid, if
+// connection is there, and its bytes count under the kind. An error instead of them ends the exchange before anything is written. Connections that avoid, if
 // not nil, tells of by their numbers are not used: a late surplus answer to an exchange of the same request may come there.
-func (p *Pool) DoAtWrite(ctx context.Context, addr, method string, avoid func(connection uint64) bool, request func() ([]byte, error)) (*Answer, error) {
-	return p.exchange(ctx, addr, method, true, avoid, request)
+func (p *Pool) DoAtWrite(ctx context.Context, addr, method string, kind traffic.Kind, avoid func(connection uint64) bool, request func() ([]byte, error)) (*Answer, error) {
+	return p.exchange(ctx, addr, method, kind, true, avoid, request)
 }
 
-func (p *Pool) exchange(ctx context.Context, addr, method string, attempt bool, avoid func(uint64) bool, bytes func() ([]byte, error)) (*Answer, error) {
+func (p *Pool) exchange(ctx context.Context, addr, method string, kind traffic.Kind, attempt bool, avoid func(uint64) bool, bytes func() ([]byte, error)) (*Answer, error) {
 	fail := func(stage core.Stage, err error) (*Answer, error) {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
@@ -74,6 +75,8 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	began := time.Now()
+	c.kind = kind
+	c.meter.Add(kind, addr, len(request), 0)
 	if n, err := c.Write(request); err != nil {
 		if resp, early := c.head(method); early == nil {
 			resp.Close = true // the rest of the request can't follow
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,6 +13,7 @@
 
 	"sumacloft/internal/core"
 	"sumacloft/internal/mesh/network"
+	"sumacloft/internal/mesh/traffic"
 )
 
 // Pool keeps the connections to workers that wait for their next request.
@@ -43,6 +44,8 @@
 	EventFields []string
 	// Network is what workers are reached over; nil: the operating system's.
 	Network network.Network
+	// Meter counts the exchanges; nil: nothing does.
+	Meter *traffic.Meter
 }
 
 // conn is one connection; it carries one exchange at a time.
@@ -54,6 +57,8 @@
 	since  time.Time     // idle
 	limit  time.Duration // of idleness, as the worker announced it; 0: it did not
 	back   func()
+	meter  *traffic.Meter
+	kind   traffic.Kind // of the exchange under way
 }
 
 // idleShare of the time after which the far side may close an idle connection is how long one is kept: what is
@@ -130,7 +135,18 @@
 		p.budget.give()
 		p.shares.leave(addr)
 	}
-	return &conn{Conn: raw, number: p.dialed.Add(1), addr: addr, br: bufio.NewReaderSize(raw, 8<<10), back: sync.OnceFunc(back)}, nil
+	c := &conn{Conn: raw, number: p.dialed.Add(1), addr: addr, meter: p.terms.Meter, back: sync.OnceFunc(back)}
+	c.br = bufio.NewReaderSize(c, 8<<10)
+	return c, nil
+}
+
+// Read serves net.Conn; what is read counts for the exchange that is under way.
+func (c *conn) Read(into []byte) (int, error) {
+	n, err := c.Conn.Read(into)
+	if n > 0 && c.meter != nil {
+		c.meter.AddReceived(c.kind, c.addr, n)
+	}
+	return n, err
 }
 
 // limitOf is how long a connection may be idle and still be used.
