--- a/brain/api.go
+++ b/brain/api.go
@@ -163,6 +163,21 @@
 	return 0
 }
 
+// Candidates are the engines that a request's prompt would first be considered for, most of them at most; none where its
+// writer is to read it.
+func (s *Scheduler) Candidates(ev Arrived, most int) []EngineID {
+	if ev.PromptTokens < s.set.WholeTokens {
+		return nil
+	}
+	var ids []EngineID
+	for _, e := range s.readersInOrder(&request{Arrived: ev, class: &Class{}}) {
+		if len(ids) < most && e.role == Reader {
+			ids = append(ids, e.ID)
+		}
+	}
+	return ids
+}
+
 // Waiting is how many prompt tokens of attempts that are out at an engine are thought to be unread.
 func (s *Scheduler) Waiting(id EngineID) (tokens float64) {
 	if e := s.engines[id]; e != nil {
--- a/brain/writers.go
+++ b/brain/writers.go
@@ -22,7 +22,9 @@
 		from := cmp.Or(r.state, e) // a prompt that the writer reads itself comes from nowhere
 		return 3*one(e == r.avoid) + one(e.Cell != from.Cell) + one(e.Zone != from.Zone)
 	}
-	draw := func(e *engine) float64 { return unit(s.seed^uint64(r.Request), uint64(e.ID)) }
+	// a beginning that a writer reads itself is kept there: it has one home, the same for all routers
+	key := cmp.Or(r.Prefix*uint64(one(r.state == nil)), s.seed^uint64(r.Request))
+	draw := func(e *engine) float64 { return unit(key, uint64(e.ID)) }
 	slices.SortStableFunc(list, func(a, b *engine) int {
 		return cmp.Or(away(a)-away(b), cmp.Compare(draw(a), draw(b)))
 	})
@@ -38,9 +40,7 @@
 			longer := max((s.now-e.out[0].sentAt).Seconds()-s.startWait(Writer, e.out[0].way(e)), 0)
 			rank += min(waitCost*longer/r.aim().Seconds(), 1)
 		}
-		if e == r.avoid || s.mute(e, r) {
-			rank++
-		}
+		rank += float64(one(e == r.avoid || s.mute(e, r)))
 		if rank < bestRank {
 			best, bestRank = e, rank
 		}
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -19,6 +19,13 @@
 	return waiting
 }
 
+// Candidates are the engines that a job's prompt would first be considered for, most of them at most.
+func (c *Core) Candidates(job Job, most int) []brain.EngineID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sched.Candidates(job.Arrival(0), most)
+}
+
 // Reported tells the module what prompt tokens wait at engines for all routers together.
 func (c *Core) Reported(waiting map[brain.EngineID]float64) {
 	c.mu.Lock()
--- a/internal/mesh/membership/spread.go
+++ b/internal/mesh/membership/spread.go
@@ -61,24 +61,61 @@
 	m.spread(news, waiting.sources)
 }
 
-// spread pushes news to a few edge routers, and a control member's own news to all other control members as well. A router
-// from which all of it came is left out.
+const (
+	// awayFanOut is to how many routers of each other zone a router passes its own news on: one of them may be gone.
+	awayFanOut = 2
+	// awayRelay is the same for news that a control member heard of: who told it may not reach all zones.
+	awayRelay = 1
+)
+
+// spread pushes news to a few edge routers of the own zone; this router's own news also to a few of each other zone, and a
+// control member's to all other control members. So news crosses between zones a few times, not with each router that
+// hears of it. A router from which all of it came is left out.
 func (m *Membership) spread(news []replica.Entry, sources map[string]struct{}) {
 	snapshot, _ := m.node.Snapshot()
-	names, addresses := index(topic.Peers(snapshot.Prefix(topic.Routers)))
-	seed := fnv.New64a()
-	_, _ = fmt.Fprintf(seed, "%s/%d", m.config.Self.Node, snapshot.Revision()) // never fails
+	zones, addresses := byZone(topic.Peers(snapshot.Prefix(topic.Routers)))
 	var but map[string]struct{}
 	if len(sources) == 1 {
 		but = sources
 	}
-	for _, name := range ring.Spread(seed.Sum64(), m.config.Self.Node, names, m.config.FanOut, but) {
-		go m.push(addresses[name], news)
+	_, own := sources[""]
+	for zone, names := range zones {
+		count := m.config.FanOut
+		if zone != m.config.Self.Zone {
+			count = m.awayCount(own)
+		}
+		seed := fnv.New64a()
+		_, _ = fmt.Fprintf(seed, "%s/%d/%s", m.config.Self.Node, snapshot.Revision(), zone) // never fails
+		for _, name := range ring.Spread(seed.Sum64(), m.config.Self.Node, names, count, but) {
+			go m.push(addresses[name], news)
+		}
 	}
-	if _, own := sources[""]; m.config.Prefix != topic.Controls || !own {
+	if m.config.Prefix != topic.Controls || !own {
 		return
 	}
 	for _, member := range m.others(snapshot) {
 		go m.push(member.Address, news)
 	}
 }
+
+// awayCount is to how many routers of another zone news is passed on.
+func (m *Membership) awayCount(own bool) int {
+	switch {
+	case own:
+		return awayFanOut
+	case m.config.Prefix == topic.Controls:
+		return awayRelay
+	}
+	return 0
+}
+
+// byZone lists the peers' names by their zones, and their addresses by name.
+func byZone(peers []topic.Peer) (zones map[string][]string, addresses map[string]string) {
+	zones = map[string][]string{}
+	addresses = make(map[string]string, len(peers))
+	for _, peer := range peers {
+		zones[peer.Zone] = append(zones[peer.Zone], peer.Node)
+		addresses[peer.Node] = peer.Address
+	}
+	return zones, addresses
+}
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -29,16 +29,20 @@
 	Led                     // a voter that hears of its leader, which a majority answers
 )
 
-// Sync brings entries. With a digest, the answer holds what its sender may lack.
+// Sync brings entries. With a digest, the answer holds what its sender may lack: all in the buckets that differ, but those
+// that it names as held.
 type Sync struct {
-	From    string          `cbor:"1,keyasint"`
-	Entries []replica.Entry `cbor:"2,keyasint,omitempty"`
-	Digest  *replica.Digest `cbor:"3,keyasint,omitempty"`
+	From     string               `cbor:"1,keyasint"`
+	Entries  []replica.Entry      `cbor:"2,keyasint,omitempty"`
+	Digest   *replica.Digest      `cbor:"3,keyasint,omitempty"`
+	Held     replica.Fingerprints `cbor:"4,keyasint,omitempty"`
+	Repaired bool                 `cbor:"5,keyasint,omitempty"` // the entries were asked for after copies were compared
 }
 
 // SyncAnswer brings entries in return.
 type SyncAnswer struct {
-	Entries []replica.Entry `cbor:"1,keyasint,omitempty"`
+	Entries []replica.Entry      `cbor:"1,keyasint,omitempty"`
+	Wanted  replica.Fingerprints `cbor:"2,keyasint,omitempty"` // held by the caller and not here
 }
 
 // The calls that every router serves on its inside port.
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -109,12 +109,6 @@
 	return n.entries.Digest()
 }
 
-func (n *Node) missing(theirs replica.Digest) []replica.Entry {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.entries.Missing(theirs, syncBytes)
-}
-
 // beat serves a heartbeat.
 func (n *Node) beat(_ context.Context, beat *message.Beat) (*message.BeatAnswer, error) {
 	if n.onBeat != nil {
@@ -130,13 +124,19 @@
 	return answer, nil
 }
 
-// sync serves entries that a peer brings.
+// sync serves entries that a peer brings, and tells what it lacks where it says what it holds.
 func (n *Node) sync(_ context.Context, sync *message.Sync) (*message.SyncAnswer, error) {
-	n.merge(sync.Entries, sync.From, sync.Digest != nil)
+	n.merge(sync.Entries, sync.From, sync.Digest != nil || sync.Repaired)
 	if sync.Digest == nil {
 		return &message.SyncAnswer{}, nil
 	}
-	return &message.SyncAnswer{Entries: n.missing(*sync.Digest)}, nil
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(sync.Held) == 0 {
+		return &message.SyncAnswer{Entries: n.entries.Missing(*sync.Digest, syncBytes)}, nil
+	}
+	entries, wanted := n.entries.Lacking(*sync.Digest, sync.Held, syncBytes)
+	return &message.SyncAnswer{Entries: entries, Wanted: wanted}, nil
 }
 
 // Beat sends a heartbeat to a peer, and where the copies differ brings both to one state. It gives what stands behind the
@@ -156,16 +156,28 @@
 	return answer.Standing, n.exchange(ctx, address, *answer.Digest)
 }
 
-// exchange sends what the peer may lack and takes what it has in return.
+// exchange takes what the peer has and this copy lacks, and sends what the peer then asks for.
 func (n *Node) exchange(ctx context.Context, address string, theirs replica.Digest) error {
-	digest := n.digest()
-	question := &message.Sync{From: n.name, Entries: n.missing(theirs), Digest: &digest}
+	n.mu.Lock()
+	digest, held := n.entries.Digest(), n.entries.Held(theirs)
+	n.mu.Unlock()
+	question := &message.Sync{From: n.name, Digest: &digest, Held: held}
 	answer, err := message.CallSync.Call(ctx, n.client, address, question)
 	if err != nil {
 		return err
 	}
 	n.merge(answer.Entries, address, true)
-	return nil
+	if len(answer.Wanted) == 0 {
+		return nil
+	}
+	n.mu.Lock()
+	wanted := n.entries.Named(answer.Wanted, syncBytes)
+	n.mu.Unlock()
+	if len(wanted) == 0 {
+		return nil // superseded meanwhile
+	}
+	_, err = message.CallSync.Call(ctx, n.client, address, &message.Sync{From: n.name, Entries: wanted, Repaired: true})
+	return err
 }
 
 // Push brings entries to a peer.
--- /dev/null
+++ b/internal/mesh/replica/fingerprints_test.go
@@ -0,0 +1,61 @@
+package replica_test
+
+import (
+	"fmt"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"pgregory.net/rapid"
+
+	"sumacloft/internal/mesh/replica"
+)
+
+// compare brings two copies together as two routers do: one names what it holds, the other answers with what it lacks and
+// names what it wants.
+func compare(one, other *replica.Map, limit int) (sent int) {
+	mine := one.Digest()
+	entries, wanted := other.Lacking(mine, one.Held(other.Digest()), limit)
+	one.Merge(entries)
+	returned := one.Named(wanted, limit)
+	other.Merge(returned)
+	return len(entries) + len(returned)
+}
+
+func entryAt(key int, version uint64) replica.Entry {
+	return replica.Entry{Key: fmt.Sprintf("k%d", key), Version: replica.Version{Minor: version}, Value: []byte{byte(version)}}
+}
+
+func TestComparedCopiesBecomeEqual(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		// Given two copies that were told different things of the same keys,
+		entries := rapid.Custom(func(t *rapid.T) replica.Entry {
+			return entryAt(rapid.IntRange(0, 200).Draw(t, "key"), uint64(rapid.IntRange(0, 3).Draw(t, "version")))
+		})
+		one, other := replica.New(), replica.New()
+		one.Merge(rapid.SliceOfN(entries, 0, 300).Draw(t, "one"))
+		other.Merge(rapid.SliceOfN(entries, 0, 300).Draw(t, "other"))
+		limit := rapid.SampledFrom([]int{1, 200, 1 << 20}).Draw(t, "limit")
+		// when they are compared again and again, then they become equal, however little goes at a time.
+		for round := 0; one.Digest() != other.Digest(); round++ {
+			if round > 500 {
+				t.Fatal("the copies still differ")
+			}
+			compare(one, other, limit)
+		}
+	})
+}
+
+func TestOnlyWhatDiffersIsSent(t *testing.T) {
+	c := qt.New(t)
+	// Given copies of a large fleet's state that differ in three entries: one newer here, one newer there, one here only,
+	one, other := replica.New(), replica.New()
+	for key := range 500 {
+		one.Merge([]replica.Entry{entryAt(key, 1)})
+		other.Merge([]replica.Entry{entryAt(key, 1)})
+	}
+	one.Merge([]replica.Entry{entryAt(3, 2), entryAt(700, 1)})
+	other.Merge([]replica.Entry{entryAt(9, 2)})
+	// when they are compared, then no more than what is lacking goes either way: what is old is not sent back.
+	c.Assert(compare(one, other, 1<<20), qt.Equals, 3+1)
+	c.Assert(one.Digest(), qt.Equals, other.Digest())
+}
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -35,6 +35,7 @@
 // Calls makes calls over one pool of connections. Safe for concurrent use.
 type Calls struct {
 	Faults    Faults
+	OnRead    func() // told when a prompt is sent to be read; it must not block; nil: nobody is
 	pool      *upstream.Pool
 	withoutID atomic.Uint64 // answers that lacked the request's id
 }
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -132,7 +132,12 @@
 // askToRead makes one call to have the prompt read.
 func (j *Job) askToRead(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	own := []string{headerStage, RoleReading, headerMeantServer, worker.Name}
-	answer, err := j.call(ctx, worker, traffic.Read, clear, own, func() { j.reads++ })
+	answer, err := j.call(ctx, worker, traffic.Read, clear, own, func() {
+		j.reads++
+		if j.calls.OnRead != nil {
+			j.calls.OnRead()
+		}
+	})
 	first := j.again(func() bool { return j.reads == 1 && j.sent == 0 })
 	if err != nil {
 		return core.Reply{}, err
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -70,6 +70,9 @@
 		workers: registry.New(registry.Config{}), began: time.Now()}
 }
 
+// Use has the lanes ask a board what waits at readers; call it before Run.
+func (f *Feed) Use(board lane.Board) { f.around.Board = board }
+
 // Ready tells whether a configuration is in force.
 func (f *Feed) Ready() bool { return f.ready.Load() }
 
--- a/internal/proxy/hints/hints.go
+++ b/internal/proxy/hints/hints.go
@@ -1,11 +1,13 @@
 // Package hints tells proxies how much work the others have waiting at the workers. A hint is a datagram: one that is
 // lost is made up for by the next, and the time that a call would take is longer than what a hint is good for.
+//
+// In a small fleet each proxy tells all others. In a larger one each engine has a keeper among the proxies, which the
+// hash of both names: whoever has work waiting at the engine tells its keeper, and whoever is about to send some there
+// asks it. What a proxy then knows is what all have waiting, at the cost of a question, however many they are.
 package hints
 
 import (
 	"context"
-	"hash/fnv"
-	"math"
 	"net"
 	"strconv"
 	"sync"
@@ -16,9 +18,7 @@
 	"github.com/zeebo/errs"
 
 	"sumacloft/internal/mesh/network"
-	"sumacloft/internal/mesh/ring"
 	"sumacloft/internal/mesh/traffic"
-	"sumacloft/internal/periodic"
 )
 
 // Error is the class of this package's failures.
@@ -29,8 +29,8 @@
 	interval = 50 * time.Millisecond
 	// believed is how long a proxy's hint counts without a newer one.
 	believed = 400 * time.Millisecond
-	// mostTargets bounds to how many others a hint goes; what they say is scaled up to all.
-	mostTargets = 8
+	// mostTold is up to how many others a proxy tells all of them; with more, it tells keepers.
+	mostTold = 8
 	// datagramBytes bounds a datagram.
 	datagramBytes = 1400
 	// mostEngines bounds the engines in one hint, so that it fits a datagram.
@@ -50,7 +50,10 @@
 type hint struct {
 	From     string            `cbor:"1,keyasint"`
 	Sequence uint64            `cbor:"2,keyasint"`
-	Tokens   map[uint64]uint32 `cbor:"3,keyasint,omitempty"`
+	Tokens   map[uint64]uint32 `cbor:"3,keyasint,omitempty"` // what waits for the sender, at the engines that the receiver keeps
+	Asked    []uint64          `cbor:"4,keyasint,omitempty"` // engines that the sender asks about; Tokens says nothing then
+	Answered map[uint64]uint32 `cbor:"5,keyasint,omitempty"` // what waits there for all but the receiver
+	Number   uint64            `cbor:"6,keyasint,omitempty"` // of the question and its answer; 0: it is neither
 }
 
 // heard is the newest hint of one proxy.
@@ -62,22 +65,23 @@
 
 // Hints exchanges hints with the other proxies. Use New, then Run.
 type Hints struct {
-	self string
-	load Load
-	log  zerolog.Logger
-	conn net.PacketConn
-	port int
-
-	mu    sync.Mutex
-	peers []string // IP addresses of the other proxies
-	heard map[string]heard
-	known map[uint64]bool // engines that were reported with work and not yet without
-	count uint64
+	self  string
+	load  Load
+	log   zerolog.Logger
+	conn  net.PacketConn
+	port  int
 	meter traffic.Meter
-}
+	hurry chan struct{} // work began to wait
 
-// Meter counts the hints that were sent.
-func (h *Hints) Meter() *traffic.Meter { return &h.meter }
+	mu       sync.Mutex
+	peers    []string // IP addresses of the other proxies
+	heard    map[string]heard
+	known    map[uint64]bool // engines that were reported with work and not yet without
+	told     map[string]bool // who was told of work and not yet of none
+	sequence uint64
+	keepers  map[uint64]string // by engine, as asked for
+	questions
+}
 
 // New listens on a port of the machine's address.
 func New(over network.Network, ip string, port int, load Load, log zerolog.Logger) (*Hints, error) {
@@ -85,9 +89,27 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return &Hints{self: ip, load: load, log: log, conn: conn, port: port, heard: map[string]heard{}, known: map[uint64]bool{}}, nil
+	h := newHints(ip, load)
+	h.conn, h.port, h.log = conn, port, log
+	return h, nil
+}
+
+func newHints(self string, load Load) *Hints {
+	return &Hints{
+		self:      self,
+		load:      load,
+		hurry:     make(chan struct{}, 1),
+		heard:     map[string]heard{},
+		known:     map[uint64]bool{},
+		told:      map[string]bool{},
+		keepers:   map[uint64]string{},
+		questions: newQuestions(),
+	}
 }
 
+// Meter counts the hints that were sent.
+func (h *Hints) Meter() *traffic.Meter { return &h.meter }
+
 // Peers takes the addresses of the other proxies.
 func (h *Hints) Peers(addresses []string) {
 	h.mu.Lock()
@@ -98,51 +120,93 @@
 			h.peers = append(h.peers, address)
 		}
 	}
+	clear(h.keepers)
 }
 
 // Run exchanges hints until the context ends.
 func (h *Hints) Run(ctx context.Context) {
 	go h.receive()
 	defer func() { _ = h.conn.Close() }() // ends receive
-	told := false
-	periodic.Run(ctx, interval, func() {
-		own := h.load.Waiting()
-		if len(own) > 0 || told {
-			h.tell(own)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-h.hurry:
+		case <-ticker.C:
 		}
-		told = len(own) > 0
+		own := h.load.Waiting()
+		h.tell(own)
 		h.report(own, time.Now())
-	})
+	}
+}
+
+// Hurry has the others told of this proxy's waiting work at once.
+func (h *Hints) Hurry() {
+	select {
+	case h.hurry <- struct{}{}:
+	default:
+	}
 }
 
-// tell sends this proxy's waiting work to some others.
+// tell sends this proxy's waiting work to those who are to know of it, and once that there is none any more.
 func (h *Hints) tell(own Waiting) {
 	h.mu.Lock()
-	h.count++
-	sequence := h.count
-	targets := ring.Spread(h.seed(), h.self, h.peers, mostTargets, nil)
+	parts := h.partsOf(own)
+	for target := range h.told {
+		if parts[target] == nil {
+			parts[target] = map[uint64]uint32{}
+		}
+	}
+	clear(h.told)
+	h.sequence++
+	sequence := h.sequence
+	for target, tokens := range parts {
+		if len(tokens) > 0 {
+			h.told[target] = true
+		}
+	}
 	h.mu.Unlock()
-	message := hint{From: h.self, Sequence: sequence, Tokens: map[uint64]uint32{}}
+	for target, tokens := range parts {
+		if target == h.self {
+			continue
+		}
+		h.send(target, &hint{From: h.self, Sequence: sequence, Tokens: tokens})
+	}
+}
+
+// partsOf is what each of the others is to be told. The lock is held.
+func (h *Hints) partsOf(own Waiting) map[string]map[uint64]uint32 {
+	parts := map[string]map[uint64]uint32{}
+	put := func(target string, engine uint64, tokens float64) {
+		if parts[target] == nil {
+			parts[target] = map[uint64]uint32{}
+		}
+		if len(parts[target]) < mostEngines {
+			parts[target][engine] = uint32(tokens)
+		}
+	}
 	for engine, tokens := range own {
-		if len(message.Tokens) < mostEngines {
-			message.Tokens[engine] = uint32(tokens)
+		if h.kept() {
+			put(h.keeper(engine), engine, tokens)
+			continue
+		}
+		for _, peer := range h.peers {
+			put(peer, engine, tokens)
 		}
 	}
+	return parts
+}
+
+// send sends a datagram; a lost one is made up for by the next.
+func (h *Hints) send(target string, message *hint) {
 	datagram, err := cbor.Marshal(message)
 	if err != nil {
 		panic(err) // plain fields can always be encoded
 	}
-	for _, target := range targets {
-		h.meter.Add(traffic.Hint, target, len(datagram), 0)
-		_, _ = h.conn.WriteTo(datagram, &net.UDPAddr{IP: net.ParseIP(target), Port: h.port}) // the next one makes up for it
-	}
-}
-
-// seed draws the targets anew each time. The lock is held.
-func (h *Hints) seed() uint64 {
-	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(h.self)) // never fails
-	return hash.Sum64() + h.count
+	h.meter.Add(traffic.Hint, target, len(datagram), 0)
+	_, _ = h.conn.WriteTo(datagram, &net.UDPAddr{IP: net.ParseIP(target), Port: h.port})
 }
 
 // receive takes the hints of others until the socket is closed.
@@ -155,11 +219,24 @@
 		}
 		var message hint
 		if cbor.Unmarshal(buffer[:size], &message) == nil {
-			h.take(message, time.Now())
+			h.hear(&message)
 		}
 	}
 }
 
+// hear takes a datagram.
+func (h *Hints) hear(message *hint) {
+	switch {
+	case len(message.Asked) > 0:
+		answer := &hint{From: h.self, Number: message.Number, Answered: h.sums(message.Asked, message.From, time.Now())}
+		h.send(message.From, answer)
+	case message.Number > 0:
+		h.answered(message)
+	default:
+		h.take(*message, time.Now())
+	}
+}
+
 // take notes a hint, unless a newer one of its proxy is known. A proxy that started anew counts from the beginning.
 func (h *Hints) take(message hint, now time.Time) {
 	h.mu.Lock()
@@ -171,7 +248,7 @@
 	h.heard[message.From] = heard{sequence: message.Sequence, at: now, tokens: message.Tokens}
 }
 
-// report tells what waits at each engine for all proxies.
+// report tells what waits at each engine for all proxies, where each tells all others.
 func (h *Hints) report(own Waiting, now time.Time) {
 	all := h.sum(own, now)
 	if len(all) > 0 {
@@ -179,24 +256,13 @@
 	}
 }
 
-// sum adds up what is waiting. Where hints of a part of the others are at hand, theirs stand for all. An engine at which
-// nothing waits any more is given once with 0.
+// sum adds up what is waiting. An engine at which nothing waits any more is given once with 0.
 func (h *Hints) sum(own Waiting, now time.Time) Waiting {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	others := Waiting{}
-	fresh := 0
-	for from, last := range h.heard {
-		if now.Sub(last.at) > believed {
-			delete(h.heard, from)
-			continue
-		}
-		fresh++
-		for engine, tokens := range last.tokens {
-			others[engine] += float64(tokens)
-		}
+	if h.kept() {
+		return nil // it is asked for
 	}
-	scale := h.scale(fresh)
 	all := Waiting{}
 	for engine := range h.known {
 		all[engine] = 0
@@ -204,24 +270,20 @@
 	clear(h.known)
 	for engine, tokens := range own {
 		all[engine] += tokens
-		h.known[engine] = true
 	}
-	for engine, tokens := range others {
-		all[engine] += scale * tokens
-		h.known[engine] = true
+	for from, last := range h.heard {
+		if now.Sub(last.at) > believed {
+			delete(h.heard, from)
+			continue
+		}
+		for engine, tokens := range last.tokens {
+			all[engine] += float64(tokens)
+		}
 	}
-	return all
-}
-
-// scale is by how much the hints at hand fall short of all. Proxies without waiting work are silent, so where all others
-// may be heard their hints are taken as they are. Else each of the others tells mostTargets of its peers at every
-// interval; the chance that one of its datagrams of the time for which hints are believed came here is the share of the
-// proxies that are heard. The lock is held.
-func (h *Hints) scale(fresh int) float64 {
-	if len(h.peers) <= mostTargets || fresh == 0 {
-		return 1
+	for engine, tokens := range all {
+		if tokens > 0 {
+			h.known[engine] = true
+		}
 	}
-	missed := 1 - float64(mostTargets)/float64(len(h.peers))
-	told := believed.Seconds() / interval.Seconds()
-	return 1 / (1 - math.Pow(missed, told))
+	return all
 }
--- a/internal/proxy/hints/hints_size_test.go
+++ b/internal/proxy/hints/hints_size_test.go
@@ -32,7 +32,7 @@
 
 // manyHints has heard the hints of so many proxies.
 func manyHints(proxies, engines int, now time.Time) *Hints {
-	h := &Hints{self: "10.0.0.1", heard: map[string]heard{}, known: map[uint64]bool{}}
+	h := newHints("10.0.0.1", nil)
 	for number := range proxies {
 		message := sizedHint(engines)
 		message.From = "10.0.1." + strconv.Itoa(number)
@@ -53,11 +53,20 @@
 	}
 }
 
-// BenchmarkSum adds up what a proxy hears in the time for which hints are believed: 64 hints of 80 engines.
+// BenchmarkSum adds up what a proxy hears where each tells all others: 8 hints of 80 engines.
 func BenchmarkSum(b *testing.B) {
 	now := time.Now()
-	h := manyHints(64, mostEngines, now)
+	h := manyHints(mostTold, mostEngines, now)
 	for b.Loop() {
 		h.sum(Waiting{}, now)
 	}
 }
+
+// BenchmarkWaitingAt adds up what a keeper was told of an engine by 64 proxies.
+func BenchmarkWaitingAt(b *testing.B) {
+	now := time.Now()
+	h := manyHints(64, mostEngines, now)
+	for b.Loop() {
+		h.waitingAt(1, "", now)
+	}
+}
--- a/internal/proxy/lane/lane.go
+++ b/internal/proxy/lane/lane.go
@@ -29,6 +29,7 @@
 	Log    logrus.FieldLogger
 	Began  time.Time // of the process; zero: none ran before it
 	Trial  trial.Off
+	Board  Board // may be nil
 }
 
 // age is for how long no other process can have taken further arrivals in this one's place.
@@ -95,6 +96,7 @@
 	l.mu.Lock()
 	l.budget.Request(time.Since(l.began))
 	l.mu.Unlock()
+	l.look(ctx, job)
 	l.core.Do(ctx, job, client)
 }
 
