--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -146,7 +146,7 @@
 // ask brings the agent's copy and a control member's to one state, and has the member confirm the configuration if it
 // hears of a leader.
 func (a *Agent) ask(ctx context.Context, address string) {
-	standing, err := a.members.Greet(ctx, address)
+	standing, err := a.members.Sound(ctx, address)
 	if err != nil {
 		return // asked again
 	}
--- a/internal/mesh/membership/contact.go
+++ b/internal/mesh/membership/contact.go
@@ -53,6 +53,31 @@
 	return standing, err
 }
 
+// greetRest is for how long after two copies were compared Sound leaves them as they are: who looks for a control member
+// that is led asks all of them many times a second, while all routers' copies differ as they start.
+const greetRest = 500 * time.Millisecond
+
+// Sound gives what stands behind the copy of a control member. It has brought this router's copy to one state with that
+// one's within greetRest.
+func (m *Membership) Sound(ctx context.Context, address string) (message.Standing, error) {
+	m.mu.Lock()
+	last, compared := m.compared[address]
+	rests := compared && time.Since(m.began)-last < greetRest
+	m.mu.Unlock()
+	if rests {
+		standing, err := m.node.Standing(ctx, address)
+		m.note(standing, err)
+		return standing, err
+	}
+	standing, err := m.Greet(ctx, address)
+	if err == nil {
+		m.mu.Lock()
+		m.compared[address] = time.Since(m.began)
+		m.mu.Unlock()
+	}
+	return standing, err
+}
+
 // ControlAddresses are the inside addresses of all control members that this router has heard of, the starters and those
 // that are taken for down among them.
 func (m *Membership) ControlAddresses() []string {
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -71,6 +71,7 @@
 	turn        int
 	waiting     gathered
 	contact     contact
+	compared    map[string]time.Duration // when Sound last compared copies, by address
 	lost        lost
 
 	ignoreStanding bool
@@ -78,7 +79,8 @@
 
 // New makes the membership of a router.
 func New(config Config) *Membership {
-	m := &Membership{config: config, began: time.Now(), incarnation: 1, watched: detector.New(silence), lost: lost{}}
+	m := &Membership{config: config, began: time.Now(), incarnation: 1, watched: detector.New(silence), lost: lost{},
+		compared: map[string]time.Duration{}}
 	m.node = node.New(config.Self.Node, config.Client, config.Log, m.news, m.heard)
 	return m
 }
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -11,6 +11,7 @@
 	From        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Sum         uint64 `cbor:"3,keyasint,omitempty"` // replica.Digest.Sum
+	Brief       bool   `cbor:"4,keyasint,omitempty"` // the digest is not asked for
 }
 
 // BeatAnswer holds the watcher's digest where the sums differ, and what stands behind its copy.
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -118,7 +118,7 @@
 	if n.standing != nil {
 		answer.Standing = n.standing()
 	}
-	if digest := n.digest(); digest.Sum() != beat.Sum {
+	if digest := n.digest(); !beat.Brief && digest.Sum() != beat.Sum {
 		answer.Digest = &digest
 	}
 	return answer, nil
@@ -144,9 +144,7 @@
 func (n *Node) Beat(ctx context.Context, address string, incarnation uint64) (message.Standing, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
-	digest := n.digest()
-	beat := &message.Beat{From: n.name, Incarnation: incarnation, Sum: digest.Sum()}
-	answer, err := message.CallBeat.Call(ctx, n.client, address, beat)
+	answer, err := n.call(ctx, address, message.Beat{Incarnation: incarnation})
 	if err != nil {
 		return message.Hearsay, err
 	}
@@ -156,6 +154,23 @@
 	return answer.Standing, n.exchange(ctx, address, *answer.Digest)
 }
 
+// Standing asks a peer what stands behind its copy, and leaves both copies as they are.
+func (n *Node) Standing(ctx context.Context, address string) (message.Standing, error) {
+	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	defer cancel()
+	answer, err := n.call(ctx, address, message.Beat{Brief: true})
+	if err != nil {
+		return message.Hearsay, err
+	}
+	return answer.Standing, nil
+}
+
+// call makes the call of a heartbeat.
+func (n *Node) call(ctx context.Context, address string, beat message.Beat) (*message.BeatAnswer, error) {
+	beat.From, beat.Sum = n.name, n.digest().Sum()
+	return message.CallBeat.Call(ctx, n.client, address, &beat)
+}
+
 // exchange takes what the peer has and this copy lacks, and sends what the peer then asks for.
 func (n *Node) exchange(ctx context.Context, address string, theirs replica.Digest) error {
 	n.mu.Lock()
