--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -19,8 +19,9 @@
 	watchLimit = 5 * time.Second
 	// gatherTime is how long a change waits for others that come with it, so that they reach the proxy as one.
 	gatherTime = 5 * time.Millisecond
-	// timeByWorker is the shortest time between two answers for each worker that an answer tells of: a proxy's work for one
-	// grows with them, and while much changes it must not take the machine.
+	// answerRest is the shortest time between two answers, and timeByWorker what is added to it for each worker that the one
+	// before told of: a proxy's work for one grows with them, and while much changes it must not take the machine.
+	answerRest   = 20 * time.Millisecond
 	timeByWorker = 50 * time.Microsecond
 )
 
@@ -34,12 +35,14 @@
 
 	mu      sync.Mutex
 	waiting int
-	last    time.Time // a question was last open
-	next    time.Time // the next answer is given then at the earliest
+	last    time.Time        // a question was last open
+	next    time.Time        // the next answer is given then at the earliest
+	given   replica.Snapshot // of the newest answer
 }
 
 func newFeed(of *node.Node, zone string, open <-chan struct{}, link func() message.Link) *feed {
-	return &feed{node: of, zone: zone, life: rand.Uint64() | 1, open: open, link: link, last: time.Now()}
+	given, _ := of.Snapshot()
+	return &feed{node: of, zone: zone, life: rand.Uint64() | 1, open: open, link: link, last: time.Now(), given: given}
 }
 
 // watch answers once the state differs from what the proxy knows, or after watchLimit.
@@ -102,21 +105,18 @@
 func (f *feed) answered(workers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = time.Now().Add(time.Duration(workers) * timeByWorker)
+	f.next = time.Now().Add(answerRest + time.Duration(workers)*timeByWorker)
 }
 
 // answer is the state as the proxy needs it.
 func (f *feed) answer(snapshot replica.Snapshot, question *message.Watch) (*message.Snapshot, error) {
-	peers := topic.Peers(snapshot.Prefix(topic.Routers))
 	answer := &message.Snapshot{
 		Revision: snapshot.Revision(),
 		Life:     f.life,
-		Workers:  snapshot.Prefix(topic.Workers),
 		Orders:   snapshot.Prefix(topic.Orders),
-		Routers:  hosts(peers),
-		Near:     hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone })),
 		Link:     f.link(),
 	}
+	f.fill(answer, snapshot, question)
 	entry, _ := f.settings(snapshot)
 	answer.Settings = entry.Version.Major
 	if len(entry.Value) == 0 {
@@ -133,6 +133,29 @@
 	return answer, nil
 }
 
+// fill tells of workers and routers: all of them, or what has changed since the answer before if that is what the proxy
+// knows.
+func (f *feed) fill(answer *message.Snapshot, snapshot replica.Snapshot, question *message.Watch) {
+	f.mu.Lock()
+	given := f.given
+	f.given = snapshot
+	f.mu.Unlock()
+	answer.Part = question.Life == f.life && question.Revision == given.Revision()
+	if answer.Part {
+		answer.Workers, answer.Gone = snapshot.Changes(given, topic.Workers)
+		changed, gone := snapshot.Changes(given, topic.Routers)
+		answer.SameRouters = len(changed)+len(gone) == 0
+	} else {
+		answer.Workers = snapshot.Prefix(topic.Workers)
+	}
+	if answer.SameRouters {
+		return
+	}
+	peers := topic.Peers(snapshot.Prefix(topic.Routers))
+	answer.Routers = hosts(peers)
+	answer.Near = hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone }))
+}
+
 // hosts are the IP addresses of peers.
 func hosts(peers []topic.Peer) []string {
 	addresses := make([]string, 0, len(peers))
--- a/internal/control/configstate/state.go
+++ b/internal/control/configstate/state.go
@@ -234,7 +234,7 @@
 func (s *State) read(order Order) (*opconf.Configuration, error) {
 	switch order.Kind {
 	case Replace:
-		return opconf.Parse(order.Body)
+		return opconf.ParseAfter(s.current, order.Body)
 	case Change:
 		change, err := opconf.ParseChange(order.Body)
 		if err != nil {
--- a/internal/mesh/membership/confirm.go
+++ b/internal/mesh/membership/confirm.go
@@ -10,8 +10,7 @@
 // Confirm pushes entries to the other control members and waits until so many have taken them, at most for the limit. It
 // tells whether they have.
 func (m *Membership) Confirm(ctx context.Context, entries []replica.Entry, wanted int, limit time.Duration) bool {
-	snapshot, _ := m.node.Snapshot()
-	others := m.others(snapshot)
+	others := m.others()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	taken := make(chan error, len(others))
@@ -32,6 +31,5 @@
 // OthersForMajority is how many other control members make a majority of the control members together with this one:
 // of those that are known to live, and of the voters that are wanted, whichever are more.
 func (m *Membership) OthersForMajority(voters int) int {
-	snapshot, _ := m.node.Snapshot()
-	return max(len(m.others(snapshot))+1, voters) / 2
+	return max(len(m.others())+1, voters) / 2
 }
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -170,7 +170,7 @@
 // round sends one heartbeat to each watcher and to one control member, and checks those that this router watches.
 func (m *Membership) round(ctx context.Context) {
 	snapshot, _ := m.node.Snapshot()
-	names, addresses := index(topic.Peers(snapshot.Prefix(m.config.Prefix)))
+	names, addresses := index(m.node.Peers(m.config.Prefix))
 	self := m.config.Self.Node
 	m.mu.Lock()
 	incarnation := m.incarnation
@@ -187,7 +187,7 @@
 	for _, watcher := range ring.Watchers(self, names, watcherCount) {
 		targets[addresses[watcher]] = struct{}{}
 	}
-	if control := m.control(topic.Peers(snapshot.Prefix(topic.Controls)), turn); control != "" {
+	if control := m.control(m.node.Peers(topic.Controls), turn); control != "" {
 		targets[control] = struct{}{}
 	}
 	for address := range targets {
@@ -286,9 +286,9 @@
 }
 
 // others are the control members that live, but this one.
-func (m *Membership) others(snapshot replica.Snapshot) []topic.Peer {
+func (m *Membership) others() []topic.Peer {
 	var others []topic.Peer
-	for _, member := range topic.Peers(snapshot.Prefix(topic.Controls)) {
+	for _, member := range m.node.Peers(topic.Controls) {
 		if member.Node != m.config.Self.Node {
 			others = append(others, member)
 		}
--- a/internal/mesh/membership/spread.go
+++ b/internal/mesh/membership/spread.go
@@ -73,7 +73,7 @@
 // hears of it. A router from which all of it came is left out.
 func (m *Membership) spread(news []replica.Entry, sources map[string]struct{}) {
 	snapshot, _ := m.node.Snapshot()
-	zones, addresses := byZone(topic.Peers(snapshot.Prefix(topic.Routers)))
+	zones, addresses := byZone(m.node.Peers(topic.Routers))
 	var but map[string]struct{}
 	if len(sources) == 1 {
 		but = sources
@@ -93,7 +93,7 @@
 	if m.config.Prefix != topic.Controls || !own {
 		return
 	}
-	for _, member := range m.others(snapshot) {
+	for _, member := range m.others() {
 		go m.push(member.Address, news)
 	}
 }
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -103,6 +103,11 @@
 	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"`  // workers that are about to change their phase
 	Link     Link            `cbor:"9,keyasint,omitempty"`  // of the agent to the control plane, also where nothing else has changed
 	Near     []string        `cbor:"10,keyasint,omitempty"` // those of Routers that are in the own zone
+	// Part says that the proxy knows the rest: Workers are those that have changed since the revision that it knows, Gone the
+	// keys of those that are there no longer, and Routers and Near are left out where they are the same.
+	Part        bool     `cbor:"11,keyasint,omitempty"`
+	Gone        []string `cbor:"12,keyasint,omitempty"`
+	SameRouters bool     `cbor:"13,keyasint,omitempty"`
 }
 
 // CallWatch is served by agents on the loopback address.
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -35,13 +35,15 @@
 	onBeat   func(beat message.Beat)
 	standing func() message.Standing
 	snapshot replica.Snapshot
+	peers    map[string]*peers // by prefix
 }
 
 // New makes a node. onNews is told what has changed, outside of the node's lock and in the caller's goroutine, with the
 // peer that it came from ("" for this router), and whether the others are known to have it: what a large repair brought.
 // onBeat is told of each heartbeat. Either may be nil.
 func New(name string, client *rpc.Client, log zerolog.Logger, onNews func([]replica.Entry, string, bool), onBeat func(message.Beat)) *Node {
-	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onNews: onNews, onBeat: onBeat}
+	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onNews: onNews, onBeat: onBeat,
+		peers: map[string]*peers{}}
 	n.snapshot = n.entries.Snapshot()
 	return n
 }
@@ -74,6 +76,9 @@
 	defer n.mu.Unlock()
 	n.entries.Forget(keys...)
 	n.snapshot = n.entries.Snapshot()
+	for _, held := range n.peers {
+		held.known = false
+	}
 }
 
 // mostRepaired is how many entries of one repair are passed on: a copy that lacked more was new or cut off, and the others
@@ -97,6 +102,7 @@
 	news := n.entries.Merge(entries)
 	if len(news) > 0 {
 		n.snapshot = n.entries.Snapshot()
+		n.notePeers(news)
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
--- a/internal/mesh/replica/fingerprints_test.go
+++ b/internal/mesh/replica/fingerprints_test.go
@@ -59,3 +59,19 @@
 	c.Assert(compare(one, other, 1<<20), qt.Equals, 3+1)
 	c.Assert(one.Digest(), qt.Equals, other.Digest())
 }
+
+func TestChangesAreWhatDiffersBetweenSnapshots(t *testing.T) {
+	c := qt.New(t)
+	// Given a map and an earlier snapshot of it
+	entries := replica.New()
+	entries.Merge([]replica.Entry{entryAt(1, 1), entryAt(2, 1), entryAt(3, 1), entryAt(5, 1), {Key: "other", Version: replica.Version{Minor: 1}}})
+	before := entries.Snapshot()
+	changed, gone := before.Changes(before, "k")
+	c.Assert(len(changed)+len(gone), qt.Equals, 0)
+	// when entries are added, changed and forgotten, then just these are told of.
+	entries.Merge([]replica.Entry{entryAt(2, 2), entryAt(4, 1), {Key: "other", Version: replica.Version{Minor: 2}}})
+	entries.Forget("k1", "k5")
+	changed, gone = entries.Snapshot().Changes(before, "k")
+	c.Assert(changed, qt.DeepEquals, []replica.Entry{entryAt(2, 2), entryAt(4, 1)})
+	c.Assert(gone, qt.DeepEquals, []string{"k1", "k5"})
+}
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"bytes"
 	"strings"
 
 	"github.com/benbjohnson/immutable"
@@ -32,6 +33,33 @@
 	return found
 }
 
+// Changes lists the entries under a prefix that are other ones than in an earlier snapshot of the same map, or are not there,
+// and the keys under it that are there no longer, both sorted by key.
+func (s Snapshot) Changes(since Snapshot, prefix string) (changed []Entry, gone []string) {
+	if s.entries == since.entries {
+		return nil, nil
+	}
+	before := since.Prefix(prefix)
+	for _, entry := range s.Prefix(prefix) {
+		for len(before) > 0 && before[0].Key < entry.Key {
+			gone = append(gone, before[0].Key)
+			before = before[1:]
+		}
+		if len(before) > 0 && before[0].Key == entry.Key {
+			same := before[0].Version == entry.Version && bytes.Equal(before[0].Value, entry.Value)
+			before = before[1:]
+			if same {
+				continue
+			}
+		}
+		changed = append(changed, entry)
+	}
+	for _, entry := range before {
+		gone = append(gone, entry.Key)
+	}
+	return changed, gone
+}
+
 // Len is the number of entries, tombstones included.
 func (s Snapshot) Len() int {
 	return s.entries.Len()
--- a/internal/opconf/parse.go
+++ b/internal/opconf/parse.go
@@ -8,7 +8,11 @@
 )
 
 // Parse reads and checks a whole configuration. It fails with Error, whose cause is an *InvalidError with all faults.
-func Parse(body []byte) (*Configuration, error) {
+func Parse(body []byte) (*Configuration, error) { return ParseAfter(nil, body) }
+
+// ParseAfter is Parse where most is as in an earlier configuration: items that stand there byte for byte are not read
+// again. It makes the same of the same body, whatever was before; nil: nothing was.
+func ParseAfter(before *Configuration, body []byte) (*Configuration, error) {
 	found := &faults{}
 	object, ok := readObject(body, found)
 	if !ok {
@@ -17,7 +21,26 @@
 	parsed := cut(object, found)
 	parsed.needList(routesMember, found)
 	parsed.needList(servicesMember, found)
-	return build(parsed, nil, found)
+	if before != nil {
+		parsed.adopt(&before.document, routesMember)
+		parsed.adopt(&before.document, servicesMember)
+	}
+	return build(parsed, before, found)
+}
+
+// adopt marks the items of a list that an earlier document has in the same words.
+func (d *document) adopt(before *document, list string) {
+	old := before.items(list)
+	places := make(map[string]int, len(old))
+	for place := range old {
+		places[old[place].name] = place
+	}
+	items := d.items(list)
+	for i := range items {
+		if place, known := places[items[i].name]; known && items[i].name != "" && old[place].value == items[i].value {
+			items[i].from = place
+		}
+	}
 }
 
 // needList notes a fault where the named member is not a list.
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -17,7 +17,6 @@
 	"sumacloft/internal/control/registry"
 	"sumacloft/internal/mesh/message"
 	"sumacloft/internal/mesh/network"
-	"sumacloft/internal/mesh/replica"
 	"sumacloft/internal/mesh/rpc"
 	"sumacloft/internal/mesh/topic"
 	"sumacloft/internal/opconf"
@@ -56,12 +55,14 @@
 	mu            sync.Mutex // guards lanes
 	lanes         map[string]*lane.Lane
 	routers       int
+	listed        map[string]bool       // ids of the workers that the agent knows
 	configured    *opconf.Configuration // what the lanes were brought to, and for how many routers
 	configuredFor int
 	orders        orders
 	ready         atomic.Bool
 	link          atomic.Uint32 // message.Link, as the agent told it last
-	near          atomic.Pointer[map[string]bool]
+	view          atomic.Pointer[registry.View]
+	nearRouters   atomic.Pointer[[]string] // hosts of the routers of the own zone
 }
 
 // New makes a feed from the agent at the loopback address to the front.
@@ -81,25 +82,17 @@
 
 // Near tells whether a host is a worker's or a router's of the own zone.
 func (f *Feed) Near(host string) bool {
-	near := f.near.Load()
-	return near != nil && (*near)[host]
-}
-
-// noteNear keeps which hosts are of the own zone.
-func (f *Feed) noteNear(routers []string) {
-	near := make(map[string]bool, len(routers))
-	for _, host := range routers {
-		near[host] = true
+	if routers := f.nearRouters.Load(); routers != nil && slices.Contains(*routers, host) {
+		return true
 	}
-	view := f.workers.View()
-	for name := range f.lanes {
-		for _, worker := range view.Workers(name) {
-			if host, _, err := net.SplitHostPort(worker.Address); err == nil && worker.Zone == f.around.Zone {
-				near[host] = true
-			}
-		}
+	view := f.view.Load()
+	if view == nil {
+		return false
 	}
-	f.near.Store(&near)
+	return slices.ContainsFunc(view.All(), func(worker registry.Worker) bool {
+		address, _, err := net.SplitHostPort(worker.Address)
+		return err == nil && address == host && worker.Zone == f.around.Zone
+	})
 }
 
 // Run follows the agent until the context ends.
@@ -147,12 +140,16 @@
 // take puts a state of the fleet in force. A configuration older than the one in force, as an agent that has just
 // started may know it, changes nothing.
 func (f *Feed) take(snapshot *message.Snapshot) error {
-	f.routers = max(len(snapshot.Routers), 1)
-	if f.OnRouters != nil {
-		f.OnRouters(snapshot.Routers)
+	if !snapshot.SameRouters {
+		f.routers = max(len(snapshot.Routers), 1)
+		f.nearRouters.Store(&snapshot.Near)
+		if f.OnRouters != nil {
+			f.OnRouters(snapshot.Routers)
+		}
 	}
+	f.note(snapshot)
 	if len(snapshot.Document) > 0 {
-		configuration, err := opconf.Parse(snapshot.Document)
+		configuration, err := opconf.ParseAfter(f.configuration, snapshot.Document)
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -169,12 +166,28 @@
 		f.configured, f.configuredFor = f.configuration, f.routers
 		f.configure()
 	}
-	f.list(snapshot.Workers, f.orders.take(snapshot.Orders, time.Now()))
-	f.noteNear(snapshot.Near)
+	f.list(f.orders.take(snapshot.Orders, time.Now()))
 	f.use()
 	return nil
 }
 
+// note takes what is told of workers. One that the agent knows no longer is gone here too.
+func (f *Feed) note(snapshot *message.Snapshot) {
+	now := time.Since(f.began)
+	f.workers.Merge(now, snapshot.Workers)
+	f.workers.Expire(now)
+	f.view.Store(f.workers.View())
+	if !snapshot.Part || f.listed == nil {
+		f.listed = make(map[string]bool, len(snapshot.Workers))
+	}
+	for _, entry := range snapshot.Workers {
+		f.listed[topic.Node(entry.Key)] = true
+	}
+	for _, key := range snapshot.Gone {
+		delete(f.listed, topic.Node(key))
+	}
+}
+
 // configure brings the lanes to the configuration.
 func (f *Feed) configure() {
 	routes := map[string][]opconf.Route{}
@@ -195,18 +208,11 @@
 	}
 }
 
-// list tells the lanes of their workers. One that the agent knows no longer is gone here too.
-func (f *Feed) list(entries []replica.Entry, changing map[string]string) {
-	now := time.Since(f.began)
-	f.workers.Merge(now, entries)
-	f.workers.Expire(now)
-	known := make(map[string]bool, len(entries))
-	for _, entry := range entries {
-		known[topic.Node(entry.Key)] = true
-	}
+// list tells the lanes of their workers.
+func (f *Feed) list(changing map[string]string) {
 	view := f.workers.View()
 	for name, served := range f.lanes {
-		unknown := func(worker registry.Worker) bool { return !known[worker.ID] }
+		unknown := func(worker registry.Worker) bool { return !f.listed[worker.ID] }
 		served.List(slices.DeleteFunc(view.Workers(name), unknown), changing)
 	}
 	f.around.Calls.Allot(connectionShares(f.configuration.Services, view, f.routers))
