--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -18,7 +18,6 @@
 	"sumacloft/internal/mesh/message"
 	"sumacloft/internal/mesh/node"
 	"sumacloft/internal/mesh/replica"
-	"sumacloft/internal/mesh/ring"
 	"sumacloft/internal/mesh/rpc"
 	"sumacloft/internal/mesh/topic"
 	"sumacloft/internal/periodic"
@@ -72,6 +71,7 @@
 	waiting     gathered
 	contact     contact
 	compared    map[string]time.Duration // when Sound last compared copies, by address
+	place       place
 	lost        lost
 
 	ignoreStanding bool
@@ -170,22 +170,21 @@
 // round sends one heartbeat to each watcher and to one control member, and checks those that this router watches.
 func (m *Membership) round(ctx context.Context) {
 	snapshot, _ := m.node.Snapshot()
-	names, addresses := index(m.node.Peers(m.config.Prefix))
-	self := m.config.Self.Node
 	m.mu.Lock()
+	place := m.place.in(m.config.Self.Node, m.node.Peers(m.config.Prefix))
 	incarnation := m.incarnation
 	m.turn++
 	turn := m.turn
 	now := time.Since(m.began)
-	m.watched.Expect(now, ring.Watched(self, names, watcherCount))
+	m.watched.Expect(now, place.watched)
 	down := m.watched.Check(now)
 	m.mu.Unlock()
 	for _, lost := range down {
 		m.reportDown(lost)
 	}
 	targets := map[string]struct{}{}
-	for _, watcher := range ring.Watchers(self, names, watcherCount) {
-		targets[addresses[watcher]] = struct{}{}
+	for _, address := range place.watchers {
+		targets[address] = struct{}{}
 	}
 	if control := m.control(m.node.Peers(topic.Controls), turn); control != "" {
 		targets[control] = struct{}{}
@@ -196,16 +195,6 @@
 	m.seek(ctx, snapshot, now)
 }
 
-// index lists the peers' names, and their addresses by name.
-func index(peers []topic.Peer) (names []string, addresses map[string]string) {
-	addresses = make(map[string]string, len(peers))
-	for _, peer := range peers {
-		names = append(names, peer.Node)
-		addresses[peer.Node] = peer.Address
-	}
-	return names, addresses
-}
-
 func (m *Membership) beat(ctx context.Context, address string, incarnation uint64) {
 	standing, err := m.node.Beat(ctx, address, incarnation)
 	if err != nil && ctx.Err() == nil {
