--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// searchInterval is how often control members are looked for while none that hears of a leader has confirmed the
-	// configuration, or none answers any more; firstInterval is the same right after the start, when the members may be
-	// starting, too.
+	// searchInterval is how often a control member is asked while none that hears of a leader has confirmed the
+	// configuration, or none answers any more. Right after the start, when the members may be starting too, one that has not
+	// answered is asked again after firstInterval. One that has is not: hundreds of agents may start at once, and what they
+	// ask must leave the members time for their own start.
 	searchInterval = 250 * time.Millisecond
 	firstInterval  = 50 * time.Millisecond
 	// contactLimit is how long ago a control member that hears of a leader may have answered.
@@ -34,29 +35,46 @@
 	mu        sync.Mutex
 	confirmed bool                // the leader has told of the newest one in this life
 	voters    map[string]struct{} // addresses of those that have told what their disks know
-	asking    map[string]struct{} // addresses that have not answered yet
+	asked     map[string]*inquiry // by address
 	told      bool                // open is closed
 }
 
 func newConfirmation(bear int) *confirmation {
-	return &confirmation{majority: bear + 1, open: make(chan struct{}), voters: map[string]struct{}{}, asking: map[string]struct{}{}}
+	return &confirmation{majority: bear + 1, open: make(chan struct{}), voters: map[string]struct{}{}, asked: map[string]*inquiry{}}
 }
 
-// begin notes that an address is being asked; false if it is already.
-func (c *confirmation) begin(address string) bool {
+// inquiry is how an address is asked.
+type inquiry struct {
+	open bool          // it has not answered yet
+	next time.Duration // when it may be asked again
+}
+
+// begin notes that an address is being asked; false if it is already, or was a moment ago.
+func (c *confirmation) begin(address string, now time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, already := c.asking[address]; already {
+	known := c.asked[address]
+	if known == nil {
+		known = &inquiry{}
+		c.asked[address] = known
+	}
+	if known.open || now < known.next {
 		return false
 	}
-	c.asking[address] = struct{}{}
+	known.open = true
 	return true
 }
 
-func (c *confirmation) end(address string) {
+// end notes that an address has answered, or has not.
+func (c *confirmation) end(address string, now time.Duration, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.asking, address)
+	known := c.asked[address]
+	known.open = false
+	known.next = now
+	if answered {
+		known.next += searchInterval
+	}
 }
 
 // confirm notes that the agent holds the newest configuration there was when it asked.
@@ -133,34 +151,35 @@
 // search asks all control members that the agent has heard of.
 func (a *Agent) search(ctx context.Context) {
 	for _, address := range a.members.ControlAddresses() {
-		if !a.confirmation.begin(address) {
+		if !a.confirmation.begin(address, time.Since(a.began)) {
 			continue
 		}
 		go func() {
-			defer a.confirmation.end(address)
-			a.ask(ctx, address)
+			answered := a.ask(ctx, address)
+			a.confirmation.end(address, time.Since(a.began), answered)
 		}()
 	}
 }
 
 // ask brings the agent's copy and a control member's to one state, and has the member confirm the configuration if it
-// hears of a leader.
-func (a *Agent) ask(ctx context.Context, address string) {
+// hears of a leader. It tells whether the member answered.
+func (a *Agent) ask(ctx context.Context, address string) (answered bool) {
 	standing, err := a.members.Sound(ctx, address)
 	if err != nil {
-		return // asked again
+		return false
 	}
 	if standing == message.Durable {
 		a.confirmation.vote(address)
 	}
 	if standing != message.Led || a.confirmation.isConfirmed() {
-		return
+		return true
 	}
 	if err := a.takeNewest(ctx, address); err != nil {
 		a.log.Info().Str("peer", address).Err(err).Msg("configuration not confirmed")
-		return
+		return true
 	}
 	a.confirmation.confirm()
+	return true
 }
 
 // takeNewest takes the newest configuration there is, as the leader knows it.
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -36,6 +36,7 @@
 	standing func() message.Standing
 	snapshot replica.Snapshot
 	peers    map[string]*peers // by prefix
+	first    chan struct{}     // holds the comparison that an empty copy begins with
 }
 
 // New makes a node. onNews is told what has changed, outside of the node's lock and in the caller's goroutine, with the
@@ -43,7 +44,7 @@
 // onBeat is told of each heartbeat. Either may be nil.
 func New(name string, client *rpc.Client, log zerolog.Logger, onNews func([]replica.Entry, string, bool), onBeat func(message.Beat)) *Node {
 	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onNews: onNews, onBeat: onBeat,
-		peers: map[string]*peers{}}
+		peers: map[string]*peers{}, first: make(chan struct{}, 1)}
 	n.snapshot = n.entries.Snapshot()
 	return n
 }
@@ -177,8 +178,31 @@
 	return message.CallBeat.Call(ctx, n.client, address, &beat)
 }
 
+// firstWait is how long a comparison waits for another one while the copy is empty.
+const firstWait = 100 * time.Millisecond
+
+// enter waits, while the copy is empty, for a comparison that is under way: what it brings need not be sent twice. It gives
+// what is to be called at the end.
+func (n *Node) enter(ctx context.Context) (leave func()) {
+	n.mu.Lock()
+	empty := n.entries.Len() == 0
+	n.mu.Unlock()
+	if !empty {
+		return func() {}
+	}
+	select {
+	case n.first <- struct{}{}:
+		return func() { <-n.first }
+	case <-time.After(firstWait):
+	case <-ctx.Done():
+	}
+	return func() {}
+}
+
 // exchange takes what the peer has and this copy lacks, and sends what the peer then asks for.
 func (n *Node) exchange(ctx context.Context, address string, theirs replica.Digest) error {
+	leave := n.enter(ctx)
+	defer leave()
 	n.mu.Lock()
 	digest, held := n.entries.Digest(), n.entries.Held(theirs)
 	n.mu.Unlock()
