--- a/internal/proxy/hints/hints.go
+++ b/internal/proxy/hints/hints.go
@@ -121,6 +121,7 @@
 		}
 	}
 	clear(h.keepers)
+	clear(h.mute)
 }
 
 // Run exchanges hints until the context ends.
