--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -112,12 +113,13 @@
 // An agent whose answers hold nothing is asked again every now and then, not without a pause.
 func TestEmptyAnswersArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := 0
+		var counted atomic.Int64 // each connection has a goroutine of its own
 		told, _ := watched(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
-			if calls++; calls > 1000 {
+			if counted.Add(1) > 1000 {
 				<-req.Context().Done() // asked without end: let time go by
 			}
 		}), &Pace{}, From{}, 10*time.Second)
+		calls := int(counted.Load())
 		if most := int(10*time.Second/pause) + 1; calls > most || calls < most/2 || len(told) > 0 {
 			t.Errorf("%d calls in 10 s, at most %d are wanted; told %s", calls, most, fmt.Sprint(told))
 		}
