--- a/cmd/fleetd/disk.go
+++ b/cmd/fleetd/disk.go
@@ -77,24 +77,46 @@
 	return to.print("BEFORE\n" + before + "\nAFTER\n" + remainsText(remains) + configurationText(configuration) + restoredAdvice)
 }
 
-// openRemains reads the disk of a member that does not run.
+// openRemains reads the disk of a member that does not run. Opening a log writes to it, so whose disk it is, and whether that
+// member runs, is found out on a copy.
 func openRemains(folder string) (*member.Remains, error) {
 	if _, err := os.Stat(filepath.Join(folder, disklog.ControlName)); err != nil {
 		return nil, diskError.New("%s is no data folder of a control member: %w", folder, err)
 	}
-	files, err := disklog.OS(folder)
+	address, err := addressOn(folder)
 	if err != nil {
 		return nil, err
 	}
-	remains, err := member.OpenRemains(files)
+	if running(address) {
+		return nil, diskError.New("something answers at %s, the address of this disk's member: end it first", address)
+	}
+	return remainsIn(folder)
+}
+
+// addressOn is the address of the member whose disk it is, read on a copy.
+func addressOn(folder string) (string, error) {
+	copied, err := os.MkdirTemp("", "fleetd-disk-")
 	if err != nil {
-		return nil, err
+		return "", diskError.Wrap(err)
 	}
-	if address := remains.Self().Address; running(address) {
-		_ = remains.Close() // it was only read
-		return nil, diskError.New("something answers at %s, the address of this disk's member: end it first", address)
+	defer func() { _ = os.RemoveAll(copied) }() // of no more use
+	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
+		return "", diskError.New("%s can't be copied: %w", folder, err)
+	}
+	remains, err := remainsIn(copied)
+	if err != nil {
+		return "", err
+	}
+	return remains.Self().Address, remains.Close()
+}
+
+// remainsIn opens the log in a folder.
+func remainsIn(folder string) (*member.Remains, error) {
+	files, err := disklog.OS(folder)
+	if err != nil {
+		return nil, err
 	}
-	return remains, nil
+	return member.OpenRemains(files)
 }
 
 // running tells whether something takes connections at an address.
