--- a/internal/mesh/membership/contact.go
+++ b/internal/mesh/membership/contact.go
@@ -15,41 +15,49 @@
 // contactRounds is after how many rounds without an answer of a led control member a router looks for another one.
 const contactRounds = 2
 
-// contact is when a control member that hears of a leader answered last. The lock of Membership guards it.
+// contact is when the latest call was sent that a control member answered which hears of a leader. It counts from the
+// sending: an answer that was long on its way says nothing of the time since. The lock of Membership guards it.
 type contact struct {
-	made bool
-	at   time.Duration
+	made   bool
+	sentAt time.Duration
 }
 
-// note takes what stands behind a router that answered a heartbeat.
-func (m *Membership) note(standing message.Standing, err error) {
+// note takes what stands behind a router that answered a call which was sent at a time.
+func (m *Membership) note(sentAt time.Duration, standing message.Standing, err error) {
 	if err != nil || standing != message.Led {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.contact = contact{made: true, at: time.Since(m.began)}
+	if !m.contact.made || sentAt > m.contact.sentAt {
+		m.contact = contact{made: true, sentAt: sentAt}
+	}
 }
 
+// now is the time since this membership began.
+func (m *Membership) now() time.Duration { return time.Since(m.began) }
+
 // IgnoreStanding has this router take any control member for one that hears of a leader, and seek nobody: a deliberate
 // violation, for the tests of the tests.
 func (m *Membership) IgnoreStanding() { m.ignoreStanding = true }
 
-// InContact tells whether, within the limit, a control member has answered that hears of the leader of every partition.
+// InContact tells whether a call that was sent within the limit was answered by a control member that hears of the leader
+// of every partition.
 func (m *Membership) InContact(limit time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ignoreStanding {
 		return true
 	}
-	return m.contact.made && time.Since(m.began)-m.contact.at <= limit
+	return m.contact.made && m.now()-m.contact.sentAt <= limit
 }
 
 // Greet brings this router's copy and that of a router at an address to one state, whether the two know of each other or
 // not, and gives what stands behind the other's.
 func (m *Membership) Greet(ctx context.Context, address string) (message.Standing, error) {
+	sentAt := m.now()
 	standing, err := m.node.Beat(ctx, address, 0)
-	m.note(standing, err)
+	m.note(sentAt, standing, err)
 	return standing, err
 }
 
@@ -65,8 +73,9 @@
 	rests := compared && time.Since(m.began)-last < greetRest
 	m.mu.Unlock()
 	if rests {
+		sentAt := m.now()
 		standing, err := m.node.Standing(ctx, address)
-		m.note(standing, err)
+		m.note(sentAt, standing, err)
 		return standing, err
 	}
 	standing, err := m.Greet(ctx, address)
--- /dev/null
+++ b/internal/mesh/membership/contact_test.go
@@ -0,0 +1,88 @@
+package membership_test
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/rs/zerolog"
+
+	"sumacloft/internal/fleettest/memnet"
+	"sumacloft/internal/mesh/membership"
+	"sumacloft/internal/mesh/message"
+	"sumacloft/internal/mesh/rpc"
+	"sumacloft/internal/mesh/topic"
+)
+
+const (
+	contactLimit = 2 * time.Second
+	slowLink     = 200 * time.Millisecond
+)
+
+// controlMember runs a story of a control member that serves its own calls, and whose starter is at an address.
+func controlMember(t *testing.T, starter string, story func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership)) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		fabric := memnet.New(time.Millisecond)
+		process := fabric.Machine("10.0.0.1").Process()
+		member := membership.New(membership.Config{
+			Prefix:   topic.Controls,
+			Self:     topic.Peer{Node: "own", Address: ownAddress},
+			Starters: []string{ownAddress, starter},
+			Interval: time.Second,
+			Client:   rpc.NewClient(process),
+			Log:      zerolog.Nop(),
+		})
+		own := serveLed(c, process, ownAddress)
+		other := serveLed(c, fabric.Machine("10.0.0.2").Process(), otherAddress)
+		story(c, fabric, member)
+		c.Assert(own.Close(), qt.IsNil)
+		c.Assert(other.Close(), qt.IsNil)
+		time.Sleep(time.Minute) // kept connections end
+	})
+}
+
+// serveLed answers heartbeats at an address as a member that hears of the leader of every partition.
+func serveLed(c *qt.C, process *memnet.Process, address string) *rpc.Server {
+	mux := http.NewServeMux()
+	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
+		return &message.BeatAnswer{Standing: message.Led}, nil
+	})
+	server := rpc.NewServer(process, mux)
+	c.Assert(server.Serve(address), qt.IsNil)
+	return server
+}
+
+// A member that is a starter itself does not take its own answer for a sign that the others hear it.
+func TestMemberIsNotInContactByItsOwnAnswer(t *testing.T) {
+	const nobody = "10.0.0.3:7000"
+	controlMember(t, nobody, func(c *qt.C, _ *memnet.Fabric, member *membership.Membership) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		go member.Run(ctx)
+		c.Assert(member.Starters(), qt.DeepEquals, []string{nobody})
+		for range 60 {
+			time.Sleep(time.Second)
+			c.Assert(member.InContact(contactLimit), qt.IsFalse)
+		}
+	})
+}
+
+// Contact counts from the sending of a call: nothing is known of the time since.
+func TestContactCountsFromTheSendingOfACall(t *testing.T) {
+	controlMember(t, otherAddress, func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership) {
+		c.Assert(member.InContact(contactLimit), qt.IsFalse)
+		_, err := member.Greet(context.Background(), otherAddress)
+		c.Assert(err, qt.IsNil)
+		c.Assert(member.InContact(contactLimit), qt.IsTrue)
+		time.Sleep(contactLimit)
+		fabric.Delay("10.0.0.1", "10.0.0.2", slowLink)
+		_, err = member.Greet(context.Background(), otherAddress) // over the connection that stands
+		c.Assert(err, qt.IsNil)
+		c.Assert(member.InContact(2*slowLink-time.Millisecond), qt.IsFalse)
+		c.Assert(member.InContact(2*slowLink+time.Millisecond), qt.IsTrue)
+	})
+}
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -111,11 +111,18 @@
 	m.config.Starters = addresses
 }
 
-// Starters are the inside addresses of control members to join through.
+// Starters are the inside addresses of control members to join through, without this router's own: an answer of its own
+// is no sign that anybody hears it.
 func (m *Membership) Starters() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.config.Starters
+	var others []string
+	for _, address := range m.config.Starters {
+		if address != m.config.Self.Address {
+			others = append(others, address)
+		}
+	}
+	return others
 }
 
 // Join asks all starters for their state and tells how many answered.
@@ -196,11 +203,12 @@
 }
 
 func (m *Membership) beat(ctx context.Context, address string, incarnation uint64) {
+	sentAt := m.now()
 	standing, err := m.node.Beat(ctx, address, incarnation)
 	if err != nil && ctx.Err() == nil {
 		m.config.Log.Info().Str("peer", address).Err(err).Msg("heartbeat not answered")
 	}
-	m.note(standing, err)
+	m.note(sentAt, standing, err)
 }
 
 // control chooses the control member of this round: mostly one of the own zone, where there is one. Starters stand in
