--- /dev/null
+++ b/internal/control/coordination/model_test.go
@@ -0,0 +1,340 @@
+package coordination_test
+
+import (
+	"fmt"
+	"hash/fnv"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/zeebo/errs"
+
+	"sumacloft/internal/control/coordination"
+	"sumacloft/internal/control/modelcheck"
+)
+
+// The model is the State and the Ages of this package at two members that lead in turn, under all orders of a bounded number
+// of events: two callers that ask for one lock, renew and end it, with answers and entries that are late or lost, a leader
+// that rests for any time between its look and its entry, and changes of leader. What the log itself promises is taken for
+// granted: an entry of a former term is not committed, and only the leader looks.
+const (
+	tickLength = 500 * time.Millisecond
+	holdTicks  = 2
+	lastTick   = 6
+	lockName   = "l"
+)
+
+var broken = errs.Class("broken promise")
+
+// modelFaults break the model's leader on purpose.
+type modelFaults struct {
+	State coordination.Faults
+	// UnloggedBeats has the leader renew from what it knows, without an entry.
+	UnloggedBeats bool
+	// SharedTimes has a new leader count holdings from the start, whenever it applied them.
+	SharedTimes bool
+}
+
+// budget is how often things may still happen.
+type budget struct{ Asks, Beats, Ends, Changes, Losses int }
+
+// caller is one application.
+type caller struct {
+	Fence uint64
+	Until int // tick until which it counts itself the holder
+}
+
+// message is a call that a leader has looked at and may propose at any time, or an answer on its way.
+type message struct {
+	Stage  string // "commit", "answer": what happens to it next
+	Caller int
+	Call   coordination.Call
+	Sent   int // tick
+	At     int // the member that looked
+	Lapsed uint64
+	Answer coordination.Answer
+	Seen   uint64 // highest fence that the other had obtained when the call was sent
+}
+
+// entry is a committed call; When is the tick at which each member applied it, -1 before.
+type entry struct {
+	Message message
+	When    [2]int
+}
+
+type world struct {
+	Tick, Term int
+	Left       budget
+	Callers    [2]caller
+	Messages   []message
+	Log        []entry
+}
+
+func (w world) leader() int { return w.Term % 2 }
+
+// move is one thing that happens.
+type move struct {
+	kind string
+	at   int // a caller, a message or a member
+}
+
+func (m move) String() string { return fmt.Sprint(m.kind, " ", m.at) }
+
+func (w world) moves() []move {
+	var list []move
+	if w.Tick < lastTick {
+		list = append(list, move{"tick", 0})
+	}
+	if w.Left.Changes > 0 {
+		list = append(list, move{"change leader", 0})
+	}
+	for i, c := range w.Callers {
+		holds := c.Until > w.Tick
+		if w.Left.Asks > 0 {
+			list = append(list, move{"ask", i})
+		}
+		if holds && w.Left.Beats > 0 {
+			list = append(list, move{"beat", i})
+		}
+		if holds && w.Left.Ends > 0 {
+			list = append(list, move{"end", i})
+		}
+	}
+	for i, m := range w.Messages {
+		list = append(list, move{m.Stage, i})
+		if w.Left.Losses > 0 {
+			list = append(list, move{"lose", i})
+		}
+	}
+	follower := 1 - w.leader()
+	if slices.ContainsFunc(w.Log, func(e entry) bool { return e.When[follower] < 0 }) {
+		list = append(list, move{"apply", follower})
+	}
+	return list
+}
+
+// member is the state of one member, with its times.
+func (w world) member(number int, faults modelFaults) (*coordination.State, *coordination.Ages) {
+	state, ages := coordination.NewBroken(faults.State), coordination.NewAges()
+	for index, e := range w.Log {
+		if e.When[number] < 0 {
+			break
+		}
+		applied := state.Apply(uint64(index+1), encoded(e.Message))
+		at := time.Duration(e.When[number]) * tickLength
+		if faults.SharedTimes {
+			at = 0
+		}
+		ages.Note(at, state, applied)
+	}
+	return state, ages
+}
+
+func encoded(m message) []byte {
+	command, err := m.Call.Encode(m.Lapsed)
+	if err != nil {
+		panic(err)
+	}
+	return command
+}
+
+func (w world) take(step move, faults modelFaults) (world, error) {
+	next := w
+	next.Messages, next.Log = slices.Clone(w.Messages), slices.Clone(w.Log)
+	switch step.kind {
+	case "tick":
+		next.Tick++
+	case "change leader":
+		next.Left.Changes--
+		next.Term++
+		next.applyAll(next.leader())
+	case "apply":
+		next.applyOne(step.at)
+	case "ask":
+		next.Left.Asks--
+		next.send(step.at, coordination.Call{Kind: coordination.StartLock}, faults)
+	case "beat":
+		next.Left.Beats--
+		next.send(step.at, coordination.Call{Kind: coordination.BeatLock, Fence: w.Callers[step.at].Fence}, faults)
+	case "end":
+		next.Left.Ends--
+		next.send(step.at, coordination.Call{Kind: coordination.FinishLock, Fence: w.Callers[step.at].Fence}, faults)
+		next.Callers[step.at].Until = 0
+	default:
+		m := next.Messages[step.at]
+		next.Messages = slices.Delete(next.Messages, step.at, step.at+1)
+		if step.kind == "lose" {
+			next.Left.Losses--
+			return next, nil
+		}
+		return next, next.follow(m, faults)
+	}
+	return next, nil
+}
+
+func (w *world) send(who int, call coordination.Call, faults modelFaults) {
+	call.Name, call.Owner, call.HoldMS = lockName, fmt.Sprint("owner-", who), uint64((holdTicks * tickLength).Milliseconds())
+	w.look(message{Stage: "commit", Caller: who, Call: call, Sent: w.Tick, At: w.leader(), Seen: w.Callers[1-who].Fence}, faults)
+}
+
+func (w *world) applyOne(number int) {
+	for i := range w.Log {
+		if w.Log[i].When[number] < 0 {
+			w.Log[i].When[number] = w.Tick
+			return
+		}
+	}
+}
+
+func (w *world) applyAll(number int) {
+	for range w.Log {
+		w.applyOne(number)
+	}
+}
+
+// follow takes a message one step further. A member that no longer leads has nothing committed.
+func (w *world) follow(m message, faults modelFaults) error {
+	if m.Stage == "answer" {
+		return w.hear(m)
+	}
+	if m.At == w.leader() {
+		w.commit(m, faults)
+	}
+	return nil
+}
+
+func (w *world) look(m message, faults modelFaults) {
+	state, ages := w.member(m.At, faults)
+	now := time.Duration(w.Tick) * tickLength
+	if m.Call.Kind == coordination.StartLock {
+		lapsed, held := ages.Lapsed(now, state, lockName, m.Call.Owner)
+		if held {
+			return
+		}
+		m.Lapsed = lapsed
+	}
+	if holding, found := state.Holding(lockName); m.Call.Kind == coordination.BeatLock && faults.UnloggedBeats {
+		if !found || holding.Fence != m.Call.Fence {
+			return
+		}
+		m.Stage, m.Answer = "answer", coordination.Answer{Status: coordination.Done}
+	}
+	w.Messages = append(w.Messages, m)
+}
+
+func (w *world) commit(m message, faults modelFaults) {
+	w.Log = append(w.Log, entry{Message: m, When: [2]int{-1, -1}})
+	w.applyAll(w.leader())
+	state := coordination.NewBroken(faults.State)
+	for index, e := range w.Log {
+		m.Answer = state.Apply(uint64(index+1), encoded(e.Message)).Answer
+	}
+	m.Stage = "answer"
+	w.Messages = append(w.Messages, m)
+}
+
+// hear has a caller take an answer.
+func (w *world) hear(m message) error {
+	if m.Answer.Status != coordination.Done || m.Call.Kind == coordination.FinishLock {
+		return nil
+	}
+	own, other := &w.Callers[m.Caller], w.Callers[1-m.Caller]
+	until := m.Sent + holdTicks
+	if m.Call.Kind == coordination.BeatLock {
+		if own.Until > w.Tick && own.Fence == m.Call.Fence {
+			own.Until = max(own.Until, until)
+		}
+	} else {
+		if m.Answer.Fence <= m.Seen {
+			return broken.New("fence %d to %d after %d to the other", m.Answer.Fence, m.Caller, m.Seen)
+		}
+		own.Fence, own.Until = m.Answer.Fence, until
+	}
+	if own.Until > w.Tick && other.Until > w.Tick {
+		return broken.New("both hold the lock at tick %d, until %d and %d", w.Tick, own.Until, other.Until)
+	}
+	return nil
+}
+
+func search(faults modelFaults, left budget, states int) modelcheck.Result[move] {
+	return modelcheck.Run(modelcheck.Model[world, move]{
+		First:   world{Left: left},
+		Actions: world.moves,
+		Take:    func(w world, step move) (world, error) { return w.take(step, faults) },
+		Fingerprint: func(w world) uint64 {
+			sum := fnv.New64a()
+			_, _ = sum.Write(w.bytes()) // a hash takes all
+			return sum.Sum64()
+		},
+	}, modelcheck.Bounds{States: states})
+}
+
+// bytes tells worlds apart.
+func (w world) bytes() []byte {
+	b := []byte{byte(w.Tick), byte(w.Term), byte(w.Left.Asks), byte(w.Left.Beats), byte(w.Left.Ends), byte(w.Left.Changes), byte(w.Left.Losses)}
+	for _, c := range w.Callers {
+		b = append(b, byte(c.Fence), byte(c.Until))
+	}
+	var messages []string
+	for _, m := range w.Messages {
+		messages = append(messages, string(m.bytes()))
+	}
+	slices.Sort(messages) // which was sent first makes no difference
+	b = append(append(b, strings.Join(messages, "")...), 255)
+	for _, e := range w.Log {
+		b = append(append(b, e.Message.bytes()...), byte(e.When[0]), byte(e.When[1]))
+	}
+	return b
+}
+
+func (m message) bytes() []byte {
+	return []byte{m.Stage[0], byte(m.Caller), byte(m.Call.Kind), byte(m.Call.Fence), byte(m.Sent), byte(m.At), byte(m.Lapsed),
+		byte(m.Answer.Status), byte(m.Answer.Fence), byte(m.Seen)}
+}
+
+// statesOf bounds a search: a short one in CI, a long one with LAB_LONG.
+func statesOf(short int) int {
+	if os.Getenv("LAB_LONG") != "" {
+		return 2_000_000
+	}
+	return short
+}
+
+func TestNoOrderOfEventsGivesALockToTwo(t *testing.T) {
+	for name, left := range map[string]budget{
+		"two ask, a renewal, another leader": {Asks: 2, Beats: 1, Changes: 1},
+		"three ask, another leader":          {Asks: 3, Changes: 1},
+		"ends, a lost answer":                {Asks: 3, Ends: 1, Losses: 1},
+		"two changes of leader":              {Asks: 2, Changes: 2, Losses: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			result := search(modelFaults{}, left, statesOf(60_000))
+			t.Log(result)
+			qt.New(t).Assert(result.Violation, qt.IsNil)
+		})
+	}
+}
+
+func TestModelFindsBrokenLeaders(t *testing.T) {
+	for name, given := range map[string]struct {
+		faults modelFaults
+		left   budget
+	}{
+		"a lapse of any holding":        {modelFaults{State: coordination.Faults{GrantLapsed: true}}, budget{Asks: 3}},
+		"renewals that are not logged":  {modelFaults{UnloggedBeats: true}, budget{Asks: 2, Beats: 2}},
+		"times of another's clock":      {modelFaults{SharedTimes: true}, budget{Asks: 2}},
+		"fences that are counted anew":  {modelFaults{State: coordination.Faults{FencePerLock: true}}, budget{Asks: 2, Ends: 1}},
+		"a holder that keeps its fence": {modelFaults{State: coordination.Faults{KeepFence: true}}, budget{Asks: 3, Ends: 1}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			result := search(given.faults, given.left, 1_000_000)
+			t.Log(result)
+			qt.New(t).Assert(result.Violation, qt.IsNotNil)
+		})
+	}
+}
