--- a/internal/control/coordination/call.go
+++ b/internal/control/coordination/call.go
@@ -52,6 +52,8 @@
 	Expected uint64 `cbor:"7,keyasint,omitempty"` // revision that the key must have; 0: it must not exist
 	After    uint64 `cbor:"8,keyasint,omitempty"` // revision above which events are wanted
 	QueueMS  uint64 `cbor:"9,keyasint,omitempty"` // how long a watch waits for the first of them
+	// Always says that the value is put whatever revision the key has; Expected is 0 then.
+	Always bool `cbor:"12,keyasint,omitempty"`
 }
 
 // Scope is the group of names that the call is ordered with: the name itself or, for keys, their group.
--- a/internal/control/coordination/cells.go
+++ b/internal/control/coordination/cells.go
@@ -22,7 +22,7 @@
 
 func (e Event) size() int { return len(e.Key) + len(e.Amount) + eventBytes }
 
-// replace puts a value under a key that has the expected revision. A put that comes again gets the revision that it got
+// replace puts a value under a key that has the expected revision, or under any where none is expected. A put that comes again gets the revision that it got
 // before, as long as it is remembered or its value is still there; values are unique.
 func (s *State) replace(c Call) Outcome {
 	scope := CellGroup(c.Name)
@@ -37,7 +37,7 @@
 		return Outcome{Answer: Answer{Status: Done, Revision: revision}}
 	}
 	current, exists := group.Cells[c.Name]
-	if current.Revision != c.Expected {
+	if current.Revision != c.Expected && !c.Always {
 		return Outcome{Answer: Answer{Status: Different, Revision: current.Revision}}
 	}
 	if !exists {
--- a/internal/control/coordination/state_test.go
+++ b/internal/control/coordination/state_test.go
@@ -68,6 +68,10 @@
 	s.c.Assert(s.put("g.a", "v1", 0), qt.DeepEquals, Answer{Status: Done, Revision: 1})
 	s.c.Assert(s.put("g.a", "v4", 1), qt.DeepEquals, Answer{Status: Different, Revision: 3})
 	s.c.Assert(s.put("g.c", "v5", 2), qt.DeepEquals, Answer{Status: Different})
+	always := Call{Kind: ReplaceCell, Name: "g.d", Amount: "v6", Always: true}
+	s.c.Assert(s.call(always, 0).Revision, qt.Equals, uint64(4))
+	s.c.Assert(s.put("g.d", "v7", 4).Revision, qt.Equals, uint64(5))
+	s.c.Assert(s.call(always, 0).Revision, qt.Equals, uint64(4))
 	s.c.Assert(s.state.Read("g.a"), qt.DeepEquals, Answer{Status: Done, Amount: "v3", Revision: 3})
 	s.c.Assert(s.state.Read("g.c").Status, qt.Equals, Missing)
 }
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -41,12 +41,13 @@
 	mux.HandleFunc("GET /v1/watch/{id}", watches.get)
 }
 
-// field is a part of a call that has to be there.
+// field is a part of a call.
 type field struct {
-	name  string
-	kind  gjson.Type
-	most  uint64 // of a number
-	bytes int    // of a text
+	name     string
+	kind     gjson.Type
+	most     uint64 // of a number
+	bytes    int    // of a text
+	optional bool   // it may be missing
 }
 
 var (
@@ -54,13 +55,14 @@
 	holdField     = field{name: "hold_ms", kind: gjson.Number, most: holdLimitMS}
 	fenceField    = field{name: "fence_number", kind: gjson.Number, most: 1 << 62}
 	amountField   = field{name: "amount", kind: gjson.String, bytes: amountLimit}
-	expectedField = field{name: "expected", kind: gjson.Number, most: 1 << 62}
+	expectedField = field{name: "expected", kind: gjson.Number, most: 1 << 62, optional: true}
 )
 
 // wrongWith says what is wrong with the field in a call's body; empty: nothing.
 func (f field) wrongWith(body []byte) string {
 	value := gjson.GetBytes(body, f.name)
 	switch {
+	case f.optional && !value.Exists():
 	case value.Type != f.kind:
 		return f.name + ": give it, as a " + map[gjson.Type]string{gjson.String: "text", gjson.Number: "whole number"}[f.kind]
 	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.bytes):
@@ -93,7 +95,9 @@
 	call.HoldMS = gjson.GetBytes(body, holdField.name).Uint()
 	call.Fence = gjson.GetBytes(body, fenceField.name).Uint()
 	call.Amount = gjson.GetBytes(body, amountField.name).Str
-	call.Expected = gjson.GetBytes(body, expectedField.name).Uint()
+	expected := gjson.GetBytes(body, expectedField.name)
+	call.Expected = expected.Uint()
+	call.Always = kind == coordination.ReplaceCell && !expected.Exists()
 	return call, true
 }
 
--- a/internal/fleettest/application.go
+++ b/internal/fleettest/application.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"math"
 	"net/http"
 	"strings"
 	"time"
@@ -109,12 +110,24 @@
 
 // Put puts a value, once.
 func (a *Application) Put(at *Control, key, amount string, expected uint64) reply {
+	return a.put(at, key, amount, expected, fmt.Sprintf(`{"amount":%q,"expected":%d}`, amount, expected))
+}
+
+// PutAlways puts a value whatever revision the key has, once.
+func (a *Application) PutAlways(at *Control, key, amount string) reply {
+	return a.put(at, key, amount, anyRevision, fmt.Sprintf(`{"amount":%q}`, amount))
+}
+
+func (a *Application) put(at *Control, key, amount string, expected uint64, body string) reply {
 	sent := a.fleet.Now()
-	got := a.call(at, http.MethodPost, "/v1/Cells.Replace/"+key, fmt.Sprintf(`{"amount":%q,"expected":%d}`, amount, expected), applicationWait)
+	got := a.call(at, http.MethodPost, "/v1/Cells.Replace/"+key, body, applicationWait)
 	a.notes.put(key, amount, expected, got, sent, a.fleet.Now())
 	return got
 }
 
+// anyRevision is the expected revision of a put that expects none.
+const anyRevision = math.MaxUint64
+
 // Read reads a key, once.
 func (a *Application) Read(at *Control, key string) reply {
 	sent := a.fleet.Now()
--- a/internal/fleettest/coordination_test.go
+++ b/internal/fleettest/coordination_test.go
@@ -174,8 +174,12 @@
 			continue
 		}
 		amount := fmt.Sprintf("%s.%d", a.Owner, turn)
+		put := func() reply { return a.Put(f.anyControl(), key, amount, read.Revision) }
+		if rand.IntN(3) == 0 {
+			put = func() reply { return a.PutAlways(f.anyControl(), key, amount) }
+		}
 		for range 6 {
-			if a.Put(f.anyControl(), key, amount, read.Revision).clear() {
+			if put().clear() {
 				break
 			}
 		}
