--- a/examples/fleetd/demo.go
+++ b/examples/fleetd/demo.go
@@ -57,6 +57,7 @@
 	fleetd string
 	folder string
 	out    io.Writer
+	stays  bool // until the context ends
 	// in the order in which they are to end
 	workers, edges, controls []*child
 }
@@ -75,6 +76,10 @@
 			return err
 		}
 	}
+	if d.stays {
+		d.say("\nThe fleet stays until Ctrl-C. Its control members: %s", strings.Join(steering(), ","))
+		<-ctx.Done()
+	}
 	return nil
 }
 
--- a/examples/fleetd/main.go
+++ b/examples/fleetd/main.go
@@ -25,6 +25,7 @@
 // runCommand runs the demo.
 type runCommand struct {
 	Fleetd string `default:"bin/fleetd" help:"Path of the fleetd program."`
+	Stay   bool   `help:"Keep the fleet until Ctrl-C, for programs of your own."`
 }
 
 // Run starts the fleet, uses it and ends it.
@@ -33,7 +34,7 @@
 	if err != nil {
 		return demoError.Wrap(err)
 	}
-	d := &demo{fleetd: c.Fleetd, folder: folder, out: os.Stdout}
+	d := &demo{fleetd: c.Fleetd, folder: folder, out: os.Stdout, stays: c.Stay}
 	err = d.run(ctx)
 	d.end()
 	if err != nil {
