--- a/internal/control/reconfigure/reconfigure.go
+++ b/internal/control/reconfigure/reconfigure.go
@@ -120,9 +120,6 @@
 	return consensus.Membership{}, false
 }
 
-// MayLeave tells whether a member may end; see HoldOf.
-func MayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == Free }
-
 // HoldOf says why a member that was told to end has to go on. It is Free once it votes no more, or once without it a
 // majority of all voters lives, stays and holds all that is committed, and nobody is about to take its place.
 func HoldOf(s Situation, id consensus.MemberID) Hold {
--- a/internal/control/reconfigure/reconfigure_test.go
+++ b/internal/control/reconfigure/reconfigure_test.go
@@ -16,6 +16,9 @@
 	return consensus.Member{ID: consensus.MemberID(id), Address: "10.0.0." + string(rune('0'+id)), Node: "n"}
 }
 
+// mayLeave tells whether a member may end.
+func mayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == Free }
+
 // situation is that of leader 1 with voters 1 to voters and further learners, all of them up to date and just heard.
 func situation(voters, learners int) Situation {
 	s := Situation{Now: now, Leading: now, Target: 3, Settled: 100}
@@ -117,19 +120,19 @@
 	// Given a voter that is about to end, and a learner that can take its place
 	s := situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
-	c.Assert(MayLeave(s, 2), qt.IsFalse)
+	c.Assert(mayLeave(s, 2), qt.IsFalse)
 	// then the learner votes first, so that no loss is borne worse meanwhile,
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2, 3, 4})
 	s.Status.Membership = next
-	c.Assert(MayLeave(s, 2), qt.IsFalse)
+	c.Assert(mayLeave(s, 2), qt.IsFalse)
 	// and the other is dropped after it; only then it may end.
 	next, change = Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3, 4})
 	s.Status.Membership = next
-	c.Assert(MayLeave(s, 2), qt.IsTrue)
+	c.Assert(mayLeave(s, 2), qt.IsTrue)
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
 }
@@ -148,7 +151,7 @@
 	s.Status.Members[3].Match = 0
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
-	c.Assert(MayLeave(s, 2), qt.IsFalse)
+	c.Assert(mayLeave(s, 2), qt.IsFalse)
 	// The build without this rule drops it, and is left with one that is silent.
 	s = situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
@@ -165,24 +168,24 @@
 	s := situation(3, 0)
 	s.Leaving = []consensus.MemberID{3}
 	s.Status.Members[1].Match = 99
-	c.Assert(MayLeave(s, 3), qt.IsFalse)
+	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	// once the other has it, it may,
 	s.Status.Members[1].Match = 100
-	c.Assert(MayLeave(s, 3), qt.IsTrue)
+	c.Assert(mayLeave(s, 3), qt.IsTrue)
 	// unless the other is silent, or about to end too, or the membership changes.
 	s.Status.Members[1].LastContact = now - answerLimit - 1
-	c.Assert(MayLeave(s, 3), qt.IsFalse)
+	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	s = situation(3, 0)
 	s.Leaving = []consensus.MemberID{2, 3}
-	c.Assert(MayLeave(s, 3), qt.IsFalse)
+	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	s = situation(3, 0)
 	s.Status.MembershipPending = true
-	c.Assert(MayLeave(s, 3), qt.IsFalse)
+	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	// Of five, one may be silent.
 	s = situation(5, 0)
 	s.Target = 5
 	s.Status.Members[1].LastContact = now - time.Minute
-	c.Assert(MayLeave(s, 3), qt.IsTrue)
+	c.Assert(mayLeave(s, 3), qt.IsTrue)
 }
 
 func TestSilentVoterBeyondTheWantedOnesIsDropped(t *testing.T) {
