--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -31,13 +31,14 @@
 	locks := &lockHandler{calls: calls}
 	numbers := &numberHandler{calls: calls}
 	cells := &cellHandler{calls: calls}
-	watches := &watchHandler{calls: calls}
-	mux.HandleFunc("POST /v1/Locks.Start/{id}", locks.start)
-	mux.HandleFunc("POST /v1/Locks.Beat/{id}", locks.beat)
-	mux.HandleFunc("POST /v1/Locks.Finish/{id}", locks.finish)
-	mux.HandleFunc("POST /v1/numbers/{id}", numbers.post)
-	mux.HandleFunc("POST /v1/Cells.Replace/{id}", cells.replace)
-	mux.HandleFunc("GET /v1/Cells.Read/{id}", cells.read)
+	watches := &watchHandler{calls: calls} // bounded where they wait
+	limit := &callerLimit{}
+	mux.HandleFunc("POST /v1/Locks.Start/{id}", limit.wrap(locks.start))
+	mux.HandleFunc("POST /v1/Locks.Beat/{id}", limit.wrap(locks.beat))
+	mux.HandleFunc("POST /v1/Locks.Finish/{id}", limit.wrap(locks.finish))
+	mux.HandleFunc("POST /v1/numbers/{id}", limit.wrap(numbers.post))
+	mux.HandleFunc("POST /v1/Cells.Replace/{id}", limit.wrap(cells.replace))
+	mux.HandleFunc("GET /v1/Cells.Read/{id}", limit.wrap(cells.read))
 	mux.HandleFunc("GET /v1/watch/{id}", watches.get)
 }
 
--- a/internal/control/steering/coordination_test.go
+++ b/internal/control/steering/coordination_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -121,3 +122,48 @@
 	c.Assert((&decider{}).ask(http.MethodGet, "/v1/watch/g.?after=x", "").Code, qt.Equals, http.StatusBadRequest)
 	c.Assert((&decider{}).ask(http.MethodGet, "/v1/watch/g.?queue_ms=-1", "").Code, qt.Equals, http.StatusBadRequest)
 }
+
+// waiter answers calls once it is told to.
+type waiter struct {
+	begun chan struct{}
+	goOn  chan struct{}
+}
+
+func (w *waiter) Do(context.Context, coordination.Call) coordination.Answer {
+	w.begun <- struct{}{}
+	<-w.goOn
+	return coordination.Answer{Status: coordination.Done}
+}
+
+func TestCallerThatRepeatsAtOnceAndOftenStarvesNoOther(t *testing.T) {
+	c := qt.New(t)
+	calls := &waiter{begun: make(chan struct{}), goOn: make(chan struct{})}
+	handler := steering.Handler(&stub{}, &stub{}, calls)
+	ask := func(caller string) *httptest.ResponseRecorder {
+		answer := httptest.NewRecorder()
+		request := httptest.NewRequest(http.MethodPost, "/v1/numbers/n", strings.NewReader("{}"))
+		request.RemoteAddr = caller
+		handler.ServeHTTP(answer, request)
+		return answer
+	}
+	// Given a caller with 64 calls that are worked on,
+	answers := make(chan int, 65)
+	for port := range 64 {
+		go func() { answers <- ask(fmt.Sprintf("10.0.0.1:%d", 1000+port)).Code }()
+		<-calls.begun
+	}
+	// then a further one is refused at once, and another caller is not.
+	refused := ask("10.0.0.1:9999")
+	c.Assert(refused.Code, qt.Equals, http.StatusTooManyRequests)
+	c.Assert(refused.Header().Get("Retry-After"), qt.Equals, "1")
+	go func() { answers <- ask("10.0.0.2:1000").Code }()
+	<-calls.begun
+	close(calls.goOn)
+	for range 65 {
+		c.Assert(<-answers, qt.Equals, http.StatusOK)
+	}
+	// Once they are answered there is room again.
+	go func() { answers <- ask("10.0.0.1:9999").Code }()
+	<-calls.begun
+	c.Assert(<-answers, qt.Equals, http.StatusOK)
+}
