--- a/internal/control/coordination/snapshot.go
+++ b/internal/control/coordination/snapshot.go
@@ -2,19 +2,19 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// snapshotFormat is the format of snapshots; it rises when an older release can no longer read them.
-const snapshotFormat = 1
+// snapshotLayout is the layout of snapshots; it rises when an older release can no longer read them.
+const snapshotLayout = 1
 
 // snapshot is a State as it is stored and sent to other replicas.
 type snapshot struct {
-	Format int                   `cbor:"1,keyasint"`
+	Layout int                   `cbor:"1,keyasint"`
 	Locks  map[string]*Holding   `cbor:"2,keyasint,omitempty"`
 	Cells  map[string]*cellGroup `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot is the whole state.
 func (s *State) Snapshot() []byte {
-	encoded, err := cbor.Marshal(snapshot{Format: snapshotFormat, Locks: s.locks, Cells: s.cells})
+	encoded, err := cbor.Marshal(snapshot{Layout: snapshotLayout, Locks: s.locks, Cells: s.cells})
 	if err != nil {
 		panic(err) // plain structs can always be encoded
 	}
@@ -29,8 +29,8 @@
 		if err := cbor.Unmarshal(encoded, &stored); err != nil {
 			return Error.New("a snapshot can't be read, restore this replica from another one: %w", err)
 		}
-		if stored.Format != snapshotFormat {
-			return Error.New("snapshot has format %d and %d is known; run a release that knows it", stored.Format, snapshotFormat)
+		if stored.Layout != snapshotLayout {
+			return Error.New("snapshot has layout %d and %d is known; run a release that knows it", stored.Layout, snapshotLayout)
 		}
 		next.take(stored)
 	}
--- a/internal/imports/imports_test.go
+++ b/internal/imports/imports_test.go
@@ -24,19 +24,20 @@
 // decisions are the decision packages of the fleet, each with the packages of this module that it may import: those
 // below it.
 var decisions = map[string][]string{
-	"brain":                        nil,
-	"internal/opconf":              nil,
-	"internal/control/consensus":   nil,
-	"internal/control/reconfigure": {"internal/control/consensus"},
-	"internal/control/configstate": {"internal/opconf"},
-	"internal/control/registry":    {"internal/mesh/replica", "internal/mesh/tombstone"},
-	"internal/control/phases":      nil,
-	"internal/mesh/ring":           nil,
-	"internal/mesh/detector":       nil,
-	"internal/mesh/replica":        nil,
-	"internal/mesh/tombstone":      {"internal/mesh/replica"},
-	"internal/proxy/budget":        nil,
-	"internal/proxy/events":        nil,
+	"brain":                         nil,
+	"internal/opconf":               nil,
+	"internal/control/consensus":    nil,
+	"internal/control/reconfigure":  {"internal/control/consensus"},
+	"internal/control/configstate":  {"internal/opconf"},
+	"internal/control/coordination": nil,
+	"internal/control/registry":     {"internal/mesh/replica", "internal/mesh/tombstone"},
+	"internal/control/phases":       nil,
+	"internal/mesh/ring":            nil,
+	"internal/mesh/detector":        nil,
+	"internal/mesh/replica":         nil,
+	"internal/mesh/tombstone":       {"internal/mesh/replica"},
+	"internal/proxy/budget":         nil,
+	"internal/proxy/events":         nil,
 }
 
 // pure are the packages outside of this module that have neither I/O, clock nor goroutines.
