--- a/internal/control/member/locklist.go
+++ b/internal/control/member/locklist.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"net/http"
 	"slices"
 
@@ -119,10 +118,7 @@
 		return true, nil
 	}
 	if len(listed.Unknown) > 0 {
-		return false, errNoLeader
+		return false, Error.New("partitions %v have no leader that can be reached: try again in a second, and look at fleetd status", listed.Unknown)
 	}
 	return false, nil
 }
-
-// errNoLeader says that not all partitions could be asked.
-var errNoLeader = errors.New("a partition has no leader that can be reached: try again in a second, and look at fleetd status")
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -59,13 +59,21 @@
 	expectedField = field{name: "expected", kind: gjson.Number, most: 1 << 62, optional: true}
 )
 
+// wanted names the kind of value that the field takes.
+func (f field) wanted() string {
+	if f.kind == gjson.String {
+		return "text"
+	}
+	return "whole number"
+}
+
 // wrongWith says what is wrong with the field in a call's body; empty: nothing.
 func (f field) wrongWith(body []byte) string {
 	value := gjson.GetBytes(body, f.name)
 	switch {
 	case f.optional && !value.Exists():
 	case value.Type != f.kind:
-		return f.name + ": give it, as a " + map[gjson.Type]string{gjson.String: "text", gjson.Number: "whole number"}[f.kind]
+		return f.name + ": give it, as a " + f.wanted()
 	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.bytes):
 		return f.name + ": give 1 to " + strconv.Itoa(f.bytes) + " bytes"
 	case f.kind == gjson.Number && (value.Num < 0 || value.Uint() > f.most || value.Num != float64(value.Uint())):
--- a/internal/fleettest/coordinationnotes.go
+++ b/internal/fleettest/coordinationnotes.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// holds tells until when a caller counts itself the holder.
+// until tells until when a caller counts itself the holder.
 func (n *coordinationNotes) until(a *Application, lock string, fence uint64) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
