--- a/internal/control/steering/cells.go
+++ b/internal/control/steering/cells.go
@@ -22,9 +22,8 @@
 	if !ok {
 		return
 	}
-	answer := h.calls.Do(request.Context(), call)
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
+	answer, ok := decide(w, request, h.calls, call)
+	if !ok {
 		return
 	}
 	answerJSON(w, http.StatusOK, revisionAnswer{Revision: answer.Revision})
@@ -32,9 +31,8 @@
 
 func (h *cellHandler) read(w http.ResponseWriter, request *http.Request) {
 	call := coordination.Call{Kind: coordination.ReadCell, Name: request.PathValue("id")}
-	answer := h.calls.Do(request.Context(), call)
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
+	answer, ok := decide(w, request, h.calls, call)
+	if !ok {
 		return
 	}
 	answerJSON(w, http.StatusOK, cellAnswer{Amount: answer.Amount, Revision: answer.Revision})
@@ -68,14 +66,13 @@
 		fail(w, http.StatusBadRequest, "queue_ms: give for how many milliseconds to wait")
 		return
 	}
-	answer := h.calls.Do(request.Context(), coordination.Call{
+	answer, ok := decide(w, request, h.calls, coordination.Call{
 		Kind:    coordination.WatchCells,
 		Name:    coordination.CellGroup(request.PathValue("id")),
 		After:   after,
 		QueueMS: min(queue, queueLimitMS),
 	})
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
+	if !ok {
 		return
 	}
 	told := eventsAnswer{Events: []eventAnswer{}, Revision: answer.Revision}
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -110,6 +110,16 @@
 	return call, true
 }
 
+// decide has a call decided; false says that it was not done, and was answered so.
+func decide(w http.ResponseWriter, request *http.Request, calls Coordination, call coordination.Call) (coordination.Answer, bool) {
+	answer := calls.Do(request.Context(), call)
+	if answer.Status != coordination.Done {
+		failCall(w, answer)
+		return answer, false
+	}
+	return answer, true
+}
+
 // failCall answers a call that was not done.
 func failCall(w http.ResponseWriter, answer coordination.Answer) {
 	switch answer.Status {
--- a/internal/control/steering/locks.go
+++ b/internal/control/steering/locks.go
@@ -24,9 +24,8 @@
 	if !ok {
 		return
 	}
-	answer := h.calls.Do(request.Context(), call)
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
+	answer, ok := decide(w, request, h.calls, call)
+	if !ok {
 		return
 	}
 	answerJSON(w, http.StatusOK, fenceAnswer{Fence: answer.Fence})
@@ -48,12 +47,9 @@
 
 // plain answers a call whose answer says nothing more.
 func (h *lockHandler) plain(w http.ResponseWriter, request *http.Request, call coordination.Call) {
-	answer := h.calls.Do(request.Context(), call)
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
-		return
+	if _, ok := decide(w, request, h.calls, call); ok {
+		reply(w, []byte("{}"))
 	}
-	reply(w, []byte("{}"))
 }
 
 // numberHandler serves numbers that rise.
@@ -64,9 +60,8 @@
 	if !ok {
 		return
 	}
-	answer := h.calls.Do(request.Context(), call)
-	if answer.Status != coordination.Done {
-		failCall(w, answer)
+	answer, ok := decide(w, request, h.calls, call)
+	if !ok {
 		return
 	}
 	answerJSON(w, http.StatusOK, numberAnswer{Amount: answer.Number})
