--- a/internal/proxy/front/crossed_test.go
+++ b/internal/proxy/front/crossed_test.go
@@ -66,8 +66,9 @@
 	return err == nil
 }
 
-// late writes a surplus answer some time later. What comes at once needs no timer: under the race detector one that is due
-// already crashes in a bubble of synctest that has run no other.
+// late writes a surplus answer some time later. What comes at once needs no timer: in a bubble of synctest one that is due
+// already is run by whoever sets it, with the race context of the bubble, and the detector crashes where two threads use it
+// at once.
 func late(connection *memnet.Conn, text string) {
 	wait := time.Duration(rand.IntN(90)) * time.Millisecond
 	if wait == 0 {
