--- a/internal/control/member/coordinate.go
+++ b/internal/control/member/coordinate.go
@@ -108,16 +108,6 @@
 	return coordination.Answer{Status: coordination.Elsewhere}
 }
 
-// pause waits, and tells whether the context goes on.
-func pause(ctx context.Context, length time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(length):
-		return true
-	}
-}
-
 // attempt has a call answered here, or by the leader where that is another member.
 func (c *coordinator) attempt(ctx context.Context, call coordination.Call) coordination.Answer {
 	answer, leader := c.lead(ctx, call)
@@ -150,9 +140,7 @@
 	machine := c.machines[group]
 	switch call.Kind {
 	case coordination.ReadCell:
-		var answer coordination.Answer
-		err := c.member.host.Read(ctx, group, func() { answer = machine.state.Read(call.Name) })
-		return answered(answer, err)
+		return c.look(ctx, group, func() coordination.Answer { return machine.state.Read(call.Name) })
 	case coordination.WatchCells:
 		return c.wait(ctx, group, call)
 	case coordination.StartLock:
@@ -161,6 +149,16 @@
 	return c.propose(ctx, group, call, 0)
 }
 
+// look gives what a look at the partition's state tells, if this member leads it. A look may still run once the context has
+// ended; nobody takes its answer then.
+func (c *coordinator) look(ctx context.Context, group partition.Group, at func() coordination.Answer) (coordination.Answer, string) {
+	told := make(chan coordination.Answer, 1)
+	if err := c.member.host.Read(ctx, group, func() { told <- at() }); err != nil {
+		return answered(coordination.Answer{}, err)
+	}
+	return <-told, ""
+}
+
 // start has a lock granted. A holding of another counts as lapsed by this leader's own clock alone, and the command names
 // it: if it was renewed meanwhile, or another leader granted the lock, the command changes nothing.
 func (c *coordinator) start(ctx context.Context, group partition.Group, call coordination.Call) (coordination.Answer, string) {
--- a/internal/control/member/coordmachine.go
+++ b/internal/control/member/coordmachine.go
@@ -13,13 +13,13 @@
 const coordinationSnapshotEntries = 4096
 
 // coordinationMachine is the state machine of one partition of applications' names, with the times at which this member
-// applied what it holds. It serves partition.ApplicationMachine; all of it belongs to the host's goroutine.
+// applied what it holds. It serves partition.ApplicationMachine; all of it but the waiters belongs to the host's goroutine.
 type coordinationMachine struct {
 	state   *coordination.State
 	ages    *coordination.Ages
 	now     func() time.Duration
 	log     zerolog.Logger
-	waiting map[string]chan struct{} // by group of keys; closed at its next put
+	waiters *waiters
 }
 
 func newCoordinationMachine(now func() time.Duration, log zerolog.Logger, faults coordination.Faults) *coordinationMachine {
@@ -28,7 +28,7 @@
 		ages:    coordination.NewAges(),
 		now:     now,
 		log:     log,
-		waiting: map[string]chan struct{}{},
+		waiters: newWaiters(),
 	}
 }
 
@@ -37,7 +37,7 @@
 	outcome := s.state.Apply(index, command)
 	s.ages.Note(s.now(), s.state, outcome)
 	if outcome.Put != "" {
-		s.wake(outcome.Put)
+		s.waiters.wake(outcome.Put)
 	}
 	return outcome.Answer
 }
@@ -51,28 +51,9 @@
 		return err
 	}
 	s.ages.Restart(s.now(), s.state)
-	for scope := range s.waiting {
-		s.wake(scope)
-	}
+	s.waiters.wakeAll()
 	return nil
 }
 
 // SnapshotEntries serves partition.ApplicationMachine.
 func (s *coordinationMachine) SnapshotEntries() int { return coordinationSnapshotEntries }
-
-func (s *coordinationMachine) wake(scope string) {
-	if waiting := s.waiting[scope]; waiting != nil {
-		close(waiting)
-		delete(s.waiting, scope)
-	}
-}
-
-// news gives a channel that is closed at the next put in a group of keys.
-func (s *coordinationMachine) news(scope string) <-chan struct{} {
-	waiting := s.waiting[scope]
-	if waiting == nil {
-		waiting = make(chan struct{})
-		s.waiting[scope] = waiting
-	}
-	return waiting
-}
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -147,10 +147,8 @@
 			return err
 		}
 		m.log.Warn().Err(err).Msg("the disk refuses writes")
-		select {
-		case <-ctx.Done():
+		if !pause(ctx, openRetry) {
 			return err
-		case <-time.After(openRetry):
 		}
 	}
 }
--- a/internal/control/member/orders.go
+++ b/internal/control/member/orders.go
@@ -94,14 +94,22 @@
 		if err == nil {
 			return answer, nil
 		}
-		select {
-		case <-ctx.Done():
+		if !pause(ctx, leaderPause) {
 			return nil, err
-		case <-time.After(leaderPause):
 		}
 	}
 }
 
+// pause waits, and tells whether the context goes on.
+func pause(ctx context.Context, length time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(length):
+		return true
+	}
+}
+
 // lead decides an order, if this member leads the partition.
 func (o *orders) lead(ctx context.Context, question *message.Order) (*message.OrderAnswer, error) {
 	value, err := o.member.host.Propose(ctx, settingsGroup, question.Order)
--- a/internal/control/member/watch.go
+++ b/internal/control/member/watch.go
@@ -40,24 +40,19 @@
 	machine := c.machines[group]
 	end := c.member.now() + time.Duration(call.QueueMS)*time.Millisecond
 	for {
-		var answer coordination.Answer
-		var news <-chan struct{}
-		err := c.member.host.Read(ctx, group, func() {
-			answer = machine.state.Watch(call.Name, call.After)
-			news = machine.news(call.Name)
-		})
+		joined := machine.waiters.join(call.Name) // before the look: no put is missed
+		answer, leader := c.look(ctx, group, func() coordination.Answer { return machine.state.Watch(call.Name, call.After) })
 		left := end - c.member.now()
-		if err != nil || answer.Status != coordination.Done || call.After == 0 || len(answer.Events) > 0 || left <= 0 {
-			return answered(answer, err)
+		waits := answer.Status == coordination.Done && call.After != 0 && len(answer.Events) == 0 && left > 0
+		if waits {
+			joined.wait(ctx, min(left, watchLook))
 		}
-		look := time.NewTimer(min(left, watchLook))
-		select {
-		case <-news:
-		case <-look.C:
-		case <-ctx.Done():
-			look.Stop()
+		machine.waiters.leave(call.Name, joined)
+		switch {
+		case !waits:
+			return answer, leader
+		case ctx.Err() != nil:
 			return coordination.Answer{Status: coordination.Elsewhere}, ""
 		}
-		look.Stop()
 	}
 }
