--- a/cmd/fleetd/coordination.go
+++ b/cmd/fleetd/coordination.go
@@ -1,15 +1,12 @@
 package main
 
 import (
-	"context"
 	"fmt"
-	"strconv"
+	"slices"
 	"time"
 
 	"sumacloft/internal/control/coordination"
 	"sumacloft/internal/control/member"
-	"sumacloft/internal/mesh/network"
-	"sumacloft/internal/mesh/rpc"
 	"sumacloft/internal/status"
 )
 
@@ -36,17 +33,33 @@
 	return to.print(locksText(answer.Locks))
 }
 
+// free ends whatever holding of the lock is listed. The next holder's fence is higher; until the old holder's next call it
+// does not know that it has lost the lock, so what it writes must be fenced.
 func (c *locksCommand) free(to *streams) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
-	defer cancel()
-	freed, err := member.FreeLock(ctx, rpc.NewClient(network.System{}), c.Address, c.Free)
+	listed, err := ask(member.CallLocks, c.Address, &member.LocksQuestion{})
 	if err != nil {
-		return askError.Wrap(err)
+		return err
+	}
+	place := slices.IndexFunc(listed.Locks, func(held member.LockHeld) bool { return held.Name == c.Free })
+	switch {
+	case place >= 0:
+		return c.finish(to, listed.Locks[place])
+	case len(listed.Unknown) > 0:
+		return askError.New("partitions %v have no leader that can be reached: try again in a second, and look at fleetd status", listed.Unknown)
+	}
+	return to.note("nobody holds the lock " + c.Free + "\n")
+}
+
+func (c *locksCommand) finish(to *streams, held member.LockHeld) error {
+	call := &coordination.Call{Kind: coordination.FinishLock, Name: held.Name, Owner: held.Owner, Fence: held.Fence}
+	answer, err := ask(member.CallApplication, c.Address, call)
+	if err != nil {
+		return err
 	}
-	if !freed {
-		return to.note("nobody holds the lock " + c.Free + "\n")
+	if answer.Status != coordination.Done {
+		return askError.New("the lock is not known to be free (%v): list the locks and try again", answer.Status)
 	}
-	return to.print("the lock " + c.Free + " is free\n")
+	return to.print("the lock " + held.Name + " is free\n")
 }
 
 func locksText(locks []member.LockHeld) string {
@@ -55,7 +68,7 @@
 	}
 	list := newTable("LOCK", "OWNER", "FENCE", "HELD FOR", "LEFT")
 	for _, held := range locks {
-		list.row(held.Name, held.Owner, strconv.FormatUint(held.Fence, 10),
+		list.row(held.Name, held.Owner, decimal(held.Fence),
 			(time.Duration(held.HoldMS) * time.Millisecond).String(), (time.Duration(held.LeftMS) * time.Millisecond).String())
 	}
 	return list.String()
@@ -124,7 +137,7 @@
 	}
 	list := newTable("CALLS OF APPLICATIONS", "OUTCOME", "COUNT")
 	for _, one := range calls {
-		list.row(one.Kind, one.Outcome, strconv.FormatUint(one.Count, 10))
+		list.row(one.Kind, one.Outcome, decimal(one.Count))
 	}
 	return "\n" + list.String()
 }
--- a/internal/control/coordination/ages.go
+++ b/internal/control/coordination/ages.go
@@ -10,8 +10,8 @@
 	lapseMargin = 20 * time.Millisecond
 	// sweepAfter is how long after its time a holding is dropped that nobody asked for.
 	sweepAfter = 10 * time.Second
-	// MaxSwept bounds what one sweep names.
-	MaxSwept = 256
+	// maxSwept bounds what one sweep names.
+	maxSwept = 256
 	// trimLeast is how many old events a group has before they are dropped: each sweep is an entry of the log.
 	trimLeast = 64
 )
@@ -50,7 +50,7 @@
 		}
 	}
 	if outcome.Put != "" {
-		a.mark(now, outcome.Put, outcome.Events)
+		a.mark(now, outcome.Put, outcome.Revision)
 	}
 }
 
@@ -102,7 +102,7 @@
 func (a *Ages) Sweep(now time.Duration, state *State, history time.Duration) Sweep {
 	var sweep Sweep
 	state.Holdings(func(name string, held Holding) {
-		if len(sweep.Lapsed) < MaxSwept && a.Left(now, name, held) < -sweepAfter {
+		if len(sweep.Lapsed) < maxSwept && a.Left(now, name, held) < -sweepAfter {
 			sweep.Lapsed = append(sweep.Lapsed, Lapsed{Name: name, Sequence: held.Sequence})
 		}
 	})
@@ -114,7 +114,7 @@
 	for scope, marks := range a.marks {
 		upTo := a.passed(now-history, scope, marks)
 		group := state.cells[scope]
-		if group != nil && len(sweep.Trims) < MaxSwept && upTo >= group.Floor+trimLeast {
+		if group != nil && len(sweep.Trims) < maxSwept && upTo >= group.Floor+trimLeast {
 			sweep.Trims = append(sweep.Trims, Trim{Scope: scope, UpTo: upTo})
 		}
 	}
--- a/internal/control/coordination/cells.go
+++ b/internal/control/coordination/cells.go
@@ -50,7 +50,7 @@
 	group.Revision++
 	group.Cells[c.Name] = cell{Amount: c.Amount, Revision: group.Revision}
 	s.remember(group, Event{Key: c.Name, Amount: c.Amount, Revision: group.Revision})
-	return Outcome{Answer: Answer{Status: Done, Revision: group.Revision}, Put: scope, Events: group.Revision}
+	return Outcome{Answer: Answer{Status: Done, Revision: group.Revision}, Put: scope}
 }
 
 // revisionOf finds a put that took effect before.
@@ -111,11 +111,3 @@
 	answer.Events = group.Events[first:len(group.Events):len(group.Events)]
 	return answer
 }
-
-// Revision is that of a group's latest put.
-func (s *State) Revision(scope string) uint64 {
-	if group := s.cells[scope]; group != nil {
-		return group.Revision
-	}
-	return 0
-}
--- a/internal/control/coordination/state.go
+++ b/internal/control/coordination/state.go
@@ -40,9 +40,8 @@
 // Outcome is what a command did: the answer to its caller, and what it touched.
 type Outcome struct {
 	Answer
-	Held   string // name of the lock whose holding was granted or renewed; empty: none
-	Put    string // group of keys that has a new event; empty: none
-	Events uint64 // revision of the latest event of that group
+	Held string // name of the lock whose holding was granted or renewed; empty: none
+	Put  string // group of keys that has a new event, of the answer's revision; empty: none
 }
 
 // Apply applies the command at an index of the log. Indexes rise, over restarts and losses too, so they serve as fences and
--- a/internal/control/member/locklist.go
+++ b/internal/control/member/locklist.go
@@ -95,30 +95,3 @@
 	}
 	return answer, nil
 }
-
-// FreeLock ends whatever holding of a lock a control member lists, and tells whether there was one. The next holder's fence
-// is higher; until the old holder's next call it does not know that it has lost the lock, so what it writes must be fenced.
-func FreeLock(ctx context.Context, client *rpc.Client, address, name string) (bool, error) {
-	listed, err := CallLocks.Call(ctx, client, address, &LocksQuestion{})
-	if err != nil {
-		return false, err
-	}
-	for _, held := range listed.Locks {
-		if held.Name != name {
-			continue
-		}
-		call := &coordination.Call{Kind: coordination.FinishLock, Name: name, Owner: held.Owner, Fence: held.Fence}
-		answer, err := CallApplication.Call(ctx, client, address, call)
-		if err != nil {
-			return false, err
-		}
-		if answer.Status != coordination.Done {
-			return false, Error.New("the lock is not known to be free (%v): list the locks and try again", answer.Status)
-		}
-		return true, nil
-	}
-	if len(listed.Unknown) > 0 {
-		return false, Error.New("partitions %v have no leader that can be reached: try again in a second, and look at fleetd status", listed.Unknown)
-	}
-	return false, nil
-}
--- a/internal/control/steering/cells.go
+++ b/internal/control/steering/cells.go
@@ -18,15 +18,9 @@
 type cellHandler struct{ calls Coordination }
 
 func (h *cellHandler) replace(w http.ResponseWriter, request *http.Request) {
-	call, ok := readCall(w, request, coordination.ReplaceCell, amountField, expectedField)
-	if !ok {
-		return
-	}
-	answer, ok := decide(w, request, h.calls, call)
-	if !ok {
-		return
+	if answer, ok := readAndDecide(w, request, h.calls, coordination.ReplaceCell, amountField, expectedField); ok {
+		answerJSON(w, http.StatusOK, revisionAnswer{Revision: answer.Revision})
 	}
-	answerJSON(w, http.StatusOK, revisionAnswer{Revision: answer.Revision})
 }
 
 func (h *cellHandler) read(w http.ResponseWriter, request *http.Request) {
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -110,6 +110,15 @@
 	return call, true
 }
 
+// readAndDecide reads a call and has it decided; false says that it was answered as wrong or not done.
+func readAndDecide(w http.ResponseWriter, request *http.Request, calls Coordination, kind coordination.Kind, fields ...field) (coordination.Answer, bool) {
+	call, ok := readCall(w, request, kind, fields...)
+	if !ok {
+		return coordination.Answer{}, false
+	}
+	return decide(w, request, calls, call)
+}
+
 // decide has a call decided; false says that it was not done, and was answered so.
 func decide(w http.ResponseWriter, request *http.Request, calls Coordination, call coordination.Call) (coordination.Answer, bool) {
 	answer := calls.Do(request.Context(), call)
--- a/internal/control/steering/locks.go
+++ b/internal/control/steering/locks.go
@@ -20,34 +20,19 @@
 type lockHandler struct{ calls Coordination }
 
 func (h *lockHandler) start(w http.ResponseWriter, request *http.Request) {
-	call, ok := readCall(w, request, coordination.StartLock, ownerField, holdField)
-	if !ok {
-		return
+	if answer, ok := readAndDecide(w, request, h.calls, coordination.StartLock, ownerField, holdField); ok {
+		answerJSON(w, http.StatusOK, fenceAnswer{Fence: answer.Fence})
 	}
-	answer, ok := decide(w, request, h.calls, call)
-	if !ok {
-		return
-	}
-	answerJSON(w, http.StatusOK, fenceAnswer{Fence: answer.Fence})
 }
 
 func (h *lockHandler) beat(w http.ResponseWriter, request *http.Request) {
-	call, ok := readCall(w, request, coordination.BeatLock, ownerField, fenceField, holdField)
-	if ok {
-		h.plain(w, request, call)
+	if _, ok := readAndDecide(w, request, h.calls, coordination.BeatLock, ownerField, fenceField, holdField); ok {
+		reply(w, []byte("{}"))
 	}
 }
 
 func (h *lockHandler) finish(w http.ResponseWriter, request *http.Request) {
-	call, ok := readCall(w, request, coordination.FinishLock, ownerField, fenceField)
-	if ok {
-		h.plain(w, request, call)
-	}
-}
-
-// plain answers a call whose answer says nothing more.
-func (h *lockHandler) plain(w http.ResponseWriter, request *http.Request, call coordination.Call) {
-	if _, ok := decide(w, request, h.calls, call); ok {
+	if _, ok := readAndDecide(w, request, h.calls, coordination.FinishLock, ownerField, fenceField); ok {
 		reply(w, []byte("{}"))
 	}
 }
@@ -56,13 +41,7 @@
 type numberHandler struct{ calls Coordination }
 
 func (h *numberHandler) post(w http.ResponseWriter, request *http.Request) {
-	call, ok := readCall(w, request, coordination.DrawNumber)
-	if !ok {
-		return
-	}
-	answer, ok := decide(w, request, h.calls, call)
-	if !ok {
-		return
+	if answer, ok := readAndDecide(w, request, h.calls, coordination.DrawNumber); ok {
+		answerJSON(w, http.StatusOK, numberAnswer{Amount: answer.Number})
 	}
-	answerJSON(w, http.StatusOK, numberAnswer{Amount: answer.Number})
 }
--- a/internal/fleettest/application.go
+++ b/internal/fleettest/application.go
@@ -8,8 +8,6 @@
 	"net/http"
 	"strings"
 	"time"
-
-	"sumacloft/internal/fleettest/memnet"
 )
 
 // Application is a caller of locks, numbers and keys. It runs on the operator's machine and notes all that it sees.
@@ -147,9 +145,3 @@
 	}
 	return got
 }
-
-// cutApplications makes the links between the applications' machine and a member silent, or whole again.
-func (f *Fleet) cutApplications(control *Control, state memnet.Link) {
-	f.Network.Set(operatorIP, control.IP, state)
-	f.Network.Set(control.IP, operatorIP, state)
-}
--- a/internal/fleettest/coordination_test.go
+++ b/internal/fleettest/coordination_test.go
@@ -233,28 +233,40 @@
 // Whatever befalls the control members, no two callers hold a lock at once, fences and numbers rise, revisions are given
 // once, no read is old, no event is left out and nothing that was refused takes effect.
 func TestCoordinationKeepsItsPromises(t *testing.T) {
-	for i := range *coordinationHistories {
-		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			t.Parallel()
-			qt.New(t).Assert(drawCoordination(t, member.Faults{}), qt.Equals, "")
-		})
-	}
+	nothingIsBroken(t, *coordinationHistories, drawCoordination)
 }
 
 func TestCoordinationHistoriesFindBrokenMembers(t *testing.T) {
 	t.Parallel()
-	for name, faults := range map[string]member.Faults{
+	brokenMembersAreFound(t, map[string]member.Faults{
 		"grants on a lapse of any holding": {Coordination: coordination.Faults{GrantLapsed: true}},
 		"fences are counted anew":          {Coordination: coordination.Faults{FencePerLock: true}},
 		"puts that come again are new":     {Coordination: coordination.Faults{ForgetPuts: true}},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			found := false
-			for i := 0; i < 200 && !found; i++ {
-				t.Run(fmt.Sprint(i), func(t *testing.T) { found = drawCoordination(t, faults) != "" })
-			}
-			qt.New(t).Assert(found, qt.IsTrue)
-		})
-	}
+	}, drawCoordination)
+}
+
+// Fences, numbers and keys go on above all that was given after the partitions were restored from one disk.
+func TestApplicationsGoOnAfterARestoreFromOneDisk(t *testing.T) {
+	Run(t, coordinationPlan(member.Faults{}), func(c *qt.C, f *Fleet) {
+		notes := newCoordinationNotes()
+		one := f.newApplication("one", notes)
+		f.Operator.Acknowledge(0, Document(1))
+		before := f.anyClear("a lock", func(at *Control) reply { return one.Start(at, "l", testHold) })
+		f.anyClear("a number", func(at *Control) reply { return one.Number(at, "n") })
+		f.anyClear("a put", func(at *Control) reply { return one.Put(at, "g.a", "v1", 0) })
+		time.Sleep(catchUp)
+		left := f.Controls[0]
+		f.loseMajority(left)
+		_, err := left.Restore()
+		c.Assert(err, qt.IsNil)
+		for _, control := range f.Controls {
+			control.PowerOn()
+		}
+		after := f.anyClear("a lock again", func(at *Control) reply { return one.Start(at, "l", testHold) })
+		c.Assert(after.Fence > before.Fence+1<<19, qt.IsTrue)
+		f.anyClear("a number again", func(at *Control) reply { return one.Number(at, "n") })
+		c.Assert(f.anyClear("a read", func(at *Control) reply { return one.Read(at, "g.a") }).text(), qt.Equals, "v1")
+		c.Assert(f.anyClear("a put again", func(at *Control) reply { return one.Put(at, "g.a", "v2", 1) }).Revision, qt.Equals, uint64(2))
+		c.Assert(notes.judge(), qt.Equals, "")
+	})
 }
--- a/internal/fleettest/history_test.go
+++ b/internal/fleettest/history_test.go
@@ -236,28 +236,41 @@
 // version, what was acknowledged is acknowledged again and never lost, what was refused is never taken, and nothing old is
 // read.
 func TestOrdersAreLinearizable(t *testing.T) {
-	for i := range *histories {
+	nothingIsBroken(t, *histories, drawHistory)
+}
+
+// drawing draws a history of a fleet whose members have the faults, and gives what it broke.
+type drawing func(t *testing.T, faults member.Faults) (fault string)
+
+// nothingIsBroken draws so many histories of members as they are, none of which may break anything.
+func nothingIsBroken(t *testing.T, count int, draw drawing) {
+	for i := range count {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(drawHistory(t, member.Faults{}), qt.Equals, "")
+			qt.New(t).Assert(draw(t, member.Faults{}), qt.Equals, "")
 		})
 	}
 }
 
-func TestHistoriesFindBrokenMembers(t *testing.T) {
-	t.Parallel()
-	for name, faults := range map[string]member.Faults{
-		"reads without a majority":      {ReadUnconfirmed: true},
-		"taken orders not recognised":   {Orders: configstate.Faults{ForgetTaken: true}},
-		"refused orders may come later": {Orders: configstate.Faults{ForgetRefused: true}},
-	} {
+// brokenMembersAreFound draws histories of members with each of the faults until one breaks something, as one must.
+func brokenMembersAreFound(t *testing.T, broken map[string]member.Faults, draw drawing) {
+	for name, faults := range broken {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := false
 			for i := 0; i < 200 && !found; i++ {
-				t.Run(fmt.Sprint(i), func(t *testing.T) { found = drawHistory(t, faults) != "" })
+				t.Run(fmt.Sprint(i), func(t *testing.T) { found = draw(t, faults) != "" })
 			}
 			qt.New(t).Assert(found, qt.IsTrue)
 		})
 	}
 }
+
+func TestHistoriesFindBrokenMembers(t *testing.T) {
+	t.Parallel()
+	brokenMembersAreFound(t, map[string]member.Faults{
+		"reads without a majority":      {ReadUnconfirmed: true},
+		"taken orders not recognised":   {Orders: configstate.Faults{ForgetTaken: true}},
+		"refused orders may come later": {Orders: configstate.Faults{ForgetRefused: true}},
+	}, drawHistory)
+}
--- a/internal/mesh/membership/contact.go
+++ b/internal/mesh/membership/contact.go
@@ -70,7 +70,7 @@
 func (m *Membership) Sound(ctx context.Context, address string) (message.Standing, error) {
 	m.mu.Lock()
 	last, compared := m.compared[address]
-	rests := compared && time.Since(m.began)-last < greetRest
+	rests := compared && m.now()-last < greetRest
 	m.mu.Unlock()
 	if rests {
 		sentAt := m.now()
@@ -81,7 +81,7 @@
 	standing, err := m.Greet(ctx, address)
 	if err == nil {
 		m.mu.Lock()
-		m.compared[address] = time.Since(m.began)
+		m.compared[address] = m.now()
 		m.mu.Unlock()
 	}
 	return standing, err
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -182,7 +182,7 @@
 	incarnation := m.incarnation
 	m.turn++
 	turn := m.turn
-	now := time.Since(m.began)
+	now := m.now()
 	m.watched.Expect(now, place.watched)
 	down := m.watched.Check(now)
 	m.mu.Unlock()
@@ -256,7 +256,7 @@
 func (m *Membership) heard(beat message.Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.watched.Heard(time.Since(m.began), beat.From, beat.Incarnation)
+	m.watched.Heard(m.now(), beat.From, beat.Incarnation)
 }
 
 // news contradicts what others say of this router itself, and passes on what has changed unless others have it anyway.
--- a/internal/mesh/membership/spread.go
+++ b/internal/mesh/membership/spread.go
@@ -40,7 +40,7 @@
 		return
 	}
 	m.waiting.due = true
-	wait := m.waiting.last + spreadInterval - time.Since(m.began)
+	wait := m.waiting.last + spreadInterval - m.now()
 	if wait <= 0 {
 		go m.passOn()
 		return
@@ -52,7 +52,7 @@
 func (m *Membership) passOn() {
 	m.mu.Lock()
 	waiting := m.waiting
-	m.waiting = gathered{last: time.Since(m.began)}
+	m.waiting = gathered{last: m.now()}
 	m.mu.Unlock()
 	news := make([]replica.Entry, 0, len(waiting.entries))
 	for _, entry := range waiting.entries {
