--- a/cmd/sumactl/site.go
+++ b/cmd/sumactl/site.go
@@ -70,12 +70,12 @@
 		s, o := v.Last.Sites[name], v.Orders[name]
 		reached := 0
 		for _, r := range v.Reports {
-			if r.Sees[name].OK > 0 {
+			if r.Observations[name].Answered > 0 {
 				reached++
 			}
 		}
 		rows = append(rows, table.Row{name, s.State, s.Kind, fmt.Sprintf("%.0f%%", 100*s.Ramp), s.Losses, fmt.Sprintf("%d of %d", reached, len(v.Reports)),
-			fmt.Sprintf("%.2f", v.Last.Bearing[name]), ordered(o), s.Reason})
+			fmt.Sprintf("%.2f", v.Last.CapacityRatio[name]), ordered(o), s.Reason})
 	}
 	return c.print(v, func(w io.Writer) error {
 		if err := tabled(table.Row{"site", "state", "kind", "given", "losses", "reached by", "bears", "ordered", "why"}, rows)(w); err != nil {
@@ -190,7 +190,7 @@
 		}
 	}
 	p := sites.Solve(m, s)
-	out := planned{Lost: lost, How: p.How, Worth: p.Worth(m)}
+	out := planned{Lost: lost, How: p.Method, Worth: p.Worth(m)}
 	for k, c := range m.Classes {
 		one := plannedClass{Class: c.Name, Served: p.Served(k), Refused: p.Refused(k), To: map[string]float64{}}
 		one.Asked = one.Served + one.Refused
--- a/internal/decide/sites/model.go
+++ b/internal/decide/sites/model.go
@@ -74,8 +74,8 @@
 // Defaults are the settings that stand for those that a model does not state.
 var Defaults = Model{Reserve: 0.05, LostAfterMs: 1000, BackAfterMs: 2000, FlapMs: 60_000, WarmMs: 6000, ColdShare: 0.2, ReportMs: 500}
 
-// Filled is the model with its defaults.
-func (m Model) Filled() Model {
+// WithDefaults is the model with its defaults.
+func (m Model) WithDefaults() Model {
 	m.Sites, m.Classes, m.Links = slices.Clone(m.Sites), slices.Clone(m.Classes), slices.Clone(m.Links)
 	m.Reserve = cmp.Or(m.Reserve, Defaults.Reserve)
 	m.LostAfterMs, m.BackAfterMs = cmp.Or(m.LostAfterMs, Defaults.LostAfterMs), cmp.Or(m.BackAfterMs, Defaults.BackAfterMs)
@@ -98,14 +98,14 @@
 
 // Check tells why a model can't be a plan's, naming the key; and what of it an operator should know.
 func (m Model) Check() (warnings []string, err error) {
-	m = m.Filled()
-	at := map[string]int{}
+	m = m.WithDefaults()
+	index := map[string]int{}
 	for i, s := range m.Sites {
 		key := fmt.Sprintf("sites.site[%d]", i)
-		if _, twice := at[s.Name]; s.Name == "" || twice {
+		if _, twice := index[s.Name]; s.Name == "" || twice {
 			return nil, fmt.Errorf("%s.name: %q is missing or there twice", key, s.Name)
 		}
-		at[s.Name] = i
+		index[s.Name] = i
 		if !(s.Capacity >= 0) || math.IsInf(s.Capacity, 0) {
 			return nil, fmt.Errorf("%s.capacity: %g, must not be negative", key, s.Capacity)
 		}
@@ -123,13 +123,13 @@
 	case len(m.Classes) > MaxClasses:
 		return nil, fmt.Errorf("sites.class: %d, at most %d", len(m.Classes), MaxClasses)
 	}
-	if err := m.checkClasses(at); err != nil {
+	if err := m.checkClasses(index); err != nil {
 		return nil, err
 	}
 	for i, l := range m.Links {
 		key := fmt.Sprintf("sites.link[%d]", i)
 		for end, name := range map[string]string{"from": l.From, "to": l.To} {
-			if _, known := at[name]; !known {
+			if _, known := index[name]; !known {
 				return nil, fmt.Errorf("%s.%s: no site is named %q", key, end, name)
 			}
 		}
@@ -140,10 +140,10 @@
 	if err := m.checkSettings(); err != nil {
 		return nil, err
 	}
-	return m.warn(), m.carries()
+	return m.warn(), m.checkFloors()
 }
 
-func (m Model) checkClasses(sites map[string]int) error {
+func (m Model) checkClasses(index map[string]int) error {
 	names := map[string]bool{}
 	for i, c := range m.Classes {
 		key := fmt.Sprintf("sites.class[%d]", i)
@@ -158,16 +158,16 @@
 			return fmt.Errorf("%s.floor: %g, must be from 0 to 1", key, c.Floor)
 		}
 		names[c.Name] = true
-		for _, p := range c.Places {
-			if _, known := sites[p]; !known {
-				return fmt.Errorf("%s.places: no site is named %q", key, p)
+		for _, place := range c.Places {
+			if _, known := index[place]; !known {
+				return fmt.Errorf("%s.places: no site is named %q", key, place)
 			}
 		}
 	}
 	for i, s := range m.Sites {
-		for what, list := range map[string]map[string]float64{"demand": s.Demand, "work": s.Work} {
-			for _, name := range slices.Sorted(maps.Keys(list)) {
-				if v := list[name]; !names[name] || !(v >= 0) || math.IsInf(v, 0) || (what == "work" && v == 0) {
+		for what, values := range map[string]map[string]float64{"demand": s.Demand, "work": s.Work} {
+			for _, name := range slices.Sorted(maps.Keys(values)) {
+				if v := values[name]; !names[name] || !(v >= 0) || math.IsInf(v, 0) || (what == "work" && v == 0) {
 					return fmt.Errorf("sites.site[%d].%s.%s: %g; the class is not in sites.class, or the figure is none", i, what, name, v)
 				}
 			}
@@ -189,16 +189,16 @@
 	return nil
 }
 
-// carries checks that the floors can be kept while all sites are up.
-func (m Model) carries() error {
-	g := m.grid()
+// checkFloors checks that the floors can be kept while all sites are up.
+func (m Model) checkFloors() error {
+	g := m.topology()
 	s := m.Declared()
 	p := Solve(m, s)
 	for k, c := range m.Classes {
-		if asked, served := p.asked(k), p.Served(k); asked > 0 && served < c.Floor*asked*(1-1e-6) {
+		if asked, served := p.totalDemand(k), p.Served(k); asked > 0 && served < c.Floor*asked*(1-1e-6) {
 			return fmt.Errorf("sites.class[%d].floor: %g of %q can't be kept even with all sites up: %.4g of %.4g a second", k, c.Floor, c.Name, served, asked)
 		}
-		if len(c.Places) > 0 && !slices.ContainsFunc(g.may[k], func(yes bool) bool { return yes }) {
+		if len(c.Places) > 0 && !slices.ContainsFunc(g.allowed[k], func(yes bool) bool { return yes }) {
 			return fmt.Errorf("sites.class[%d].places: none of them has capacity", k)
 		}
 	}
@@ -219,7 +219,7 @@
 	for _, lost := range m.Sites {
 		for k, c := range m.Classes {
 			p := Solve(m, m.Declared().without(m, lost.Name))
-			asked, served := p.asked(k), p.Served(k)
+			asked, served := p.totalDemand(k), p.Served(k)
 			switch {
 			case asked == 0:
 			case served == 0:
@@ -232,21 +232,21 @@
 	return out
 }
 
-// site is a site's place in the model, or -1.
-func (m Model) site(name string) int {
+// siteIndex is a siteIndex's place in the model, or -1.
+func (m Model) siteIndex(name string) int {
 	return slices.IndexFunc(m.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// ClassAt is a class's place in the model, or -1.
-func (m Model) ClassAt(name string) int {
+// ClassIndex is a class's place in the model, or -1.
+func (m Model) ClassIndex(name string) int {
 	return slices.IndexFunc(m.Classes, func(c Class) bool { return c.Name == name })
 }
 
 // Declared is the situation that the model itself states: all up, with the demand of its worst hour.
 func (m Model) Declared() Situation {
-	s := Situation{Factor: make([]float64, len(m.Sites)), Late: make([]float64, len(m.Sites)), Demand: make([][]float64, len(m.Classes))}
+	s := Situation{Factor: make([]float64, len(m.Sites)), LastShare: make([]float64, len(m.Sites)), Demand: make([][]float64, len(m.Classes))}
 	for i := range m.Sites {
-		s.Factor[i], s.Late[i] = 1, 1
+		s.Factor[i], s.LastShare[i] = 1, 1
 	}
 	for k, c := range m.Classes {
 		for _, site := range m.Sites {
@@ -258,10 +258,10 @@
 
 // Situation is what a plan is made for. Its lists are by the model's sites and classes.
 type Situation struct {
-	Factor []float64   // by site: the part of its capacity that there is
-	Late   []float64   // by site: the part of that which those classes may have that return last
-	Cut    []bool      // by site: no other site reaches it, nor does it reach others; nil: none
-	Demand [][]float64 // by class and the site whose routers it comes to, in requests a second
+	Factor    []float64   // by site: the part of its capacity that there is
+	LastShare []float64   // by site: the part of that which those classes may have that return last
+	CutOff    []bool      // by site: no other site reaches it, nor does it reach others; nil: none
+	Demand    [][]float64 // by class and the site whose routers it comes to, in requests a second
 }
 
 // Without is the situation with some sites lost, and their routers' clients at the others in equal parts.
@@ -273,11 +273,11 @@
 }
 
 func (s Situation) without(m Model, name string) Situation {
-	out := Situation{Factor: slices.Clone(s.Factor), Late: slices.Clone(s.Late), Cut: slices.Clone(s.Cut)}
-	lost, left := m.site(name), 0
+	out := Situation{Factor: slices.Clone(s.Factor), LastShare: slices.Clone(s.LastShare), CutOff: slices.Clone(s.CutOff)}
+	lost, remaining := m.siteIndex(name), 0
 	for i := range out.Factor {
 		if i != lost && out.Factor[i] > 0 {
-			left++
+			remaining++
 		}
 	}
 	if lost >= 0 {
@@ -285,12 +285,12 @@
 	}
 	for k := range s.Demand {
 		row := slices.Clone(s.Demand[k])
-		if lost >= 0 && left > 0 {
-			moved := row[lost] / float64(left)
+		if lost >= 0 && remaining > 0 {
+			perSite := row[lost] / float64(remaining)
 			row[lost] = 0
 			for i := range row {
 				if out.Factor[i] > 0 {
-					row[i] += moved
+					row[i] += perSite
 				}
 			}
 		}
--- a/internal/decide/sites/norace_test.go
+++ b/internal/decide/sites/norace_test.go
@@ -2,4 +2,4 @@
 
 package sites
 
-const raced = false
+const raceEnabled = false
--- a/internal/decide/sites/pace.go
+++ b/internal/decide/sites/pace.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// Pace brings a site back: all routers together give it no more than cold servers bear, a little more with each step,
+// Ramp brings a site back: all routers together give it no more than cold servers bear, a little more with each step,
 // and less again where its answers come late or not at all.
-type Pace struct {
-	begun  bool
-	ramp   float64       // as it stands with the fleet
-	at     time.Duration // since when
-	said   float64       // what this gave last, and when
-	saidAt time.Duration
-	cut    float64       // to what it is to be cut back, until the fleet has that; 0: it is not
-	rest   time.Duration // no step up until then
+type Ramp struct {
+	started    bool
+	agreed     float64       // as it stands with the fleet
+	since      time.Duration // since when
+	proposed   float64       // what this gave last, and when
+	proposedAt time.Duration
+	reduceTo   float64       // to what it is to be cut back, until the fleet has that; 0: it is not
+	holdUntil  time.Duration // no step up until then
 }
 
 // The terms of a return.
 const (
-	// trouble is the part of a site's requests that fail or come late from which it is given less; of fewer than
-	// least of them nothing is made.
-	trouble, least = 0.2, 10
-	// back is what is left of its part then, and restFor of its warm-up is how long it stays there.
-	back, restFor = 0.6, 0.2
+	// maxFailureShare is the part of a site's requests that fail or come late from which it is given less; of fewer than
+	// minRequests of them nothing is made.
+	maxFailureShare, minRequests = 0.2, 10
+	// reduceFactor is what is left of its part then, and holdShare of its warm-up is how long it stays there.
+	reduceFactor, holdShare = 0.6, 0.2
 )
 
-// Start is the part that a site is given at first.
-func (p *Pace) Start(m Model) float64 { return m.Filled().ColdShare }
+// Initial is the part that a site is given at first.
+func (p *Ramp) Initial(m Model) float64 { return m.WithDefaults().ColdShare }
 
 // Next is the part that a site should be given from now on, and why; ramp is what it is given as far as the fleet has
 // agreed.
-func (p *Pace) Next(m Model, ramp float64, seen Seen, o Orders, now time.Duration) (float64, string) {
-	m = m.Filled()
-	if !p.begun || ramp != p.ramp {
-		from := now
-		if p.begun && ramp == p.said { // as we said: it holds since then
-			from = p.saidAt
+func (p *Ramp) Next(m Model, ramp float64, seen Observation, o Orders, now time.Duration) (float64, string) {
+	m = m.WithDefaults()
+	if !p.started || ramp != p.agreed {
+		since := now
+		if p.started && ramp == p.proposed { // as we said: it holds since then
+			since = p.proposedAt
 		}
-		p.begun, p.ramp, p.at, p.cut = true, ramp, from, 0
+		p.started, p.agreed, p.since, p.reduceTo = true, ramp, since, 0
 	}
-	n := seen.InTime + seen.Late
-	troubled := n >= least && float64(seen.Late) > trouble*float64(n)
-	if troubled && now >= p.rest {
-		p.cut = max(ramp*back, m.ColdShare/4)
-		p.rest = now + time.Duration(restFor*m.WarmMs)*time.Millisecond
+	requests := seen.InTime + seen.Late
+	failing := requests >= minRequests && float64(seen.Late) > maxFailureShare*float64(requests)
+	if failing && now >= p.holdUntil {
+		p.reduceTo = max(ramp*reduceFactor, m.ColdShare/4)
+		p.holdUntil = now + time.Duration(holdShare*m.WarmMs)*time.Millisecond
 	}
-	why := fmt.Sprintf("it returns: %.0f%% of its part", 100*ramp)
+	reason := fmt.Sprintf("it returns: %.0f%% of its part", 100*ramp)
 	switch {
-	case p.cut > 0:
-		ramp, why = p.cut, fmt.Sprintf("%d of %d requests there failed or were late: it is given less", seen.Late, n)
-	case now < p.rest:
-		p.at = now
+	case p.reduceTo > 0:
+		ramp, reason = p.reduceTo, fmt.Sprintf("%d of %d requests there failed or were late: it is given less", seen.Late, requests)
+	case now < p.holdUntil:
+		p.since = now
 	case o.Hold:
-		p.at, why = now, "an operator holds it where it is"
+		p.since, reason = now, "an operator holds it where it is"
 	default:
-		ramp += (1 - m.ColdShare) * ms(now-p.at) / m.WarmMs
+		ramp += (1 - m.ColdShare) * ms(now-p.since) / m.WarmMs
 	}
 	if o.Pace > 0 && ramp > o.Pace {
-		ramp, why = o.Pace, "an operator paces it"
+		ramp, reason = o.Pace, "an operator paces it"
 	}
-	p.said, p.saidAt = min(ramp, 1), now
-	return p.said, why
+	p.proposed, p.proposedAt = min(ramp, 1), now
+	return p.proposed, reason
 }
 
-// lateFrom is the part of a site's return from which classes that return last are given work there.
-const lateFrom = 0.5
+// lastFrom is the part of a site's return from which classes that return last are given work there.
+const lastFrom = 0.5
 
-// late is the part of a returning site's room that those classes may have.
-func late(ramp float64) float64 { return min(max((ramp-lateFrom)/(1-lateFrom), 0), 1) }
+// lastShareFor is the part of a returning site's room that those classes may have.
+func lastShareFor(ramp float64) float64 { return min(max((ramp-lastFrom)/(1-lastFrom), 0), 1) }
--- a/internal/decide/sites/program.go
+++ b/internal/decide/sites/program.go
@@ -9,31 +9,31 @@
 
 // program is a linear program in the making: it maximises under rows that are bounded from above, all from 0 on.
 type program struct {
-	gain  []float64
-	rows  []map[int]float64
-	bound []float64
-	rooms []int // by site: its row, and that of what returns last; none
-	lates []int
+	objective    []float64
+	rows         []map[int]float64
+	bounds       []float64
+	capacityRows []int // by site: its row, and that of what returns last; none
+	lastRows     []int
 }
 
-// none stands for a row that there is not.
-const none = -1
+// noRow stands for a row that there is not.
+const noRow = -1
 
-func (p *program) variable(gain float64) int {
-	p.gain = append(p.gain, gain)
-	return len(p.gain) - 1
+func (p *program) addVariable(coefficient float64) int {
+	p.objective = append(p.objective, coefficient)
+	return len(p.objective) - 1
 }
 
-func (p *program) row(bound float64) int {
-	p.rows, p.bound = append(p.rows, map[int]float64{}), append(p.bound, bound)
+func (p *program) addRow(bound float64) int {
+	p.rows, p.bounds = append(p.rows, map[int]float64{}), append(p.bounds, bound)
 	return len(p.rows) - 1
 }
 
-// errLarge says that a program is too large to be solved in time.
-var errLarge = fmt.Errorf("the program is too large")
+// errTooLarge says that a program is too large to be solved in time.
+var errTooLarge = fmt.Errorf("the program is too large")
 
-// tolerance of the solver, against values that are scaled to about 1.
-const tolerance = 1e-9
+// simplexTolerance of the solver, against values that are scaled to about 1.
+const simplexTolerance = 1e-9
 
 // solve has gonum's simplex solve it, from the corner at which nothing is served.
 func (p *program) solve() (x []float64, err error) {
@@ -42,15 +42,15 @@
 			err = fmt.Errorf("simplex: %v", r)
 		}
 	}()
-	n, m := len(p.gain), len(p.rows)
+	n, m := len(p.objective), len(p.rows)
 	if n == 0 || m == 0 {
 		return make([]float64, n), nil
 	}
-	if m > 2*exact {
-		return nil, errLarge
+	if m > 2*maxExactRows {
+		return nil, errTooLarge
 	}
 	scale := 0.0
-	for _, b := range p.bound {
+	for _, b := range p.bounds {
 		scale = max(scale, b)
 	}
 	if scale == 0 {
@@ -62,12 +62,12 @@
 			a.Set(i, j, v)
 		}
 		a.Set(i, n+i, 1)
-		b[i], basis[i] = p.bound[i]/scale, n+i
+		b[i], basis[i] = p.bounds[i]/scale, n+i
 	}
-	for j, g := range p.gain {
+	for j, g := range p.objective {
 		c[j] = -g
 	}
-	_, out, err := lp.Simplex(c, &counted{Matrix: a, left: 4*m*(n+m) + m*turns*(n+m)}, b, tolerance, basis)
+	_, out, err := lp.Simplex(c, &limitedMatrix{Matrix: a, readsLeft: 4*m*(n+m) + m*stepsPerVariable*(n+m)}, b, simplexTolerance, basis)
 	if err != nil {
 		return nil, fmt.Errorf("simplex: %w", err)
 	}
@@ -77,19 +77,19 @@
 	return out[:n], nil
 }
 
-// turns is how many steps for each variable and row the simplex may take: it needs about one, and where rounding has it
+// stepsPerVariable is how many steps for each variable and row the simplex may take: it needs about one, and where rounding has it
 // go in a circle it would never end.
-const turns = 10
+const stepsPerVariable = 10
 
-// counted is a matrix that may be looked at so many times.
-type counted struct {
+// limitedMatrix is a matrix that may be looked at so many times.
+type limitedMatrix struct {
 	mat.Matrix
-	left int
+	readsLeft int
 }
 
 // At serves mat.Matrix. The simplex reads a column in each step; it has no limit of its own.
-func (c *counted) At(i, j int) float64 {
-	if c.left--; c.left < 0 {
+func (c *limitedMatrix) At(i, j int) float64 {
+	if c.readsLeft--; c.readsLeft < 0 {
 		panic("it goes in a circle")
 	}
 	return c.Matrix.At(i, j)
--- a/internal/decide/sites/race_test.go
+++ b/internal/decide/sites/race_test.go
@@ -2,4 +2,4 @@
 
 package sites
 
-const raced = true
+const raceEnabled = true
--- a/internal/decide/sites/solve_test.go
+++ b/internal/decide/sites/solve_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// three is the fleet of the issue: three sites of two servers of 40 answers a second, queries worth 3 and filings 2.
-func three() Model {
+// threeSites is the fleet of the issue: threeSites sites of two servers of 40 answers a second, queries worth 3 and filings 2.
+func threeSites() Model {
 	m := Model{Classes: []Class{{Name: "query", Worth: 3}, {Name: "filing", Worth: 2, Floor: 0.1, Last: true}}}
 	for _, name := range []string{"a", "b", "c"} {
 		m.Sites = append(m.Sites, Site{Name: name, Capacity: 80, Servers: 2, Routers: 2, Members: 2, Demand: map[string]float64{"query": 30, "filing": 20}})
@@ -23,24 +23,24 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
-func TestAllServedWhereTheyArriveWhileThereIsRoom(t *testing.T) {
-	m := three()
+func TestServesLocallyWithinCapacity(t *testing.T) {
+	m := threeSites()
 	p := Solve(m, m.Declared())
 	for k := range m.Classes {
 		for from := range m.Sites {
-			if p.Admit(k, from) < 1-1e-6 || !near(p.Flow[k][from][from], p.Asked[k][from]) {
+			if p.Admit(k, from) < 1-1e-6 || !near(p.Flow[k][from][from], p.Demand[k][from]) {
 				t.Errorf("class %d of site %d: %v", k, from, p.Flow[k][from])
 			}
 		}
 	}
-	if p.How != "lp" {
-		t.Error(p.How)
+	if p.Method != "lp" {
+		t.Error(p.Method)
 	}
 }
 
 // At 150% of what two sites carry queries are all served, and filings have what is left and never less than their floor.
-func TestLossAtPeakRefusesTheLesserWorth(t *testing.T) {
-	m := three()
+func TestLossAtPeakRefusesLowestWorth(t *testing.T) {
+	m := threeSites()
 	s := m.Declared().Without(m, "a")
 	for k, d := range []float64{60, 54} { // 228 a second in all; 152 can be given away
 		s.Demand[k] = []float64{0, d * 2, d * 2}
@@ -53,7 +53,7 @@
 		t.Errorf("filings: %g, their floor is 21.6", got)
 	}
 	for k := range m.Classes {
-		if p.Parts(k, 1)[0] != 0 {
+		if p.Shares(k, 1)[0] != 0 {
 			t.Error("the lost site is given work")
 		}
 	}
@@ -61,7 +61,7 @@
 
 // Placement, a link's bound, a site that is cut off, and one that returns: each is kept to.
 func TestBounds(t *testing.T) {
-	m := three()
+	m := threeSites()
 	m.Classes[0].Places = []string{"a", "b"}
 	m.Links = []Link{{From: "a", To: "b", Rate: 5, Both: true}, {From: "b", To: "c", Both: true}, {From: "c", To: "a"}}
 	s := m.Declared().Without(m, "a")
@@ -73,23 +73,23 @@
 	if p = Solve(m, s); !near(p.Served(0), 5) {
 		t.Errorf("%g over a link that bears 5", p.Served(0))
 	}
-	m = three()
+	m = threeSites()
 	s = m.Declared()
-	s.Cut = []bool{false, true, false}
+	s.CutOff = []bool{false, true, false}
 	s.Demand[0][1] = 200
 	if p = Solve(m, s); !near(p.Flow[0][1][1]+p.Flow[1][1][1], 76) || p.Flow[0][1][0]+p.Flow[0][0][1] != 0 {
 		t.Error("a site that is cut off serves its own and nobody else:", p.Flow)
 	}
 	s = m.Declared()
-	s.Factor[0], s.Late[0] = 0.3, 0
+	s.Factor[0], s.LastShare[0] = 0.3, 0
 	s.Demand[0], s.Demand[1] = []float64{60, 50, 50}, []float64{20, 20, 20}
 	if p = Solve(m, s); p.Flow[1][0][0]+p.Flow[1][1][0]+p.Flow[1][2][0] != 0 || p.Flow[0][0][0] > 80*0.95*0.3*(1+1e-6) {
 		t.Error("a site that returns is given what it does not bear yet:", p.Flow)
 	}
 }
 
-// fleetOf draws a fleet.
-func fleetOf(t *rapid.T, sites, classes int) (Model, Situation) {
+// drawFleet draws a fleet.
+func drawFleet(t *rapid.T, sites, classes int) (Model, Situation) {
 	m := Model{}
 	for i := range sites {
 		m.Sites = append(m.Sites, Site{Name: fmt.Sprint("s", i), Capacity: rapid.Float64Range(0, 100).Draw(t, "capacity"), Demand: map[string]float64{}})
@@ -111,35 +111,35 @@
 	s := m.Declared()
 	for i := range m.Sites {
 		s.Factor[i] = rapid.SampledFrom([]float64{0, 0.3, 1, 1, 1}).Draw(t, "factor")
-		s.Late[i] = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "late")
+		s.LastShare[i] = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "late")
 	}
 	return m, s
 }
 
 // Whatever the fleet, each way of planning keeps every bound; the program serves no less than the rule, and equal
 // inputs give equal plans.
-func TestPlansAreSound(t *testing.T) {
+func TestPlansKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, s := fleetOf(t, rapid.IntRange(2, 6).Draw(t, "sites"), rapid.IntRange(1, 5).Draw(t, "classes"))
-		at := newTask(m.Filled(), s)
-		whole, err := at.whole()
+		m, s := drawFleet(t, rapid.IntRange(2, 6).Draw(t, "sites"), rapid.IntRange(1, 5).Draw(t, "classes"))
+		problem := newTransport(m.WithDefaults(), s)
+		exact, err := problem.solveExact()
 		if err == nil {
-			if err := at.sound(whole); err != nil {
+			if err := problem.verify(exact); err != nil {
 				t.Fatal("whole:", err)
 			}
 		}
-		parts, perr := at.parts()
-		if perr == nil {
-			if err := at.sound(parts); err != nil {
+		stepped, steppedErr := problem.solveInSteps()
+		if steppedErr == nil {
+			if err := problem.verify(stepped); err != nil {
 				t.Fatal("parts:", err)
 			}
 		}
-		rule := at.rule()
-		if err := at.sound(rule); err != nil {
+		greedy := problem.solveGreedy()
+		if err := problem.verify(greedy); err != nil {
 			t.Fatal("rule:", err)
 		}
-		if floors := floorsMissed(m, s, whole); err == nil && whole.Worth(m) < rule.Worth(m)*(1-1e-3)-1e-3 && floors >= floorsMissed(m, s, rule)-1e-6 {
-			t.Fatalf("the program serves %g, the rule %g", whole.Worth(m), rule.Worth(m))
+		if floors := floorsMissed(m, s, exact); err == nil && exact.Worth(m) < greedy.Worth(m)*(1-1e-3)-1e-3 && floors >= floorsMissed(m, s, greedy)-1e-6 {
+			t.Fatalf("the program serves %g, the rule %g", exact.Worth(m), greedy.Worth(m))
 		}
 		if !reflect.DeepEqual(Solve(m, s), Solve(m, s)) {
 			t.Fatal("two plans of one fleet differ")
@@ -151,29 +151,29 @@
 	if p.Flow == nil {
 		return 0
 	}
-	p.Asked = s.Demand
+	p.Demand = s.Demand
 	for k, c := range m.Classes {
-		sum += max(c.Floor*p.asked(k)-p.Served(k), 0)
+		sum += max(c.Floor*p.totalDemand(k)-p.Served(k), 0)
 	}
 	return sum
 }
 
 // A fleet of 20 sites, 10 classes and 500 servers is planned for in 100 ms, and not by the rule.
 func TestPlanInTime(t *testing.T) {
-	m, s := large()
+	m, s := largeFleet()
 	for i := range 5 {
-		began := time.Now()
+		start := time.Now()
 		p := Solve(m, s.Without(m, m.Sites[i].Name))
-		if took := time.Since(began); took > 100*time.Millisecond && !raced {
+		if took := time.Since(start); took > 100*time.Millisecond && !raceEnabled {
 			t.Errorf("loss of %s: %v", m.Sites[i].Name, took)
 		}
-		if p.How != "lp by parts" {
-			t.Error(p.How)
+		if p.Method != "lp by parts" {
+			t.Error(p.Method)
 		}
 	}
 }
 
-func large() (Model, Situation) {
+func largeFleet() (Model, Situation) {
 	m := Model{}
 	for k := range 10 {
 		m.Classes = append(m.Classes, Class{Name: fmt.Sprint("c", k), Worth: 1 + float64(k)/3, Work: 0.5 + float64(k%4), Floor: 0.05 * float64(k%3), Last: k%2 == 1})
@@ -189,7 +189,7 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	m, s := large()
+	m, s := largeFleet()
 	s = s.Without(m, "s3")
 	for b.Loop() {
 		Solve(m, s)
@@ -210,13 +210,13 @@
 		`sites.cold_share: 7, must be from 0.01 to 1`:         func(m *Model) { m.ColdShare = 7 },
 		`sites.link[0]: it leads from a site to itself, or i`: func(m *Model) { m.Links = []Link{{From: "a", To: "a"}} },
 	} {
-		m := three()
+		m := threeSites()
 		change(&m)
 		if _, err := m.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
-	m := three()
+	m := threeSites()
 	if warnings, err := m.Check(); err != nil || len(warnings) > 0 {
 		t.Error(warnings, err)
 	}
--- a/internal/decide/sites/whole.go
+++ b/internal/decide/sites/whole.go
@@ -6,68 +6,68 @@
 	"slices"
 )
 
-// floorGain is what a floor counts for above any worth.
-func (t *task) floorGain() float64 {
-	top := 0.0
-	for _, c := range t.m.Classes {
-		top = max(top, c.Worth*c.Work)
+// floorBonus is what a floor counts for above any worth.
+func (t *transport) floorBonus() float64 {
+	maxGain := 0.0
+	for _, c := range t.model.Classes {
+		maxGain = max(maxGain, c.Worth*c.Work)
 	}
-	return 100 * top
+	return 100 * maxGain
 }
 
-// whole is the program as it stands: a variable for each class and each way, and once more for what of it fills a floor.
-func (t *task) whole() (Plan, error) {
-	var lpp program
-	out := t.empty("lp")
-	t.siteRows(&lpp)
+// solveExact is the program as it stands: a variable for each class and each way, and once more for what of it fills a floor.
+func (t *transport) solveExact() (Plan, error) {
+	var prog program
+	out := t.emptyPlan("lp")
+	t.addSiteRows(&prog)
 	links := map[[2]int]int{}
 	linkRow := func(from, to int) int {
 		link := [2]int{from, to}
-		rate, bounded := t.rate[link]
+		rate, bounded := t.linkRate[link]
 		if !bounded {
-			return none
+			return noRow
 		}
 		if _, made := links[link]; !made {
-			links[link] = lpp.row(rate)
+			links[link] = prog.addRow(rate)
 		}
 		return links[link]
 	}
 	type flow struct{ k, from, to, v int }
 	var flows []flow
-	for k, c := range t.m.Classes {
-		floor, asked := none, total(t.s.Demand[k])
+	for k, c := range t.model.Classes {
+		floorRow, asked := noRow, total(t.situation.Demand[k])
 		if c.Floor > 0 && asked > 0 {
-			floor = lpp.row(c.Floor * asked)
+			floorRow = prog.addRow(c.Floor * asked)
 		}
-		for from, d := range t.s.Demand[k] {
+		for from, d := range t.situation.Demand[k] {
 			if d <= 0 {
 				continue
 			}
-			need := none
-			for to := range t.m.Sites {
-				if !t.way(k, from, to) {
+			demandRow := noRow
+			for to := range t.model.Sites {
+				if !t.allows(k, from, to) {
 					continue
 				}
-				if need == none {
-					need = lpp.row(d)
+				if demandRow == noRow {
+					demandRow = prog.addRow(d)
 				}
-				gain := c.Worth * c.Work * (1 - moves*t.cost[from][to])
-				for _, v := range t.serve(&lpp, k, to, gain, need, floor, linkRow(from, to)) {
+				gain := c.Worth * c.Work * (1 - transferPenalty*t.cost[from][to])
+				for _, v := range t.addFlow(&prog, k, to, gain, demandRow, floorRow, linkRow(from, to)) {
 					flows = append(flows, flow{k, from, to, v})
 				}
 			}
 		}
-		if len(lpp.rows) > exact {
-			return out, errLarge
+		if len(prog.rows) > maxExactRows {
+			return out, errTooLarge
 		}
 	}
-	x, err := lpp.solve()
+	x, err := prog.solve()
 	if err != nil {
 		return out, err
 	}
-	share := make([][]float64, len(t.m.Classes))
+	share := make([][]float64, len(t.model.Classes))
 	for k := range share {
-		share[k] = make([]float64, len(t.m.Sites))
+		share[k] = make([]float64, len(t.model.Sites))
 	}
 	for _, f := range flows {
 		out.Flow[f.k][f.from][f.to] += x[f.v]
@@ -75,139 +75,139 @@
 	}
 	// The corner that the simplex ends at may refuse all at one site and none at another: where links allow it, all
 	// sites' routers refuse the same part.
-	if even := t.deliver("lp", share); even.Worth(t.m) >= out.Worth(t.m)*(1-slack) {
+	if even := t.assignFlows("lp", share); even.Worth(t.model) >= out.Worth(t.model)*(1-boundTolerance) {
 		return even, nil
 	}
 	return out, nil
 }
 
-// siteRows adds the bounds of the sites: their room, and that for classes that return last where it is less.
-func (t *task) siteRows(p *program) {
-	for i := range t.m.Sites {
-		p.rooms, p.lates = append(p.rooms, none), append(p.lates, none)
-		if t.room[i] > 0 {
-			p.rooms[i] = p.row(t.room[i])
-			if t.late[i] < t.room[i] {
-				p.lates[i] = p.row(t.late[i])
+// addSiteRows adds the bounds of the sites: their room, and that for classes that return last where it is less.
+func (t *transport) addSiteRows(p *program) {
+	for i := range t.model.Sites {
+		p.capacityRows, p.lastRows = append(p.capacityRows, noRow), append(p.lastRows, noRow)
+		if t.capacity[i] > 0 {
+			p.capacityRows[i] = p.addRow(t.capacity[i])
+			if t.lastCapacity[i] < t.capacity[i] {
+				p.lastRows[i] = p.addRow(t.lastCapacity[i])
 			}
 		}
 	}
 }
 
-// serve adds the variable for what of a class a site serves, bounded by what is needed of it, by the site and by a link,
+// addFlow adds the variable for what of a class a site serves, bounded by what is needed of it, by the site and by a link,
 // and a second one for what of that fills the class's floor, where there is one.
-func (t *task) serve(p *program, k, to int, gain float64, need, floor, link int) (made []int) {
-	bounds := []int{p.rooms[to], link}
-	if t.m.Classes[k].Last {
-		bounds = append(bounds, p.lates[to])
+func (t *transport) addFlow(p *program, k, to int, gain float64, demandRow, floorRow, linkRow int) (made []int) {
+	bounds := []int{p.capacityRows[to], linkRow}
+	if t.model.Classes[k].Last {
+		bounds = append(bounds, p.lastRows[to])
 	}
 	add := func(gain float64) int {
-		v := p.variable(gain)
-		p.rows[need][v] = 1
+		v := p.addVariable(gain)
+		p.rows[demandRow][v] = 1
 		for _, row := range bounds {
-			if row != none {
+			if row != noRow {
 				p.rows[row][v] = t.work[k][to]
 			}
 		}
 		return v
 	}
 	made = append(made, add(gain))
-	if floor != none {
-		v := add(gain + t.floorGain())
-		p.rows[floor][v] = 1
+	if floorRow != noRow {
+		v := add(gain + t.floorBonus())
+		p.rows[floorRow][v] = 1
 		made = append(made, v)
 	}
 	return made
 }
 
-// parts solves a large one in two steps: how much of each class each site serves, whoever asks, by a program; then who
+// solveInSteps solves a large one in two steps: how much of each class each site serves, whoever asks, by a program; then who
 // sends it there, by the cheapest links first. What links don't bear is refused.
-func (t *task) parts() (Plan, error) {
-	var lpp program
-	t.siteRows(&lpp)
-	served := make([][][]int, len(t.m.Classes)) // by class and site: the variables
-	for k, c := range t.m.Classes {
-		asked := total(t.s.Demand[k])
-		need, floor := lpp.row(asked), none
+func (t *transport) solveInSteps() (Plan, error) {
+	var prog program
+	t.addSiteRows(&prog)
+	variables := make([][][]int, len(t.model.Classes)) // by class and site: the variables
+	for k, c := range t.model.Classes {
+		asked := total(t.situation.Demand[k])
+		demandRow, floorRow := prog.addRow(asked), noRow
 		if c.Floor > 0 && asked > 0 {
-			floor = lpp.row(c.Floor * asked)
+			floorRow = prog.addRow(c.Floor * asked)
 		}
-		for to := range t.m.Sites {
-			served[k] = append(served[k], nil)
-			if asked == 0 || !t.way(k, to, to) {
+		for to := range t.model.Sites {
+			variables[k] = append(variables[k], nil)
+			if asked == 0 || !t.allows(k, to, to) {
 				continue
 			}
 			// A site that is asked itself is a little better: nothing moves then.
 			gain := c.Worth * c.Work
-			if t.s.Demand[k][to] == 0 {
-				gain *= 1 - moves
+			if t.situation.Demand[k][to] == 0 {
+				gain *= 1 - transferPenalty
 			}
-			served[k][to] = t.serve(&lpp, k, to, gain, need, floor, none)
+			variables[k][to] = t.addFlow(&prog, k, to, gain, demandRow, floorRow, noRow)
 		}
 	}
-	x, err := lpp.solve()
+	x, err := prog.solve()
 	if err != nil {
 		return Plan{}, err
 	}
-	share := make([][]float64, len(t.m.Classes))
-	for k := range served {
-		for _, vs := range served[k] {
+	share := make([][]float64, len(t.model.Classes))
+	for k := range variables {
+		for _, vars := range variables[k] {
 			sum := 0.0
-			for _, v := range vs {
+			for _, v := range vars {
 				sum += x[v]
 			}
 			share[k] = append(share[k], sum)
 		}
 	}
-	return t.deliver("lp by parts", share), nil
+	return t.assignFlows("lp by parts", share), nil
 }
 
-// deliver has what each site serves of each class asked for by somebody: its own routers first, then by the cheapest
+// assignFlows has what each site serves of each class asked for by somebody: its own routers first, then by the cheapest
 // links. A class that is served in part is so for all sites alike, as far as links go.
-func (t *task) deliver(how string, share [][]float64) Plan {
-	out := t.empty(how)
-	left := map[[2]int]float64{}
-	for link, rate := range t.rate {
-		left[link] = rate
+func (t *transport) assignFlows(how string, share [][]float64) Plan {
+	out := t.emptyPlan(how)
+	rateLeft := map[[2]int]float64{}
+	for link, rate := range t.linkRate {
+		rateLeft[link] = rate
 	}
-	type way struct {
+	type route struct {
 		cost     float64
 		from, to int
 	}
-	var ways []way
-	for from := range t.m.Sites {
-		for to := range t.m.Sites {
+	var routes []route
+	for from := range t.model.Sites {
+		for to := range t.model.Sites {
 			if from != to && !math.IsInf(t.cost[from][to], 1) {
-				ways = append(ways, way{t.cost[from][to], from, to})
+				routes = append(routes, route{t.cost[from][to], from, to})
 			}
 		}
 	}
-	slices.SortStableFunc(ways, func(a, b way) int { return cmp.Compare(a.cost, b.cost) })
-	for _, k := range t.order {
-		asked, served := total(t.s.Demand[k]), total(share[k])
+	slices.SortStableFunc(routes, func(a, b route) int { return cmp.Compare(a.cost, b.cost) })
+	for _, k := range t.byWorth {
+		asked, served := total(t.situation.Demand[k]), total(share[k])
 		if asked == 0 {
 			continue
 		}
-		want, room := make([]float64, len(t.m.Sites)), slices.Clone(share[k])
-		for i, d := range t.s.Demand[k] {
-			want[i] = d * min(served/asked, 1)
-			if t.way(k, i, i) {
-				own := min(want[i], room[i])
-				out.Flow[k][i][i] = own
-				want[i], room[i] = want[i]-own, room[i]-own
+		demand, capacity := make([]float64, len(t.model.Sites)), slices.Clone(share[k])
+		for i, d := range t.situation.Demand[k] {
+			demand[i] = d * min(served/asked, 1)
+			if t.allows(k, i, i) {
+				local := min(demand[i], capacity[i])
+				out.Flow[k][i][i] = local
+				demand[i], capacity[i] = demand[i]-local, capacity[i]-local
 			}
 		}
-		for _, w := range ways {
-			flow := min(want[w.from], room[w.to])
-			if flow <= 0 || !t.way(k, w.from, w.to) {
+		for _, w := range routes {
+			flow := min(demand[w.from], capacity[w.to])
+			if flow <= 0 || !t.allows(k, w.from, w.to) {
 				continue
 			}
-			if rate, bounded := left[[2]int{w.from, w.to}]; bounded {
+			if rate, bounded := rateLeft[[2]int{w.from, w.to}]; bounded {
 				flow = min(flow, max(rate, 0)/t.work[k][w.to])
-				left[[2]int{w.from, w.to}] = rate - flow*t.work[k][w.to]
+				rateLeft[[2]int{w.from, w.to}] = rate - flow*t.work[k][w.to]
 			}
 			out.Flow[k][w.from][w.to] += flow
-			want[w.from], room[w.to] = want[w.from]-flow, room[w.to]-flow
+			demand[w.from], capacity[w.to] = demand[w.from]-flow, capacity[w.to]-flow
 		}
 	}
 	return out
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -43,7 +43,7 @@
 
 	mu      sync.Mutex
 	terms   Terms
-	posture *sites.Posture
+	posture *sites.Decision
 	orders  map[string]sites.Orders
 	ready   map[string]int           // servers by site
 	missed  map[string]time.Duration // since when a site's servers have not answered this router
@@ -97,18 +97,18 @@
 		return
 	}
 	a.mu.Lock()
-	main, admit := a.o.Zone, a.posture.Taken(class, a.o.Zone)
+	main, admit := a.o.Zone, a.posture.Admitted(class, a.o.Zone)
 	if p := a.posture; p != nil {
 		most := 0.0
-		for _, name := range slices.Sorted(maps.Keys(p.Parts[class][a.o.Zone])) {
-			if part := p.Parts[class][a.o.Zone][name]; part > most {
+		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.o.Zone])) {
+			if part := p.Shares[class][a.o.Zone][name]; part > most {
 				main, most = name, part
 			}
 		}
 	}
 	a.mu.Unlock()
 	if rank < admit {
-		a.meter.Saw(main, func(s *sites.Seen) { s.Turned++ })
+		a.meter.Saw(main, func(s *sites.Observation) { s.Rejected++ })
 	}
 }
 
@@ -127,11 +127,11 @@
 	if len(a.terms.Model.Sites) == 0 {
 		return
 	}
-	if a.posture != nil && len(a.posture.Parts) > 0 {
+	if a.posture != nil && len(a.posture.Shares) > 0 {
 		set.Zone = -1
 	}
 	for class, at := range places {
-		roster.Admit(set, at, a.posture.Taken(class, a.o.Zone))
+		roster.Admit(set, at, a.posture.Admitted(class, a.o.Zone))
 	}
 }
 
@@ -162,9 +162,9 @@
 	}
 	p := a.posture
 	if p == nil {
-		p = &sites.Posture{}
+		p = &sites.Decision{}
 	}
-	dead := a.unreachable(m.Filled())
+	dead := a.unreachable(m.WithDefaults())
 	for i := range list {
 		w, site := &list[i], a.o.Roster.Site(list[i])
 		if !here[site] {
@@ -175,7 +175,7 @@
 			continue
 		}
 		for class, at := range t.Places {
-			if row, named := p.Parts[class][a.o.Zone]; named {
+			if row, named := p.Shares[class][a.o.Zone]; named {
 				roster.Scale(w, at, row[site]/max(weight[site], 1))
 			}
 		}
@@ -199,7 +199,7 @@
 
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	decider := &sites.Decider{Me: a.o.Name, Broken: a.o.Broken}
+	decider := &sites.Decider{Router: a.o.Name, Fault: a.o.Broken}
 	loop.Steps{Client: a.store.Client, Watch: postureKey,
 		Period: func() (time.Duration, bool) {
 			m := a.model()
@@ -217,24 +217,24 @@
 func (a *Agent) model() sites.Model {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.terms.Model.Filled()
+	return a.terms.Model.WithDefaults()
 }
 
 // report writes what was seen since the last one.
 func (a *Agent) report(ctx context.Context, m sites.Model, since, period time.Duration) {
 	offered, seen := a.meter.Cut()
-	r := sites.Report{Router: a.o.Name, Boot: a.o.Boot, Site: a.o.Zone, Sees: map[string]sites.Seen{}, Offered: map[string]float64{}, Stopped: since > 3*period,
-		OverMs: float64(max(since, period)) / float64(time.Millisecond)}
+	r := sites.Report{Router: a.o.Name, Boot: a.o.Boot, Site: a.o.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
+		WindowMs: float64(max(since, period)) / float64(time.Millisecond)}
 	a.mu.Lock()
 	for _, s := range m.Sites {
 		one := seen[s.Name]
 		one.Ready = a.ready[s.Name]
-		r.Sees[s.Name] = one
+		r.Observations[s.Name] = one
 		_, was := a.missed[s.Name]
 		switch {
-		case one.OK > 0:
+		case one.Answered > 0:
 			delete(a.missed, s.Name)
-		case one.Tried > 0 && !was && !r.Stopped:
+		case one.Attempts > 0 && !was && !r.Stopped:
 			a.missed[s.Name] = a.now()
 		}
 	}
@@ -293,9 +293,9 @@
 }
 
 // say logs what changed between two postures.
-func (a *Agent) say(from, to *sites.Posture) {
+func (a *Agent) say(from, to *sites.Decision) {
 	if from == nil {
-		from = &sites.Posture{}
+		from = &sites.Decision{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(to.Sites)) {
 		v, w := to.Sites[name], from.Sites[name]
@@ -304,6 +304,6 @@
 		}
 	}
 	if (len(from.Admit) == 0) != (len(to.Admit) == 0) {
-		a.o.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.How}).Warn("sites: classes that are taken in part")
+		a.o.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: classes that are taken in part")
 	}
 }
--- a/internal/fleet/siting/meter.go
+++ b/internal/fleet/siting/meter.go
@@ -13,7 +13,7 @@
 type Meter struct {
 	mu      sync.Mutex
 	offered map[string]int
-	seen    map[string]sites.Seen
+	seen    map[string]sites.Observation
 	known   [2]map[uint64]bool   // sessions that were taken lately, in two generations
 	lately  map[string]*arrivals // by class
 }
@@ -33,7 +33,7 @@
 
 // NewMeter makes a meter.
 func NewMeter() *Meter {
-	return &Meter{offered: map[string]int{}, seen: map[string]sites.Seen{}, known: [2]map[uint64]bool{{}, {}}, lately: map[string]*arrivals{}}
+	return &Meter{offered: map[string]int{}, seen: map[string]sites.Observation{}, known: [2]map[uint64]bool{{}, {}}, lately: map[string]*arrivals{}}
 }
 
 // Arrived counts a request and gives its rank among those of its class that came lately: sessions under way come before new ones,
@@ -82,10 +82,10 @@
 
 // Tried counts an attempt at a site that ended by itself.
 func (m *Meter) Tried(site string, heard, inTime bool, session uint64) {
-	m.Saw(site, func(s *sites.Seen) {
-		s.Tried++
+	m.Saw(site, func(s *sites.Observation) {
+		s.Attempts++
 		if heard {
-			s.OK, s.Served = s.OK+1, s.Served+1
+			s.Answered, s.Served = s.Answered+1, s.Served+1
 		}
 		if inTime {
 			s.InTime++
@@ -99,7 +99,7 @@
 }
 
 // Saw changes what was seen of a site.
-func (m *Meter) Saw(site string, change func(*sites.Seen)) {
+func (m *Meter) Saw(site string, change func(*sites.Observation)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.seen[site]
@@ -108,11 +108,11 @@
 }
 
 // Cut gives what was counted, and begins anew.
-func (m *Meter) Cut() (offered map[string]int, seen map[string]sites.Seen) {
+func (m *Meter) Cut() (offered map[string]int, seen map[string]sites.Observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	offered, seen = m.offered, m.seen
-	m.offered, m.seen = map[string]int{}, map[string]sites.Seen{}
+	m.offered, m.seen = map[string]int{}, map[string]sites.Observation{}
 	return offered, seen
 }
 
--- a/internal/fleet/siting/probe.go
+++ b/internal/fleet/siting/probe.go
@@ -23,7 +23,7 @@
 			if len(a.terms.Model.Sites) == 0 {
 				return 0
 			}
-			return min(roster.ProbeLimit, time.Duration(a.terms.Model.Filled().ReportMs/2)*time.Millisecond) // each report has news
+			return min(roster.ProbeLimit, time.Duration(a.terms.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
 		},
 		Pick: func(list []core.Worker) (out []core.Worker) {
 			by := map[string][]core.Worker{}
@@ -39,13 +39,13 @@
 			return out
 		},
 		Heard: func(w core.Worker, heard bool, err error) {
-			a.meter.Saw(a.o.Roster.Site(w), func(s *sites.Seen) {
-				s.Tried++
+			a.meter.Saw(a.o.Roster.Site(w), func(s *sites.Observation) {
+				s.Attempts++
 				switch {
 				case heard:
-					s.OK++
+					s.Answered++
 				case errors.Is(err, context.DeadlineExceeded):
-					s.Silent++
+					s.NoReply++
 				}
 			})
 		},
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -23,8 +23,8 @@
 // Store reads and writes the records.
 type Store struct{ *etcd.Client }
 
-func (s Store) records() loop.Store[sites.Report, sites.Posture] {
-	return loop.Store[sites.Report, sites.Posture]{Client: s.Client, Root: root, Name: "posture"}
+func (s Store) records() loop.Store[sites.Report, sites.Decision] {
+	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Root: root, Name: "posture"}
 }
 
 // View reads all records; copied is content with one node's copy.
@@ -43,7 +43,7 @@
 func Read(r *pb.RangeResponse) (sites.View, error) { return viewOf(Store{}.records().Read(r)) }
 
 // viewOf is what a decider works with. The view stands without the records that can't be read, which err names.
-func viewOf(all loop.View[sites.Report, sites.Posture]) (v sites.View, err error) {
+func viewOf(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
 	v.Orders = map[string]sites.Orders{}
 	if v.Last = all.State; v.Last != nil {
 		v.Last.Rev = all.StateRev
--- a/internal/lab/sites_test.go
+++ b/internal/lab/sites_test.go
@@ -60,7 +60,7 @@
 	up("all up")
 
 	f.Pause("a", true)
-	see("its servers pause", func(v sites.Verdict) bool { return v.State == sites.Lost && v.Kind == sites.ServersGone })
+	see("its servers pause", func(v sites.Verdict) bool { return v.State == sites.Lost && v.Kind == sites.ServersDown })
 	f.Pause("a", false)
 	returning("they go on")
 	up("and it is back")
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	see("cut off from some", func(v sites.Verdict) bool { return v.State == sites.Up && v.Kind == sites.HalfCut })
+	see("cut off from some", func(v sites.Verdict) bool { return v.State == sites.Up && v.Kind == sites.PartlyReachable })
 	f.Heal()
 	up("healed")
 
@@ -84,7 +84,7 @@
 	up("healed again")
 
 	f.Lose("a", true)
-	see("it goes with its routers", func(v sites.Verdict) bool { return v.State == sites.Lost && v.Kind == sites.WholeGone })
+	see("it goes with its routers", func(v sites.Verdict) bool { return v.State == sites.Lost && v.Kind == sites.SiteDown })
 	if err := f.Return("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/world/plan.go
+++ b/internal/world/plan.go
@@ -27,7 +27,7 @@
 		return
 	}
 	offered, seen := r.meter.Cut()
-	rep := sites.Report{Router: r.name, Site: siteName(r.site), Sees: map[string]sites.Seen{}, Offered: map[string]float64{}}
+	rep := sites.Report{Router: r.name, Site: siteName(r.site), Observations: map[string]sites.Observation{}, Offered: map[string]float64{}}
 	for _, c := range Classes {
 		rep.Offered[c.Name] = float64(offered[c.Name]) / r.period().Seconds()
 	}
@@ -36,11 +36,11 @@
 		one := seen[siteName(i)]
 		one.Ready = per
 		for n := range min(probed, per) {
-			if one.Tried++; !w.servers[i*per+(r.n+n)%per].away() {
-				one.OK++
+			if one.Attempts++; !w.servers[i*per+(r.n+n)%per].away() {
+				one.Answered++
 			}
 		}
-		rep.Sees[siteName(i)] = one
+		rep.Observations[siteName(i)] = one
 	}
 	w.rev++
 	rep.Rev = w.rev
@@ -83,12 +83,12 @@
 	}
 	r.posture = p
 	set := r.set
-	if len(p.Parts) > 0 {
+	if len(p.Shares) > 0 {
 		set.Zone = -1
 	}
 	set.Admitted = nil
 	for _, c := range Classes {
-		set.Admitted = append(set.Admitted, p.Taken(c.Name, siteName(r.site)))
+		set.Admitted = append(set.Admitted, p.Admitted(c.Name, siteName(r.site)))
 	}
 	r.brain.Retune(set)
 	r.handle(brain.Listed{Kind: brain.ListDelta, Engines: r.engines()})
--- a/internal/world/router.go
+++ b/internal/world/router.go
@@ -48,7 +48,7 @@
 	out     []brain.Action
 	meter   *siting.Meter
 	decider *sites.Decider
-	posture *sites.Posture
+	posture *sites.Decision
 	set     brain.Settings
 }
 
@@ -61,7 +61,7 @@
 		r.set.Classes = append(r.set.Classes, brain.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, Effect: c.Effect})
 	}
 	r.brain, r.open, r.meter, r.posture = brain.New(r.set, r.w.set.Seed<<16+uint64(r.n)+uint64(r.life)<<40), map[brain.RequestID]*request{}, siting.NewMeter(), nil
-	r.decider = &sites.Decider{Me: r.name, Broken: r.w.set.Broken}
+	r.decider = &sites.Decider{Router: r.name, Fault: r.w.set.Broken}
 	r.handle(brain.Listed{Kind: brain.ListWhole, Engines: r.engines()})
 	r.follow() // as a router does that starts: it reads what is agreed on before it takes anything
 	if r.w.set.Plan {
@@ -80,9 +80,9 @@
 	per := float64(r.w.set.Servers / r.w.set.Sites)
 	for _, s := range r.w.servers {
 		e := brain.Engine{ID: brain.EngineID(s.id + 1), Zone: s.site, Weight: 1}
-		if p := r.posture; p != nil && len(p.Parts) > 0 {
+		if p := r.posture; p != nil && len(p.Shares) > 0 {
 			for _, c := range Classes {
-				e.Parts = append(e.Parts, p.Parts[c.Name][siteName(r.site)][siteName(s.site)]/per)
+				e.Parts = append(e.Parts, p.Shares[c.Name][siteName(r.site)][siteName(s.site)]/per)
 			}
 		}
 		out = append(out, e)
@@ -181,8 +181,8 @@
 func (r *router) refuse(q *request, holdOff time.Duration) {
 	c := q.client
 	if r.w.set.Plan {
-		if q.rank < r.posture.Taken(Classes[c.class].Name, siteName(r.site)) {
-			r.meter.Saw(siteName(r.site), func(s *sites.Seen) { s.Turned++ })
+		if q.rank < r.posture.Admitted(Classes[c.class].Name, siteName(r.site)) {
+			r.meter.Saw(siteName(r.site), func(s *sites.Observation) { s.Rejected++ })
 			r.w.count(func(t *tracing) { t.turned++ })
 		}
 	}
--- a/internal/world/trace.go
+++ b/internal/world/trace.go
@@ -70,7 +70,7 @@
 	for k, c := range Classes {
 		for _, r := range w.routers {
 			if !r.dead {
-				taken[k] += r.posture.Taken(c.Name, siteName(r.site))
+				taken[k] += r.posture.Admitted(c.Name, siteName(r.site))
 				demand[k] += w.reports[r.name].Offered[c.Name]
 			}
 		}
@@ -83,7 +83,7 @@
 	}
 	if p := w.posture; p != nil {
 		for i := range w.set.Sites {
-			bearing = append(bearing, p.Bearing[siteName(i)])
+			bearing = append(bearing, p.CapacityRatio[siteName(i)])
 			if v := p.Sites[siteName(i)]; v.State != sites.Up {
 				lost += fmt.Sprintf(" %s %s %.2f", siteName(i), v.State, v.Ramp)
 			}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -104,7 +104,7 @@
 	lost    bool  // the first site
 	day     Day
 	model   sites.Model
-	posture *sites.Posture
+	posture *sites.Decision
 	reports map[string]sites.Report
 	rev     int64
 	ids     uint64
@@ -166,7 +166,7 @@
 		m.Classes = append(m.Classes, sites.Class{Name: c.Name, Worth: c.Worth, Last: c.Effect == brain.Unsafe})
 	}
 	m.Classes[1].Floor = 0.1
-	w.model = m.Filled()
+	w.model = m.WithDefaults()
 	for i := range set.Servers {
 		w.servers = append(w.servers, &server{w: w, id: i, site: w.siteOf(i, set.Servers), emu: emu.New(set.Server, 0), open: map[uint64]*attempt{}})
 	}
