--- a/internal/decide/sites/decide.go
+++ b/internal/decide/sites/decide.go
@@ -9,45 +9,46 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Decision is what all routers follow: it stands in the store, and is written by a compare on the one before.
+// Decision is the shared decision that all routers follow. It is kept in the store and replaced by a compare-and-swap
+// on the previous one.
 type Decision struct {
 	Seq           int64                 `json:"seq"`
-	Version       int64                 `json:"version"` // of the policy whose model it was made by
+	Version       int64                 `json:"version"` // version of the policy that contains the model
 	By            string                `json:"by"`
 	Sites         map[string]Verdict    `json:"sites"`
-	Admit         map[string]BySite     `json:"admit,omitempty"` // by class and by the site of the routers; what is not named is taken whole
-	Shares        map[string]BySitePair `json:"parts,omitempty"` // by class, by the site of the routers and by that of the servers
-	CapacityRatio map[string]float64    `json:"bearing"`         // by site: how its true capacity compares with the declared one
+	Admit         map[string]BySite     `json:"admit,omitempty"` // admitted share by class and by the site of the routers; absent: everything
+	Shares        map[string]BySitePair `json:"parts,omitempty"` // share of the traffic by class, by the site of the routers and by the site of the servers
+	CapacityRatio map[string]float64    `json:"bearing"`         // by site: estimated capacity relative to the declared one
 	Method        string                `json:"how,omitempty"`
 	Rev           int64                 `json:"-"`
 }
 
-// Admitted is the part of a class that the routers of a site take; without a posture all of it.
-func (p *Decision) Admitted(class, site string) float64 {
-	if p != nil {
-		if share, limited := p.Admit[class][site]; limited {
+// Admitted returns the share of a class that the routers of a site admit. Without a decision that is everything.
+func (d *Decision) Admitted(class, site string) float64 {
+	if d != nil {
+		if share, limited := d.Admit[class][site]; limited {
 			return share
 		}
 	}
 	return 1
 }
 
-// BySite and BySitePair are figures by site, and by two sites.
+// BySite holds a value per site. BySitePair holds a value per pair of sites.
 type (
 	BySite     map[string]float64
 	BySitePair map[string]BySite
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a deliberate violation of a rule, used to test that the checkers detect it.
 type Fault string
 
-// The faults.
+// The faults that can be injected.
 const (
-	NoPace   Fault = "no-pace"  // a site that returns is given its whole part at once
-	Reversed Fault = "reversed" // what is worth most is refused first
+	NoPace   Fault = "no-pace"  // a returning site gets its full share immediately
+	Reversed Fault = "reversed" // the classes of the highest worth are refused first
 )
 
-// Decider comes to postures. Each router keeps one and steps it alike; whose turn it is writes.
+// Decider computes decisions. Each router runs one with the same inputs. The router whose turn it is writes the result.
 type Decider struct {
 	Router string
 	Fault  Fault
@@ -56,36 +57,38 @@
 	freshness turn.Stood
 	estimates
 	estimatedAt time.Duration
-	settleUntil time.Duration // until then the times of answers are a change's
+	settleUntil time.Duration // until then, response times reflect a recent change of a verdict
 	due         turn.Due
 	states      map[string]State
 }
 
-// View is what is known at one moment.
+// View is the input of a decision.
 type View struct {
 	Model   Model
 	Version int64
-	Last    *Decision // nil: there was none
+	Last    *Decision // nil: none yet
 	Orders  map[string]Orders
-	Reports []Report // by whatever routers there are
+	Reports []Report // from all routers
 }
 
 const (
-	// freshPeriods is for how many periods a report is believed.
+	// freshPeriods is the number of report periods for which a report is valid.
 	freshPeriods = 4
-	// turnStep is how much later each next router writes a posture that the one before it should have written.
+	// turnStep is the delay between turns: each router waits this much longer than the one ranked before it.
 	turnStep = 250 * time.Millisecond
-	// admissionRise bounds by how much of a class more is taken with each period while something waits, admissionRiseIdle while nothing
-	// does; less is taken at once, and all as soon as there is room for it.
+	// admissionRise bounds the increase of a class's admitted share per period while requests are queued,
+	// admissionRiseIdle while none are. Decreases apply at once, and so do increases when there is neither overload nor
+	// crowding.
 	admissionRise, admissionRiseIdle = 0.25, 0.5
-	// settleFor is how long after a verdict the times of answers are the change's: sites don't count as bearing less by them.
+	// settleFor is the time after a change of a verdict in which late answers don't lower the estimated capacity of a
+	// site. They are caused by the change.
 	settleFor = 5 * time.Second
-	// fullAdmission is the part from which a class counts as taken whole.
+	// fullAdmission is the share from which a class counts as fully admitted.
 	fullAdmission = 0.995
 )
 
-// Next gives the posture that should take the place of the last, or nil while that may stand or another router's turn
-// is before ours.
+// Next returns the decision that should replace the last one. It returns nil if the last one is still valid or if it is
+// another router's turn.
 func (d *Decider) Next(v View, now time.Duration) *Decision {
 	m := v.Model.WithDefaults()
 	fresh := d.fresh(v, m, now)
@@ -120,7 +123,7 @@
 	return &next
 }
 
-// recordStates remembers since when verdicts are what they are, whoever came to them.
+// recordStates notes when a verdict last changed, whichever router decided it.
 func (d *Decider) recordStates(verdicts map[string]Verdict, now time.Duration) {
 	if d.states == nil {
 		d.states = map[string]State{}
@@ -133,7 +136,7 @@
 	}
 }
 
-// fresh are the reports that were written anew not long ago, by this router's clock.
+// fresh returns the reports that were renewed recently by this router's clock, sorted by router.
 func (d *Decider) fresh(v View, m Model, now time.Duration) (out []Report) {
 	for _, r := range v.Reports {
 		if ms(d.freshness.For(r.Router, r.Rev, now)) <= freshPeriods*m.ReportMs {
@@ -144,7 +147,7 @@
 	return out
 }
 
-// rank is a router's turn among those that report.
+// rank returns this router's position in the turn order of the reporting routers.
 func (d *Decider) rank(fresh []Report) int {
 	names := make([]string, len(fresh))
 	for i, r := range fresh {
@@ -153,9 +156,9 @@
 	return turn.Rank("sites", d.Router, names)
 }
 
-func (p Decision) limitsAdmission() bool { return len(p.Admit) > 0 }
+func (d Decision) limitsAdmission() bool { return len(d.Admit) > 0 }
 
-// maxAdmissionRise is by how much of a class more is taken at once.
+// maxAdmissionRise returns the largest increase of an admitted share in one decision.
 func (d *Decider) maxAdmissionRise() float64 {
 	switch {
 	case !d.overloaded && !d.crowded:
@@ -166,7 +169,7 @@
 	return admissionRise
 }
 
-// situation is what is to be planned for: the sites as judged, and what is asked now.
+// situation returns the input of the plan: the sites by their verdicts, and the current demand.
 func (d *Decider) situation(m Model, verdicts map[string]Verdict) Situation {
 	s := Situation{CutOff: make([]bool, len(m.Sites))}
 	for i, site := range m.Sites {
@@ -174,7 +177,7 @@
 		factor := v.Ramp
 		switch {
 		case v.Kind == CutOff && v.State != Up:
-			factor, s.CutOff[i] = 1, true // its own routers go on
+			factor, s.CutOff[i] = 1, true // its own routers continue to use it
 		case v.State == Lost:
 			factor = 0
 		}
@@ -194,8 +197,8 @@
 	return s
 }
 
-// fill fills in where work goes and how much is taken.
-func (p *Decision) fill(m Model, last Decision, s Situation, maxRise float64, fault Fault) {
+// fill sets the traffic shares, and the admitted shares where they are below 1.
+func (d *Decision) fill(m Model, last Decision, s Situation, maxRise float64, fault Fault) {
 	if fault == Reversed {
 		m.Classes = slices.Clone(m.Classes)
 		for k := range m.Classes {
@@ -203,11 +206,11 @@
 		}
 	}
 	steady := true
-	for _, v := range p.Sites {
+	for _, v := range d.Sites {
 		steady = steady && v.State == Up && v.Kind != CutOff && v.MissingShare == 0
 	}
 	plan := Solve(m, s)
-	p.Method = plan.Method
+	d.Method = plan.Method
 	for k, c := range m.Classes {
 		for from, site := range m.Sites {
 			admit := plan.Admit(k, from)
@@ -215,36 +218,37 @@
 			if admit >= fullAdmission {
 				continue
 			}
-			if p.Admit == nil {
-				p.Admit = map[string]BySite{}
+			if d.Admit == nil {
+				d.Admit = map[string]BySite{}
 			}
-			if p.Admit[c.Name] == nil {
-				p.Admit[c.Name] = BySite{}
+			if d.Admit[c.Name] == nil {
+				d.Admit[c.Name] = BySite{}
 			}
-			p.Admit[c.Name][site.Name] = round(admit)
+			d.Admit[c.Name][site.Name] = round(admit)
 		}
 	}
-	if steady && len(p.Admit) == 0 {
-		return // the module's own ways, as without a plan
+	if steady && len(d.Admit) == 0 {
+		return // normal operation: without shares the routers choose servers as if there were no plan
 	}
-	p.Shares = map[string]BySitePair{}
+	d.Shares = map[string]BySitePair{}
 	for k, c := range m.Classes {
-		p.Shares[c.Name] = BySitePair{}
+		d.Shares[c.Name] = BySitePair{}
 		for from, site := range m.Sites {
 			row := BySite{}
 			shares := plan.Shares(k, from)
-			if slices.Max(shares) == 0 { // nothing is asked there just now, or nothing is taken: what comes goes where there is room
+			if slices.Max(shares) == 0 { // no demand or nothing admitted there: new requests go to any site with capacity
 				shares = s.defaultShares(m, k, from)
 			}
 			for to, destination := range m.Sites {
 				row[destination.Name] = round(shares[to])
 			}
-			p.Shares[c.Name][site.Name] = row
+			d.Shares[c.Name][site.Name] = row
 		}
 	}
 }
 
-// defaultShares are the parts for a class that is not asked at a site: its own servers, or all that there are.
+// defaultShares returns the traffic shares of a class without demand at a site: all to its own servers, or to all
+// allowed sites by capacity.
 func (s Situation) defaultShares(m Model, k, from int) []float64 {
 	t := newTransport(m, s)
 	out := make([]float64, len(m.Sites))
@@ -267,28 +271,29 @@
 
 func round(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// minChange is by how much a figure must differ before a posture is written for it alone.
+// minChange is the smallest change of a value that justifies a new decision.
 const minChange = 0.02
 
-// differs tells whether a posture says something new.
+// differs reports whether decision b differs from a enough to be written.
 func differs(a, b Decision) bool {
 	if a.Version != b.Version || len(a.Sites) != len(b.Sites) || len(a.Shares) != len(b.Shares) || len(a.Admit) != len(b.Admit) {
 		return true
 	}
 	for name, v := range b.Sites {
 		w := a.Sites[name]
-		if v.State != w.State || v.Kind != w.Kind || v.Losses != w.Losses || math.Abs(v.Ramp-w.Ramp) > minChange || (v.Ramp == 1) != (w.Ramp == 1) || math.Abs(v.MissingShare-w.MissingShare) > minChange {
+		if v.State != w.State || v.Kind != w.Kind || v.Losses != w.Losses || math.Abs(v.Ramp-w.Ramp) > minChange ||
+			(v.Ramp == 1) != (w.Ramp == 1) || math.Abs(v.MissingShare-w.MissingShare) > minChange {
 			return true
 		}
 	}
 	for class, rows := range b.Admit {
-		if figuresDiffer(a.Admit[class], rows, 1) {
+		if sharesDiffer(a.Admit[class], rows, 1) {
 			return true
 		}
 	}
 	for class, table := range b.Shares {
 		for from, rows := range table {
-			if figuresDiffer(a.Shares[class][from], rows, 0) {
+			if sharesDiffer(a.Shares[class][from], rows, 0) {
 				return true
 			}
 		}
@@ -296,7 +301,7 @@
 	return false
 }
 
-func figuresDiffer(a, b BySite, absent float64) bool {
+func sharesDiffer(a, b BySite, absent float64) bool {
 	for _, pair := range [][2]BySite{{a, b}, {b, a}} {
 		for name, v := range pair[0] {
 			w, present := pair[1][name]
--- a/internal/decide/sites/model.go
+++ b/internal/decide/sites/model.go
@@ -1,7 +1,7 @@
-// Package sites decides what a fleet does about the loss of a whole site: what is known of each site (Judge), where
-// each class of work goes and what is refused (Solve), how fast a site that comes back is given work again (Pace), and
-// what all routers follow of that (Decider, Posture). It does no I/O and knows no clock: times are arguments,
-// monotonic and of any origin, and equal inputs give equal outputs.
+// Package sites decides how a fleet of several sites handles the loss of a whole site: the state of each site
+// (Detector), where each class of requests goes and what is refused (Solve), how fast a returning site gets load again
+// (Ramp), and the decision that all routers follow (Decider, Decision). The package does no I/O and reads no clock.
+// Times are arguments, monotonic with any origin. Equal inputs give equal outputs.
 package sites
 
 import (
@@ -13,68 +13,71 @@
 	"strings"
 )
 
-// Model is what the operators declare of a fleet's sites. The zero values of its settings stand for Defaults.
+// Model is the operators' declaration of a fleet's sites. A setting of zero means its value in Defaults.
 type Model struct {
 	Sites   []Site  `toml:"site" json:"site"`
 	Classes []Class `toml:"class" json:"class"`
 	Links   []Link  `toml:"link,omitempty" json:"link,omitempty"`
 
-	// Reserve is the part of the capacity that no plan gives away.
+	// Reserve is the share of the capacity that no plan uses.
 	Reserve float64 `toml:"reserve,omitzero" json:"reserve,omitzero"`
-	// LostAfterMs is how long a site must be seen as dead by all who see it before it counts as lost, BackAfterMs how
-	// long as alive before work returns to it. Each loss within FlapMs of the one before doubles the latter.
+	// LostAfterMs is how long every observer must see a site as dead before the site counts as lost. BackAfterMs is how
+	// long a site must be seen as alive before it gets load again. Each loss within FlapMs of the previous one doubles
+	// BackAfterMs.
 	LostAfterMs float64 `toml:"lost_after_ms,omitzero" json:"lost_after_ms,omitzero"`
 	BackAfterMs float64 `toml:"back_after_ms,omitzero" json:"back_after_ms,omitzero"`
 	FlapMs      float64 `toml:"flap_ms,omitzero" json:"flap_ms,omitzero"`
-	// WarmMs is how long a cold site takes to carry its whole load, ColdShare the part that it bears at once.
+	// WarmMs is how long a cold site takes until it can carry its full load. ColdShare is the share that it can carry
+	// immediately.
 	WarmMs    float64 `toml:"warm_ms,omitzero" json:"warm_ms,omitzero"`
 	ColdShare float64 `toml:"cold_share,omitzero" json:"cold_share,omitzero"`
-	// ReportMs is how often each router reports.
+	// ReportMs is the interval at which each router writes a report.
 	ReportMs float64 `toml:"report_ms,omitzero" json:"report_ms,omitzero"`
 }
 
-// Site is one place with servers, routers and members of the store, any of which it may lack.
+// Site is a location with servers, routers and members of the store. It may lack any of them.
 type Site struct {
 	Name string `toml:"name" json:"name"`
-	// Capacity is what its servers carry together when warm, in units of work a second.
+	// Capacity is what its servers can process together when warm, in units of work per second.
 	Capacity float64 `toml:"capacity" json:"capacity"`
-	Servers  int     `toml:"servers,omitzero" json:"servers,omitzero"` // 0: not stated
+	Servers  int     `toml:"servers,omitzero" json:"servers,omitzero"` // 0: not declared
 	Routers  int     `toml:"routers,omitzero" json:"routers,omitzero"`
-	Members  int     `toml:"members,omitzero" json:"members,omitzero"` // of the store
-	// Demand is what comes to its routers at its worst hour, by class, in requests a second.
+	Members  int     `toml:"members,omitzero" json:"members,omitzero"` // replicas of the store
+	// Demand is the peak demand at its routers by class, in requests per second.
 	Demand map[string]float64 `toml:"demand,omitempty" json:"demand,omitempty"`
-	// Work is what a request of a class costs here, in units of work, where that differs from the class's own.
+	// Work is the cost of a request by class at this site, in units of work, where it differs from Class.Work.
 	Work map[string]float64 `toml:"work,omitempty" json:"work,omitempty"`
 }
 
-// Class is what the plan must know of a class of requests. Its name is one of chat.class.
+// Class is a class of requests as the plan sees it. Its name is one of chat.class.
 type Class struct {
 	Name string  `toml:"name" json:"name"`
-	Work float64 `toml:"work,omitzero" json:"work,omitzero"` // units of work for a request; 0: 1
-	// Worth is that of a unit of work; 0: that of the class in [chat].
+	Work float64 `toml:"work,omitzero" json:"work,omitzero"` // units of work per request; 0: 1
+	// Worth is the value of a unit of work. 0: the class's value in [chat].
 	Worth float64 `toml:"worth,omitzero" json:"worth,omitzero"`
-	// Floor is the part of its requests that is served as long as there is any capacity for it.
+	// Floor is the share of the class's requests that is served while there is any capacity for it.
 	Floor float64 `toml:"floor,omitzero" json:"floor,omitzero"`
-	// Places are the sites whose servers may take it; none: all.
+	// Places lists the sites whose servers may process the class. Empty: all sites.
 	Places []string `toml:"places,omitempty" json:"places,omitempty"`
-	// Last has it return to a site only after the others: filings, whose failure costs most.
+	// Last makes the class return to a recovering site only after the other classes. It is meant for unsafe requests
+	// such as filings, where a failure costs most.
 	Last bool `toml:"last,omitempty" json:"last,omitempty"`
 }
 
-// Link is a way from the routers of one site to the servers of another. Sites without a link reach each other at a
-// cost of 1 and without a bound, unless links are named at all: then only those named exist.
+// Link is a path from the routers of one site to the servers of another. If a model lists no links, all sites reach
+// each other at cost 1 and without a rate limit. If it lists any, only the listed links exist.
 type Link struct {
 	From string  `toml:"from" json:"from"`
 	To   string  `toml:"to" json:"to"`
-	Cost float64 `toml:"cost,omitzero" json:"cost,omitzero"` // of a unit of work, against others; 0: 1
-	Rate float64 `toml:"rate,omitzero" json:"rate,omitzero"` // units of work a second that it bears; 0: no bound
+	Cost float64 `toml:"cost,omitzero" json:"cost,omitzero"` // per unit of work, relative to other links; 0: 1
+	Rate float64 `toml:"rate,omitzero" json:"rate,omitzero"` // limit in units of work per second; 0: no limit
 	Both bool    `toml:"both,omitempty" json:"both,omitempty"`
 }
 
-// Defaults are the settings that stand for those that a model does not state.
+// Defaults holds the value of each setting that a model leaves at zero.
 var Defaults = Model{Reserve: 0.05, LostAfterMs: 1000, BackAfterMs: 2000, FlapMs: 60_000, WarmMs: 6000, ColdShare: 0.2, ReportMs: 500}
 
-// WithDefaults is the model with its defaults.
+// WithDefaults returns a copy of the model with all defaults filled in.
 func (m Model) WithDefaults() Model {
 	m.Sites, m.Classes, m.Links = slices.Clone(m.Sites), slices.Clone(m.Classes), slices.Clone(m.Links)
 	m.Reserve = cmp.Or(m.Reserve, Defaults.Reserve)
@@ -90,13 +93,14 @@
 	return m
 }
 
-// The bounds of a model, so that a plan is soon made.
+// These limits keep the time to solve a plan short.
 const (
 	MaxSites   = 40
 	MaxClasses = 40
 )
 
-// Check tells why a model can't be a plan's, naming the key; and what of it an operator should know.
+// Check returns an error that names the key if the model is invalid. It also returns warnings about losses that the
+// model can't handle well.
 func (m Model) Check() (warnings []string, err error) {
 	m = m.WithDefaults()
 	index := map[string]int{}
@@ -168,7 +172,7 @@
 		for what, values := range map[string]map[string]float64{"demand": s.Demand, "work": s.Work} {
 			for _, name := range slices.Sorted(maps.Keys(values)) {
 				if v := values[name]; !names[name] || !(v >= 0) || math.IsInf(v, 0) || (what == "work" && v == 0) {
-					return fmt.Errorf("sites.site[%d].%s.%s: %g; the class is not in sites.class, or the figure is none", i, what, name, v)
+					return fmt.Errorf("sites.site[%d].%s.%s: %g; the class is not in sites.class, or the value is not allowed", i, what, name, v)
 				}
 			}
 		}
@@ -189,23 +193,24 @@
 	return nil
 }
 
-// checkFloors checks that the floors can be kept while all sites are up.
+// checkFloors checks that all floors can be kept while all sites are up.
 func (m Model) checkFloors() error {
 	g := m.topology()
 	s := m.Declared()
 	p := Solve(m, s)
 	for k, c := range m.Classes {
-		if asked, served := p.totalDemand(k), p.Served(k); asked > 0 && served < c.Floor*asked*(1-1e-6) {
-			return fmt.Errorf("sites.class[%d].floor: %g of %q can't be kept even with all sites up: %.4g of %.4g a second", k, c.Floor, c.Name, served, asked)
+		if demand, served := p.totalDemand(k), p.Served(k); demand > 0 && served < c.Floor*demand*(1-1e-6) {
+			return fmt.Errorf("sites.class[%d].floor: %g of %q can't be kept even with all sites up: %.4g of %.4g a second", k, c.Floor, c.Name, served, demand)
 		}
 		if len(c.Places) > 0 && !slices.ContainsFunc(g.allowed[k], func(yes bool) bool { return yes }) {
-			return fmt.Errorf("sites.class[%d].places: none of them has capacity", k)
+			return fmt.Errorf("sites.class[%d].places: no listed site has capacity", k)
 		}
 	}
 	return nil
 }
 
-// warn names what an operator should know before a loss tells it.
+// warn lists the weaknesses that a loss would expose: a site with most of the store's members, and classes that a loss
+// leaves without service or below their floor.
 func (m Model) warn() (out []string) {
 	members := 0
 	for _, s := range m.Sites {
@@ -213,36 +218,36 @@
 	}
 	for _, s := range m.Sites {
 		if members > 1 && 2*s.Members > members {
-			out = append(out, fmt.Sprintf("site %q holds %d of %d members of the store: its loss takes the majority with it, and no verdict can be agreed on", s.Name, s.Members, members))
+			out = append(out, fmt.Sprintf("site %q holds %d of %d members of the store: losing it loses the majority, and no verdict can be agreed on", s.Name, s.Members, members))
 		}
 	}
 	for _, lost := range m.Sites {
 		for k, c := range m.Classes {
 			p := Solve(m, m.Declared().without(m, lost.Name))
-			asked, served := p.totalDemand(k), p.Served(k)
+			demand, served := p.totalDemand(k), p.Served(k)
 			switch {
-			case asked == 0:
+			case demand == 0:
 			case served == 0:
 				out = append(out, fmt.Sprintf("with site %q lost nothing of class %q can be served (places: %s)", lost.Name, c.Name, strings.Join(c.Places, ", ")))
-			case served < c.Floor*asked*(1-1e-6):
-				out = append(out, fmt.Sprintf("with site %q lost the floor of class %q can't be kept: %.3g of %.3g", lost.Name, c.Name, served/asked, c.Floor))
+			case served < c.Floor*demand*(1-1e-6):
+				out = append(out, fmt.Sprintf("with site %q lost the floor of class %q can't be kept: %.3g of %.3g", lost.Name, c.Name, served/demand, c.Floor))
 			}
 		}
 	}
 	return out
 }
 
-// siteIndex is a siteIndex's place in the model, or -1.
+// siteIndex returns the index of a site in the model, or -1.
 func (m Model) siteIndex(name string) int {
 	return slices.IndexFunc(m.Sites, func(s Site) bool { return s.Name == name })
 }
 
-// ClassIndex is a class's place in the model, or -1.
+// ClassIndex returns the index of a class in the model, or -1.
 func (m Model) ClassIndex(name string) int {
 	return slices.IndexFunc(m.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// Declared is the situation that the model itself states: all up, with the demand of its worst hour.
+// Declared returns the situation that the model declares: all sites up, with the demand of their peak hour.
 func (m Model) Declared() Situation {
 	s := Situation{Factor: make([]float64, len(m.Sites)), LastShare: make([]float64, len(m.Sites)), Demand: make([][]float64, len(m.Classes))}
 	for i := range m.Sites {
@@ -256,15 +261,16 @@
 	return s
 }
 
-// Situation is what a plan is made for. Its lists are by the model's sites and classes.
+// Situation is the input of a plan. Its slices are indexed by the model's sites and classes.
 type Situation struct {
-	Factor    []float64   // by site: the part of its capacity that there is
-	LastShare []float64   // by site: the part of that which those classes may have that return last
-	CutOff    []bool      // by site: no other site reaches it, nor does it reach others; nil: none
-	Demand    [][]float64 // by class and the site whose routers it comes to, in requests a second
+	Factor    []float64   // by site: the share of its capacity that is available
+	LastShare []float64   // by site: the share of the available capacity that classes with Last may use
+	CutOff    []bool      // by site: it neither reaches other sites nor is reached by them; nil: none
+	Demand    [][]float64 // by class and by the site of the routers, in requests per second
 }
 
-// Without is the situation with some sites lost, and their routers' clients at the others in equal parts.
+// Without returns the situation with some sites lost. The demand of a lost site moves to the remaining sites in equal
+// parts.
 func (s Situation) Without(m Model, names ...string) Situation {
 	for _, name := range names {
 		s = s.without(m, name)
--- a/internal/decide/sites/program.go
+++ b/internal/decide/sites/program.go
@@ -7,16 +7,17 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// program is a linear program in the making: it maximises under rows that are bounded from above, all from 0 on.
+// program is a linear program under construction. It maximises the objective subject to upper bounds on the rows. All
+// variables are at least 0.
 type program struct {
 	objective    []float64
 	rows         []map[int]float64
 	bounds       []float64
-	capacityRows []int // by site: its row, and that of what returns last; none
+	capacityRows []int // by site: the row of its capacity, or noRow
 	lastRows     []int
 }
 
-// noRow stands for a row that there is not.
+// noRow marks a row that does not exist.
 const noRow = -1
 
 func (p *program) addVariable(coefficient float64) int {
@@ -29,15 +30,15 @@
 	return len(p.rows) - 1
 }
 
-// errTooLarge says that a program is too large to be solved in time.
-var errTooLarge = fmt.Errorf("the program is too large")
+// errTooLarge is returned for a program that can't be solved in time.
+var errTooLarge = fmt.Errorf("linear program has too many rows")
 
-// simplexTolerance of the solver, against values that are scaled to about 1.
+// simplexTolerance applies to values that are scaled to about 1.
 const simplexTolerance = 1e-9
 
-// solve has gonum's simplex solve it, from the corner at which nothing is served.
+// solve runs gonum's simplex, starting from the vertex at which nothing is served.
 func (p *program) solve() (x []float64, err error) {
-	defer func() { // a program at the edge of what its numbers can tell makes the library panic
+	defer func() { // the library panics on numerically degenerate programs
 		if r := recover(); r != nil {
 			err = fmt.Errorf("simplex: %v", r)
 		}
@@ -77,20 +78,21 @@
 	return out[:n], nil
 }
 
-// stepsPerVariable is how many steps for each variable and row the simplex may take: it needs about one, and where rounding has it
-// go in a circle it would never end.
+// stepsPerVariable bounds the simplex steps per variable and row. It needs about one step for each. Rounding errors can
+// make it cycle, and without a bound it would never end.
 const stepsPerVariable = 10
 
-// limitedMatrix is a matrix that may be looked at so many times.
+// limitedMatrix is a matrix that allows a limited number of reads.
 type limitedMatrix struct {
 	mat.Matrix
 	readsLeft int
 }
 
-// At serves mat.Matrix. The simplex reads a column in each step; it has no limit of its own.
-func (c *limitedMatrix) At(i, j int) float64 {
-	if c.readsLeft--; c.readsLeft < 0 {
-		panic("it goes in a circle")
+// At implements mat.Matrix. The simplex reads a column in each step and has no step limit of its own, so limiting the
+// reads limits the steps.
+func (m *limitedMatrix) At(i, j int) float64 {
+	if m.readsLeft--; m.readsLeft < 0 {
+		panic("step limit exceeded, probably cycling")
 	}
-	return c.Matrix.At(i, j)
+	return m.Matrix.At(i, j)
 }
--- a/internal/decide/sites/room.go
+++ b/internal/decide/sites/room.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// The terms by which a decider learns what is asked and what sites bear.
+// Parameters for the estimates of demand and of the sites' capacity.
 const (
-	// smoothing is the weight of a period's demand in its mean, jumpSmoothing that where a class changed by more than chance would.
+	// smoothing is the weight of a period's demand in its moving average. jumpSmoothing is the weight where a class
+	// changed by more than chance explains.
 	smoothing, jumpSmoothing = 0.4, 0.8
-	// chanceSigmas is by how many standard deviations of what comes by chance a figure must differ before anything is made of it.
+	// chanceSigmas is the number of standard deviations by which a count must differ from chance to be significant.
 	chanceSigmas = 2.0
-	// crowdedLateShare of a site's requests may come late before it counts as crowded; what was turned away shows a queue too,
-	// though it cost less. idleLateShare is the part below which nothing waits.
+	// A site is crowded when more than crowdedLateShare of its requests are late. Rejected requests indicate a queue
+	// too but cost less, so they count with rejectedWeight. Below idleLateShare nothing is queued.
 	crowdedLateShare, rejectedWeight, idleLateShare = 0.05, 0.5, 0.01
-	// ratioGain is how much of the difference between what a crowded site answers and what it was held to bear is taken
-	// off with each period, peakDecay how the most that it has answered lately is forgotten. ratioRecovery is what it is trusted
-	// with again with each period without; past what was declared that is ratioProbe.
+	// A crowded site that answers less than its estimated capacity loses ratioGain of the difference per period. Its
+	// recent peak of answers decays by peakDecay per period. Without crowding the ratio recovers by ratioRecovery per
+	// period up to the declared capacity. Above that it changes by ratioProbe.
 	ratioGain, peakDecay, ratioRecovery, ratioProbe = 0.5, 0.9, 0.03, 0.01
 	minCapacityRatio, maxCapacityRatio              = 0.5, 1.5
-	// targetQueueS is how much work is to wait while classes are taken in part, in seconds of all sites' room: servers with
-	// nothing waiting stand idle now and then. What waits more drains within drainTimeS, by maxDrainShare of the room at most; where
-	// less does, up to maxFillShare more is taken. maxQueueS bounds what is thought to wait: routers turn away past that.
+	// targetQueueS is the queue to keep while classes are admitted in part, in seconds of the capacity of all sites:
+	// servers with an empty queue are idle now and then. A longer queue is drained within drainTimeS, using at most
+	// maxDrainShare of the capacity. With a shorter one up to maxFillShare more is admitted. maxQueueS bounds the
+	// estimated queue: routers reject requests beyond it.
 	targetQueueS, drainTimeS, maxDrainShare, maxFillShare, maxQueueS = 0.25, 1.5, 0.5, 0.2, 1.0
-	// queueDecay is what is left of what is thought to wait after a period in which nothing came late; where much does, no
-	// less than crowdedQueueS seconds are thought to wait, and no more where little does.
+	// queueDecay is what remains of the estimated queue after a period without late answers. With many late answers the
+	// estimate is at least crowdedQueueS, with few it is at most that.
 	queueDecay, crowdedQueueS = 0.6, 0.4
-	// minDemand is the demand, in requests a second, below which minDemand asks.
+	// minDemand is the demand, in requests per second, below which it counts as none.
 	minDemand = 0.01
-	// maxChance bounds by how much more than there is room for is put down to chance.
+	// maxChance bounds the share of excess demand that is attributed to chance.
 	maxChance = 0.15
 )
 
-// estimates is what a decider makes of reports over time.
+// estimates are what a decider derives from the reports over time.
 type estimates struct {
-	demand        map[string]map[string]float64 // by class and site, smoothed
-	capacityRatio map[string]float64            // by site
-	peak          map[string]float64            // that a site has answered lately, requests a second
-	served        map[string]float64            // by site, smoothed
-	queued        float64                       // requests that are thought to wait
-	crowded       bool                          // somewhere too much waits
-	idle          bool                          // nothing does
-	overloaded    bool                          // more is asked than there is room for
+	demand        map[string]map[string]float64 // by class and site, moving average
+	capacityRatio map[string]float64            // by site, relative to the declared capacity
+	peak          map[string]float64            // by site, recent peak of answers, requests per second
+	served        map[string]float64            // by site, moving average of answers, requests per second
+	queued        float64                       // estimated number of queued requests
+	crowded       bool                          // too many requests are late
+	idle          bool                          // hardly any request is late
+	overloaded    bool                          // demand exceeds the capacity
 }
 
-// totals are what fresh reports say together.
+// totals are the sums over all fresh reports.
 type totals struct {
 	offered map[string]map[string]float64 // by class and site
 	seen    map[string]Observation
-	served  map[string]float64 // by site, answers a second
+	served  map[string]float64 // by site, answers per second
 }
 
 func aggregate(fresh []Report, period float64) totals {
@@ -63,7 +65,8 @@
 		}
 		for name, s := range r.Observations {
 			combined := out.seen[name]
-			combined.InTime, combined.Late, combined.Rejected, combined.Served = combined.InTime+s.InTime, combined.Late+s.Late, combined.Rejected+s.Rejected, combined.Served+max(s.Served, s.InTime)
+			combined.InTime, combined.Late, combined.Rejected, combined.Served = combined.InTime+s.InTime, combined.Late+s.Late,
+				combined.Rejected+s.Rejected, combined.Served+max(s.Served, s.InTime)
 			out.seen[name] = combined
 			out.served[name] += float64(max(s.Served, s.InTime)) / cmp.Or(r.WindowMs/1000, period)
 		}
@@ -71,18 +74,19 @@
 	return out
 }
 
-// updateEstimates keeps the demand, how much sites carry against what was declared, and what waits. A queue alone does not say that
-// a site carries less: where it answers as much as it was held to bear, too much was asked, and less is taken until the
-// queue has drained; where it answers less, it bears less.
+// updateEstimates updates the demand, the capacity of each site relative to its declaration, and the queue. A queue
+// alone does not mean less capacity. If a site answers as much as estimated, too much was admitted, and less is
+// admitted until the queue has drained. If it answers less, its capacity is lower.
 func (d *Decider) updateEstimates(m Model, last Decision, fresh []Report, now time.Duration) {
 	if d.demand == nil {
-		d.estimates = estimates{demand: map[string]map[string]float64{}, capacityRatio: map[string]float64{}, peak: map[string]float64{}, served: map[string]float64{}}
+		d.estimates = estimates{demand: map[string]map[string]float64{}, capacityRatio: map[string]float64{},
+			peak: map[string]float64{}, served: map[string]float64{}}
 	}
 	if d.estimatedAt > 0 && ms(now-d.estimatedAt) < m.ReportMs {
 		return
 	}
 	d.estimatedAt = now
-	for name, v := range last.CapacityRatio { // another router may have known it longer
+	for name, v := range last.CapacityRatio { // another router may have known it before this one started
 		if _, known := d.capacityRatio[name]; !known {
 			d.capacityRatio[name] = v
 		}
@@ -98,7 +102,7 @@
 		d.peak[site.Name] = max(d.served[site.Name], peakDecay*d.peak[site.Name])
 		ratio := cmp.Or(d.capacityRatio[site.Name], 1)
 		peakRatio := d.peak[site.Name] / max(site.Capacity, 1e-9)
-		// What was answered can be borne, but for what a count may be over by chance.
+		// The capacity is at least what was answered, less the possible error of the count.
 		if answeredRatio := d.served[site.Name] / (1 + chanceShare(d.served[site.Name], period)/2) / max(site.Capacity, 1e-9); answeredRatio > ratio {
 			ratio += ratioGain * (answeredRatio - ratio)
 		}
@@ -112,17 +116,19 @@
 			ratio = min(ratio+ratioRecovery, 1)
 		case ratio > 1 && !(d.idle && last.limitsAdmission()):
 			ratio = max(ratio-ratioProbe, 1)
-		case d.idle && last.limitsAdmission(): // everywhere alike, or one site would be given the others' work by chance
+		case d.idle && last.limitsAdmission(): // all sites alike, else one site would get the others' load by chance
 			ratio += ratioProbe
 		}
 		ratios[site.Name] = min(max(ratio, minCapacityRatio), maxCapacityRatio)
 		if last.Sites[site.Name].State != Lost {
 			capacity += site.Capacity * ratios[site.Name]
-			lateWeight, totalRequests, rejected, answered = lateWeight+late, totalRequests+requests, rejected+float64(seen.Rejected), answered+float64(seen.Served)
+			lateWeight, totalRequests, rejected, answered = lateWeight+late, totalRequests+requests,
+				rejected+float64(seen.Rejected), answered+float64(seen.Served)
 		}
 	}
 	d.capacityRatio = ratios
-	d.crowded, d.idle = totalRequests >= minRequests && lateWeight > crowdedLateShare*float64(totalRequests), lateWeight <= idleLateShare*float64(totalRequests)
+	d.crowded, d.idle = totalRequests >= minRequests && lateWeight > crowdedLateShare*float64(totalRequests),
+		lateWeight <= idleLateShare*float64(totalRequests)
 	admitted := 0.0
 	for class, rows := range s.offered {
 		for site, rate := range rows {
@@ -130,7 +136,7 @@
 		}
 	}
 	d.queued = min(max(d.queued+admitted-rejected-answered, 0), maxQueueS*capacity)
-	switch { // what is seen of it goes before what is counted: some of what is taken is never heard of again
+	switch { // late answers take precedence over counts: some admitted requests are never reported as answered
 	case d.crowded:
 		d.queued = max(d.queued, crowdedQueueS*capacity)
 	case d.idle:
@@ -140,7 +146,7 @@
 	}
 }
 
-// updateDemand takes in what came in a period.
+// updateDemand updates the demand with a period's arrivals.
 func (d *Decider) updateDemand(m Model, s totals, period float64) {
 	for _, c := range m.Classes {
 		row := d.demand[c.Name]
@@ -157,52 +163,53 @@
 		}
 		for _, site := range m.Sites {
 			if row[site.Name] += weight * (s.offered[c.Name][site.Name] - row[site.Name]); row[site.Name] < minDemand {
-				row[site.Name] = 0 // what fades out is no demand: a plan that serves none of it would refuse who comes next
+				row[site.Name] = 0 // a tiny remainder is no demand: a plan that serves none of it would refuse the next requests
 			}
 		}
 	}
 }
 
-// chanceShare is the part by which the demand may seem more than it is: arrivals are counted over few periods.
-func chanceShare(asked, period float64) float64 {
-	if asked <= 0 {
+// chanceShare returns the share by which the demand may be overestimated: arrivals are counted over few periods.
+func chanceShare(demand, period float64) float64 {
+	if demand <= 0 {
 		return maxChance
 	}
-	return min(chanceSigmas*math.Sqrt(smoothing/(2-smoothing)/(asked*period)), maxChance)
+	return min(chanceSigmas*math.Sqrt(smoothing/(2-smoothing)/(demand*period)), maxChance)
 }
 
-// fitCapacity tells whether what is asked is more than there is room for, and fits the situation to it: the reserve is kept and
-// what waits is given time to drain only while classes are taken in part. It gives the reserve.
+// fitCapacity determines whether the demand exceeds the capacity, and scales the situation accordingly. Only while
+// classes are admitted in part is the reserve kept and the queue given time to drain. It returns the reserve to plan
+// with.
 func (d *Decider) fitCapacity(m Model, s Situation) float64 {
-	asked, capacity := 0.0, 0.0
+	demand, capacity := 0.0, 0.0
 	for i, site := range m.Sites {
 		if s.CutOff[i] {
 			continue
 		}
 		capacity += site.Capacity * s.Factor[i]
 		for k, c := range m.Classes {
-			asked += s.Demand[k][i] * cmp.Or(site.Work[c.Name], c.Work)
+			demand += s.Demand[k][i] * cmp.Or(site.Work[c.Name], c.Work)
 		}
 	}
 	if capacity <= 0 {
 		return m.Reserve
 	}
 	if d.overloaded {
-		d.overloaded = asked > capacity
+		d.overloaded = demand > capacity
 	} else {
-		d.overloaded = asked > capacity*(1+chanceShare(asked, m.ReportMs/1000)) || d.crowded && asked > capacity*(1-m.Reserve)
+		d.overloaded = demand > capacity*(1+chanceShare(demand, m.ReportMs/1000)) || d.crowded && demand > capacity*(1-m.Reserve)
 	}
 	scale, reserve := 1.0, m.Reserve
 	if d.overloaded {
 		scale += min(max((targetQueueS-d.queued/capacity)/drainTimeS, -maxDrainShare), maxFillShare)
 	} else {
-		scale = max(asked/capacity, 1)
-		reserve = min(max(1-asked/capacity, 0), m.Reserve)
+		scale = max(demand/capacity, 1)
+		reserve = min(max(1-demand/capacity, 0), m.Reserve)
 	}
 	for i := range s.Factor {
 		if !s.CutOff[i] {
 			s.Factor[i] *= scale
 		}
 	}
-	return max(reserve, 1e-9) // 0 would be the default
+	return max(reserve, 1e-9) // 0 would select the default
 }
--- a/internal/decide/sites/room_test.go
+++ b/internal/decide/sites/room_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// A crowded site that answers all it was held to bear keeps its bearing; one that answers less soon bears what it answers,
-// whatever part of it comes late, and one that answers more bears that.
+// A crowded site that answers as much as estimated keeps its capacity ratio. One that answers less or more soon gets
+// the ratio that it answers, whatever share of its answers is late.
 func TestCapacityRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		answered := rapid.Float64Range(0.55, 1.4).Draw(t, "answers, of what was declared")
+		answered := rapid.Float64Range(0.55, 1.4).Draw(t, "answers, relative to the declared capacity")
 		late := rapid.Float64Range(0.15, 0.9).Draw(t, "late")
 		m := threeSites().WithDefaults()
-		perPeriod := max(int(answered*m.Sites[0].Capacity*0.5), 1) // in a period
+		perPeriod := max(int(answered*m.Sites[0].Capacity*0.5), 1) // answers per period
 		lateCount := int(late * float64(perPeriod))
 		seen := Observation{Served: perPeriod, InTime: perPeriod - lateCount, Late: lateCount, Rejected: perPeriod / 2}
 		var d Decider
@@ -23,12 +23,12 @@
 		}
 		want := float64(perPeriod) / 0.5 / m.Sites[0].Capacity
 		if got := d.capacityRatio["a"]; got < want/(1+maxChance/2)-0.02 || got > max(want, 1)+0.02 || want < 0.98 && got > want+0.1 {
-			t.Fatalf("it answers %.3f of what was declared and is held to bear %.3f", want, got)
+			t.Fatalf("the site answers %.3f of its declared capacity, the estimated ratio is %.3f", want, got)
 		}
 	})
 }
 
-// A site that starts again and is seen by its own routers first is not held to be cut off.
+// A restarting site that its own routers see first is not taken for cut off.
 func TestRestartIsNotCutOff(t *testing.T) {
 	d := newSimulation(6)
 	siteDown := func(from, to string) (Observation, bool) {
@@ -38,7 +38,7 @@
 		return healthy, from != "a"
 	}
 	d.runUntil(t, "a", Lost, siteDown)
-	for range 12 { // reports of its routers from before are forgotten
+	for range 12 { // old reports of its routers expire
 		d.step(siteDown)
 	}
 	for range 3 {
@@ -49,7 +49,7 @@
 			return healthy, true
 		})
 		if v := d.state("a"); v.Kind == CutOff || d.last.Shares["query"]["a"]["a"] > 0 {
-			t.Fatalf("%+v, its routers give it %v", v, d.last.Shares["query"]["a"]["a"])
+			t.Fatalf("verdict %+v, its own routers send it a share of %v", v, d.last.Shares["query"]["a"]["a"])
 		}
 	}
 }
--- a/internal/decide/sites/solve.go
+++ b/internal/decide/sites/solve.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// Plan says where each class goes in a situation, and what is refused.
+// Plan assigns each class to sites in a situation, and determines what is refused.
 type Plan struct {
-	// Flow is by class, by the site whose routers take it and by the site whose servers do, in requests a second.
+	// Flow is indexed by class, by the site of the routers and by the site of the servers, in requests per second.
 	Flow [][][]float64
-	// Demand is what was asked, by class and site.
+	// Demand is the demand by class and site of the routers.
 	Demand [][]float64
-	// Method tells which way it was found: "lp", "lp by parts", or "rule" where no solver could.
+	// Method is how the plan was found: "lp", "lp by parts", or "rule" if the solver failed.
 	Method string
 }
 
@@ -26,7 +26,7 @@
 
 func (p Plan) totalDemand(k int) float64 { return total(p.Demand[k]) }
 
-// Served is how many requests of a class are served a second, over all sites.
+// Served returns the served requests of a class per second, over all sites.
 func (p Plan) Served(k int) (sum float64) {
 	for _, row := range p.Flow[k] {
 		sum += total(row)
@@ -34,10 +34,10 @@
 	return sum
 }
 
-// Refused is how many are not.
+// Refused returns the refused requests of a class per second, over all sites.
 func (p Plan) Refused(k int) float64 { return max(p.totalDemand(k)-p.Served(k), 0) }
 
-// Admit is the part of a class that routers of a site take; of what nobody asks all of it.
+// Admit returns the share of a class that the routers of a site admit. Without demand that is everything.
 func (p Plan) Admit(k, from int) float64 {
 	if p.Demand[k][from] <= 0 {
 		return 1
@@ -45,7 +45,7 @@
 	return min(total(p.Flow[k][from])/p.Demand[k][from], 1)
 }
 
-// Shares are how the routers of a site share a class among the sites' servers; all 0 where it goes nowhere.
+// Shares returns how the routers of a site distribute a class over the sites' servers. All are 0 if nothing is served.
 func (p Plan) Shares(k, from int) []float64 {
 	out, sum := make([]float64, len(p.Flow[k])), total(p.Flow[k][from])
 	if sum > 0 {
@@ -56,12 +56,12 @@
 	return out
 }
 
-// topology is a model by places.
+// topology is a model in indexed form.
 type topology struct {
-	allowed  [][]bool           // by class and site: servers there may take it
-	work     [][]float64        // of a request, by class and site
-	cost     [][]float64        // by the sites from and to; +Inf: there is no way
-	linkRate map[[2]int]float64 // of bounded links
+	allowed  [][]bool           // by class and site: the servers there may process it
+	work     [][]float64        // cost of a request by class and site, in units of work
+	cost     [][]float64        // by the sites from and to; +Inf: no link
+	linkRate map[[2]int]float64 // limits of the links that have one
 }
 
 func (m Model) topology() topology {
@@ -103,17 +103,17 @@
 	return g
 }
 
-// transport is a model in a situation.
+// transport is the transportation problem of a model in a situation.
 type transport struct {
 	model     Model
 	situation Situation
 	topology
-	capacity     []float64 // by site: units of work a second
-	lastCapacity []float64 // by site: of these for classes that return last
-	byWorth      []int     // classes, those of the most worth first
+	capacity     []float64 // by site: units of work per second
+	lastCapacity []float64 // by site: the part of capacity that classes with Last may use
+	byWorth      []int     // class indices by descending worth
 }
 
-// newTransport makes one of a model that has its defaults.
+// newTransport builds the problem of a model whose defaults are filled in.
 func newTransport(m Model, s Situation) *transport {
 	t := &transport{model: m, situation: s, topology: m.topology()}
 	for i, site := range m.Sites {
@@ -127,7 +127,7 @@
 	return t
 }
 
-// allows tells whether work of a class may go from one site's routers to another's servers.
+// allows reports whether requests of a class may go from one site's routers to another's servers.
 func (t *transport) allows(k, from, to int) bool {
 	if !t.allowed[k][to] || t.capacity[to] <= 0 || (t.model.Classes[k].Last && t.lastCapacity[to] <= 0) {
 		return false
@@ -138,14 +138,15 @@
 	return !math.IsInf(t.cost[from][to], 1)
 }
 
-// maxExactRows bounds the rows of a program that is solved whole; a larger one is solved by parts.
+// maxExactRows bounds the rows of a program that is solved as one. A larger problem is solved in two steps.
 const maxExactRows = 64
 
-// transferPenalty weighs the cost of a link against worth: work transferPenalty only where it is served for it.
+// transferPenalty weighs the cost of a link against worth. It is small, so that requests move only if they would not be
+// served otherwise.
 const transferPenalty = 1e-3
 
-// Solve makes the plan that serves the most worth under capacity, links and places, keeps the floors while it can, and
-// moves as little as it may. Equal inputs give equal plans.
+// Solve returns the plan that serves the most worth within capacities, links and places. It keeps the floors as long as
+// possible and moves as little traffic as possible. Equal inputs give equal plans.
 func Solve(m Model, s Situation) Plan {
 	t := newTransport(m.WithDefaults(), s)
 	p, err := t.solveExact()
@@ -162,8 +163,8 @@
 	return p
 }
 
-func (t *transport) emptyPlan(how string) Plan {
-	p := Plan{Method: how}
+func (t *transport) emptyPlan(method string) Plan {
+	p := Plan{Method: method}
 	for range t.model.Classes {
 		class := make([][]float64, len(t.model.Sites))
 		for i := range class {
@@ -174,13 +175,14 @@
 	return p
 }
 
-// solveGreedy is the plan without a solver: floors first, then the classes by worth, each site's own routers before others.
+// solveGreedy plans without a solver: first the floors, then the classes by worth. Each site serves its own routers
+// before others.
 func (t *transport) solveGreedy() Plan {
 	share := make([][]float64, len(t.model.Classes))
 	capacity, lastCapacity := slices.Clone(t.capacity), slices.Clone(t.lastCapacity)
 	allot := func(k int, fraction float64) {
 		remaining := total(t.situation.Demand[k])*fraction - total(share[k])
-		for pass := range 2 { // where it is asked for first, then wherever there is room
+		for pass := range 2 { // first at the site of the demand, then at any site with capacity
 			for to := range t.model.Sites {
 				if remaining <= 0 || !t.allows(k, to, to) {
 					continue
@@ -193,7 +195,7 @@
 				if t.model.Classes[k].Last {
 					free = min(free, lastCapacity[to])
 				}
-				amount = min(amount, max(free, 0)/t.work[k][to]) // rounding may leave less than nothing
+				amount = min(amount, max(free, 0)/t.work[k][to]) // rounding may make the free capacity negative
 				share[k][to] += amount
 				capacity[to] -= amount * t.work[k][to]
 				if t.model.Classes[k].Last {
@@ -215,22 +217,22 @@
 	return t.assignFlows("rule", share)
 }
 
-// boundTolerance is what a plan may exceed a bound by, in parts of it: the solver counts in floating point.
+// boundTolerance is the relative excess of a bound that a plan may have, because the solver uses floating point.
 const boundTolerance = 1e-6
 
-// verify checks a plan against what bounds it; a solver's word is not taken for it.
+// verify checks a plan against all bounds. The solver's result is not trusted.
 func (t *transport) verify(p Plan) error {
 	for k := range t.model.Classes {
 		for from, d := range t.situation.Demand[k] {
 			sum := 0.0
 			for to, v := range p.Flow[k][from] {
 				if v < 0 || math.IsNaN(v) || (v > boundTolerance*max(d, 1) && !t.allows(k, from, to)) {
-					return fmt.Errorf("class %d goes from site %d to %d, where it may not", k, from, to)
+					return fmt.Errorf("class %d flows from site %d to site %d, which is not allowed", k, from, to)
 				}
 				sum += v
 			}
 			if sum > d*(1+boundTolerance)+boundTolerance {
-				return fmt.Errorf("class %d: more is served than asked at site %d", k, from)
+				return fmt.Errorf("class %d: flow exceeds the demand at site %d", k, from)
 			}
 		}
 	}
@@ -246,7 +248,7 @@
 			}
 		}
 		if load > t.capacity[to]*(1+boundTolerance)+boundTolerance || lastLoad > t.lastCapacity[to]*(1+boundTolerance)+boundTolerance {
-			return fmt.Errorf("site %d is given %g, its room is %g, %g of it for what returns last", to, load, t.capacity[to], t.lastCapacity[to])
+			return fmt.Errorf("site %d: load %g exceeds its capacity %g, or the part %g of it for classes that return last", to, load, t.capacity[to], t.lastCapacity[to])
 		}
 	}
 	for link, rate := range t.linkRate {
@@ -255,13 +257,13 @@
 			sum += p.Flow[k][link[0]][link[1]] * t.work[k][link[1]]
 		}
 		if sum > rate*(1+boundTolerance)+boundTolerance {
-			return fmt.Errorf("the link from site %d to %d is given more than it bears", link[0], link[1])
+			return fmt.Errorf("flow over the link from site %d to site %d exceeds its rate", link[0], link[1])
 		}
 	}
 	return nil
 }
 
-// Worth is what a plan serves a second, in worth.
+// Worth returns the worth that a plan serves per second.
 func (p Plan) Worth(m Model) float64 {
 	m = m.WithDefaults()
 	sum := 0.0
--- a/internal/decide/sites/solve_test.go
+++ b/internal/decide/sites/solve_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// threeSites is the fleet of the issue: threeSites sites of two servers of 40 answers a second, queries worth 3 and filings 2.
+// threeSites is a fleet of three sites with two servers each, of 40 answers per second. Queries are worth 3, filings 2.
 func threeSites() Model {
 	m := Model{Classes: []Class{{Name: "query", Worth: 3}, {Name: "filing", Worth: 2, Floor: 0.1, Last: true}}}
 	for _, name := range []string{"a", "b", "c"} {
@@ -38,11 +38,11 @@
 	}
 }
 
-// At 150% of what two sites carry queries are all served, and filings have what is left and never less than their floor.
+// At 150% of the capacity of two sites filings get only their floor, and queries get the remaining capacity.
 func TestLossAtPeakRefusesLowestWorth(t *testing.T) {
 	m := threeSites()
 	s := m.Declared().Without(m, "a")
-	for k, d := range []float64{60, 54} { // 228 a second in all; 152 can be given away
+	for k, d := range []float64{60, 54} { // 228 per second in all, 152 without the reserve
 		s.Demand[k] = []float64{0, d * 2, d * 2}
 	}
 	p := Solve(m, s)
@@ -54,12 +54,12 @@
 	}
 	for k := range m.Classes {
 		if p.Shares(k, 1)[0] != 0 {
-			t.Error("the lost site is given work")
+			t.Error("the lost site gets load")
 		}
 	}
 }
 
-// Placement, a link's bound, a site that is cut off, and one that returns: each is kept to.
+// The plan respects places, a link's rate, a site that is cut off, and one that returns.
 func TestBounds(t *testing.T) {
 	m := threeSites()
 	m.Classes[0].Places = []string{"a", "b"}
@@ -67,28 +67,28 @@
 	s := m.Declared().Without(m, "a")
 	p := Solve(m, s)
 	if p.Flow[0][2][2] != 0 || p.Flow[0][1][2] != 0 {
-		t.Error("queries of this registry may not go to c:", p.Flow[0])
+		t.Error("queries are restricted to a and b, but flow to c:", p.Flow[0])
 	}
 	s.Demand[0], s.Demand[1] = []float64{50, 0, 0}, []float64{0, 0, 0}
 	if p = Solve(m, s); !near(p.Served(0), 5) {
-		t.Errorf("%g over a link that bears 5", p.Served(0))
+		t.Errorf("%g flows over a link with rate 5", p.Served(0))
 	}
 	m = threeSites()
 	s = m.Declared()
 	s.CutOff = []bool{false, true, false}
 	s.Demand[0][1] = 200
 	if p = Solve(m, s); !near(p.Flow[0][1][1]+p.Flow[1][1][1], 76) || p.Flow[0][1][0]+p.Flow[0][0][1] != 0 {
-		t.Error("a site that is cut off serves its own and nobody else:", p.Flow)
+		t.Error("a site that is cut off must serve its own routers only:", p.Flow)
 	}
 	s = m.Declared()
 	s.Factor[0], s.LastShare[0] = 0.3, 0
 	s.Demand[0], s.Demand[1] = []float64{60, 50, 50}, []float64{20, 20, 20}
 	if p = Solve(m, s); p.Flow[1][0][0]+p.Flow[1][1][0]+p.Flow[1][2][0] != 0 || p.Flow[0][0][0] > 80*0.95*0.3*(1+1e-6) {
-		t.Error("a site that returns is given what it does not bear yet:", p.Flow)
+		t.Error("a returning site gets more load than it can carry:", p.Flow)
 	}
 }
 
-// drawFleet draws a fleet.
+// drawFleet draws a random fleet.
 func drawFleet(t *rapid.T, sites, classes int) (Model, Situation) {
 	m := Model{}
 	for i := range sites {
@@ -116,8 +116,8 @@
 	return m, s
 }
 
-// Whatever the fleet, each way of planning keeps every bound; the program serves no less than the rule, and equal
-// inputs give equal plans.
+// For any fleet, each method of planning keeps all bounds. The program serves no less than the greedy plan unless it
+// keeps floors better. Equal inputs give equal plans.
 func TestPlansKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, s := drawFleet(t, rapid.IntRange(2, 6).Draw(t, "sites"), rapid.IntRange(1, 5).Draw(t, "classes"))
@@ -139,7 +139,7 @@
 			t.Fatal("rule:", err)
 		}
 		if floors := floorsMissed(m, s, exact); err == nil && exact.Worth(m) < greedy.Worth(m)*(1-1e-3)-1e-3 && floors >= floorsMissed(m, s, greedy)-1e-6 {
-			t.Fatalf("the program serves %g, the rule %g", exact.Worth(m), greedy.Worth(m))
+			t.Fatalf("the program serves a worth of %g, the greedy plan %g", exact.Worth(m), greedy.Worth(m))
 		}
 		if !reflect.DeepEqual(Solve(m, s), Solve(m, s)) {
 			t.Fatal("two plans of one fleet differ")
@@ -158,7 +158,7 @@
 	return sum
 }
 
-// A fleet of 20 sites, 10 classes and 500 servers is planned for in 100 ms, and not by the rule.
+// Planning for 20 sites, 10 classes and 500 servers takes at most 100 ms and uses the solver.
 func TestPlanInTime(t *testing.T) {
 	m, s := largeFleet()
 	for i := range 5 {
--- a/internal/decide/sites/verdict.go
+++ b/internal/decide/sites/verdict.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// State is what the fleet holds a site for.
+// State is a site's state as the fleet has agreed on it.
 type State string
 
 // The states of a site.
 const (
 	Up        State = "up"
-	Suspect   State = "suspect"   // seen as dead, not for long enough
-	Lost      State = "lost"      // nothing goes there
-	Returning State = "returning" // it is given work again a part at a time
+	Suspect   State = "suspect"   // seen as dead, but not for long enough yet
+	Lost      State = "lost"      // gets no traffic
+	Returning State = "returning" // gets traffic again in growing shares
 )
 
-// Kind tells what of a site is gone.
+// Kind is which part of a site is unavailable, and to whom.
 type Kind string
 
 // The kinds of a loss.
 const (
 	None            Kind = ""
-	PartlyReachable Kind = "half cut"     // some routers reach its servers, others don't: it is not lost
-	CutOff          Kind = "cut off"      // its own routers reach its servers, no others do
-	ServersDown     Kind = "servers gone" // its routers report, its servers answer nobody
-	RoutersDown     Kind = "routers gone" // its servers answer, its routers don't report: it is not lost
-	SiteDown        Kind = "whole gone"   // neither is heard
+	PartlyReachable Kind = "half cut"     // some other routers reach its servers, others don't; the site is not lost
+	CutOff          Kind = "cut off"      // only its own routers reach its servers
+	ServersDown     Kind = "servers gone" // its routers report, its servers don't answer
+	RoutersDown     Kind = "routers gone" // its servers answer, its routers don't report; the site is not lost
+	SiteDown        Kind = "whole gone"   // neither its routers report nor its servers answer
 )
 
-// Observation is what one router saw of one site's servers since its last report.
+// Observation is what one router observed of one site's servers since its last report.
 type Observation struct {
 	Attempts int `json:"tried"`            // probes and attempts that ended
-	Answered int `json:"ok"`               // of them answered, whatever the answer
+	Answered int `json:"ok"`               // those that were answered, with any status
 	InTime   int `json:"in_time"`          // requests whose answer began within the aim
-	Late     int `json:"late"`             // and those whose did not, or that failed
-	Rejected int `json:"turned,omitempty"` // requests that the plan had room for and the router turned away
-	Served   int `json:"served,omitempty"` // requests that were answered, in time or not
-	Ready    int `json:"ready"`            // servers that the list has for it
-	NoReply  int `json:"silent,omitempty"` // of Tried that ended without a word, for people
+	Late     int `json:"late"`             // requests that failed or whose answer began later
+	Rejected int `json:"turned,omitempty"` // requests that the plan admitted and the router rejected
+	Served   int `json:"served,omitempty"` // requests that were answered, in time or late
+	Ready    int `json:"ready"`            // servers of the site in the router's list
+	NoReply  int `json:"silent,omitempty"` // attempts that ended without any answer; for operators only
 }
 
-// Report is what one router says of the time since its last one.
+// Report is what one router observed since its last report.
 type Report struct {
 	Router       string                 `json:"router"`
 	Boot         string                 `json:"boot"`
 	Site         string                 `json:"site"`
 	Observations map[string]Observation `json:"sees"`
-	// Offered is what came to it, by class, in requests a second.
+	// Offered is the demand at the router by class, in requests per second.
 	Offered  map[string]float64 `json:"offered"`
-	WindowMs float64            `json:"over_ms,omitempty"` // the time that it tells of; 0: one period
-	Stopped  bool               `json:"stopped,omitempty"` // it ends, or did not run for a while: what it saw says nothing
+	WindowMs float64            `json:"over_ms,omitempty"` // length of the reported time; 0: one period
+	Stopped  bool               `json:"stopped,omitempty"` // the router shuts down or was suspended; its observations don't count
 	Rev      int64              `json:"-"`                 // the store's revision of the report
 }
 
-// Orders are what an operator has said of a site.
+// Orders are an operator's orders for a site.
 type Orders struct {
-	Lose bool    `json:"lose,omitempty"` // it counts as lost whatever is seen
-	Hold bool    `json:"hold,omitempty"` // it does not return, or returns no further
-	Pace float64 `json:"pace,omitempty"` // it is given this part at most; 0: as it bears
+	Lose bool    `json:"lose,omitempty"` // the site counts as lost, whatever the reports say
+	Hold bool    `json:"hold,omitempty"` // it does not return, or its share does not grow
+	Pace float64 `json:"pace,omitempty"` // upper bound of its share while it returns; 0: none
 }
 
 // Verdict is what the fleet has agreed on about a site.
@@ -66,23 +66,24 @@
 	State        State   `json:"state"`
 	Kind         Kind    `json:"kind,omitempty"`
 	Reason       string  `json:"reason,omitempty"`
-	Ramp         float64 `json:"ramp"`             // the part of its capacity that it is given
-	Losses       int     `json:"losses,omitempty"` // within the time in which they count as flapping
-	MissingShare float64 `json:"gone,omitempty"`   // of its servers that the list no longer has, as a part
+	Ramp         float64 `json:"ramp"`             // share of its capacity that it gets
+	Losses       int     `json:"losses,omitempty"` // recent losses, which count as flapping
+	MissingShare float64 `json:"gone,omitempty"`   // share of its servers that are missing from the list
 }
 
-// evidence is what all reports say of a site at one moment.
+// evidence is the combined content of all reports on a site at one moment.
 type evidence struct {
 	dead   bool
 	alive  bool
 	kind   Kind
 	reason string
-	seen   Observation // summed over the routers that see it
-	ready  int         // servers, as the router says that has the most
+	seen   Observation // sum over the routers that observe it
+	ready  int         // servers, the maximum over the routers
 }
 
-// assess reads the reports: those of the site's own routers apart from the others'. One router's word alone is not
-// enough where more are there to be asked.
+// assess combines the reports. It separates those of the site's own routers from the others. A site that any other
+// router reaches is alive: if several observe it, one that misses it is not enough. The site's own routers decide only
+// if no other router observes it.
 func assess(site string, routers int, reports []Report) evidence {
 	var e evidence
 	own, ownReached, others, reached, missed := 0, 0, 0, 0, 0
@@ -121,7 +122,7 @@
 	case reached > 0 || (others == 0 && ownReached > 0):
 		e.alive = true
 	case missed == 0 && ownReached == 0 && own == 0:
-		// nobody looked
+		// no router observed the site
 	case missed > 0 && ownReached > 0:
 		e.dead, e.kind = true, CutOff
 	case missed > 0 && routersDown:
@@ -133,33 +134,33 @@
 	return e
 }
 
-// siteHistory is what a judge remembers of a site.
+// siteHistory is what a detector remembers of a site.
 type siteHistory struct {
-	since     time.Duration // the evidence has been what it is
+	since     time.Duration // start of the current evidence
 	dead      bool
 	alive     bool
 	kind      Kind
-	kindSince time.Duration // the kind has been what it is
+	kindSince time.Duration // start of the current kind
 	lastLoss  time.Duration
 	ramp      Ramp
 }
 
-// Detector comes to verdicts. Each router may keep one; what it remembers is its own, so one that begins anew waits for
-// as long as any other before it says that a site is lost. Use its zero value with Step.
+// Detector computes the verdicts on all sites. Each router may run one with its own history. One that has just started
+// therefore waits as long as any other before it declares a site lost. The zero value is ready for use.
 type Detector struct{ sites map[string]*siteHistory }
 
-// Step gives the verdicts that follow from the reports, which must all be fresh, at a time.
-func (j *Detector) Step(m Model, last map[string]Verdict, orders map[string]Orders, reports []Report, now time.Duration) map[string]Verdict {
+// Step returns the verdicts at a time. All reports must be fresh.
+func (d *Detector) Step(m Model, last map[string]Verdict, orders map[string]Orders, reports []Report, now time.Duration) map[string]Verdict {
 	m = m.WithDefaults()
-	if j.sites == nil {
-		j.sites = map[string]*siteHistory{}
+	if d.sites == nil {
+		d.sites = map[string]*siteHistory{}
 	}
 	out := map[string]Verdict{}
 	for _, s := range m.Sites {
-		history := j.sites[s.Name]
+		history := d.sites[s.Name]
 		if history == nil {
 			history = &siteHistory{since: now, lastLoss: now}
-			j.sites[s.Name] = history
+			d.sites[s.Name] = history
 		}
 		before, known := last[s.Name]
 		if !known {
@@ -170,11 +171,11 @@
 	return out
 }
 
-// maxDoublings bounds how much longer a site that flaps must be seen alive.
+// maxDoublings bounds how often flapping doubles BackAfterMs.
 const maxDoublings = 5
 
 func (h *siteHistory) step(m Model, s Site, v Verdict, o Orders, e evidence, now time.Duration) Verdict {
-	if !e.dead && !e.alive { // nobody has looked since: what was seen last stands
+	if !e.dead && !e.alive { // no new observation: the last evidence remains valid
 		e.dead, e.alive, e.kind, e.reason = h.dead, h.alive, v.Kind, v.Reason
 	}
 	if e.dead != h.dead || e.alive != h.alive {
@@ -207,8 +208,8 @@
 		backAfter := m.BackAfterMs * float64(int(1)<<min(max(v.Losses-1, 0), maxDoublings))
 		switch {
 		case e.dead && e.kind == CutOff && ms(now-h.kindSince) < m.LostAfterMs:
-			// A site that starts again is seen by its own routers first. It is not cut off for that: they would give all that
-			// comes to them to servers that are cold.
+			// A restarting site is seen by its own routers first. It must not count as cut off then, or its own routers
+			// would send all their traffic to cold servers.
 			v.Reason = e.reason
 		case e.dead:
 			v.Kind, v.Reason = e.kind, e.reason
@@ -219,7 +220,7 @@
 		}
 	case Returning:
 		switch {
-		case e.dead && stable >= m.LostAfterMs/2: // it was lost a moment ago: less is needed to say so again
+		case e.dead && stable >= m.LostAfterMs/2: // it was lost recently, so half the time is enough
 			return declareLost(e.kind, e.reason)
 		case e.dead:
 			v.Reason = e.reason
--- a/internal/decide/sites/verdict_test.go
+++ b/internal/decide/sites/verdict_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// simulation drives deciders over a fleet's reports, each 100 ms apart from the other, as routers do.
+// simulation drives several deciders with the reports of a fleet. All act every 250 ms.
 type simulation struct {
 	m        Model
 	now      time.Duration
@@ -29,7 +29,8 @@
 	return d
 }
 
-// step has time pass; see says what a router at a site sees of another, and whether it reports at all.
+// step advances the time. observe returns what a router at one site observes of another, and whether the router reports
+// at all.
 func (d *simulation) step(observe func(from, to string) (seen Observation, reports bool)) {
 	d.now += 250 * time.Millisecond
 	d.rev++
@@ -38,8 +39,8 @@
 		r := Report{Router: decider.Router, Site: d.m.Sites[i%3].Name, Observations: map[string]Observation{}, Offered: map[string]float64{"query": 30, "filing": 20}, Rev: d.rev}
 		reporting := true
 		for _, s := range d.m.Sites {
-			seen, reports := observe(r.Site, s.Name)
-			r.Observations[s.Name], reporting = seen, reporting && reports
+			seen, reported := observe(r.Site, s.Name)
+			r.Observations[s.Name], reporting = seen, reporting && reported
 		}
 		if reporting {
 			reports = append(reports, r)
@@ -69,7 +70,7 @@
 
 func allHealthy(from, to string) (Observation, bool) { return healthy, true }
 
-// runUntil steps runUntil a site is in a state, and tells how long that took.
+// runUntil steps until a site is in a state and returns the time it took.
 func (d *simulation) runUntil(t *testing.T, site string, want State, observe func(from, to string) (Observation, bool)) time.Duration {
 	t.Helper()
 	start := d.now
@@ -81,7 +82,8 @@
 	return d.now - start
 }
 
-// What is seen from where tells the kinds of a loss apart; of a site that some reach nothing is taken away.
+// The kind of a loss follows from which routers reach which servers. A site that some other routers reach keeps its
+// traffic.
 func TestLossKinds(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -89,7 +91,7 @@
 		state   State
 		kind    Kind
 	}{
-		{"all well", allHealthy, Up, None},
+		{"all healthy", allHealthy, Up, None},
 		{"servers", func(_, to string) (Observation, bool) {
 			if to == "a" {
 				return unreachable, true
@@ -128,16 +130,16 @@
 		}
 		share := d.last.Shares["query"]["b"]["a"]
 		if c.state == Lost && (share != 0 || len(d.last.Shares) == 0) {
-			t.Errorf("%s: routers of b send %v of their queries to a", c.name, share)
+			t.Errorf("%s: routers of b send a share of %v of their queries to a", c.name, share)
 		}
 		if c.kind == CutOff && d.last.Shares["query"]["a"]["a"] != 1 {
-			t.Errorf("%s: its own routers send %v", c.name, d.last.Shares["query"]["a"])
+			t.Errorf("%s: its own routers distribute queries as %v", c.name, d.last.Shares["query"]["a"])
 		}
 	}
 }
 
-// A loss is agreed on about as soon as the settings say, a return takes as long, is paced, has filings last, and each
-// further loss makes the next return wait for longer.
+// A loss is agreed on about when the settings say. A return waits as long, is paced, and brings filings back last. Each
+// further loss makes the next return wait longer.
 func TestLossAndReturn(t *testing.T) {
 	d := newSimulation(6)
 	for range 8 {
@@ -165,22 +167,22 @@
 			}
 		}
 		if took := d.now - start; ramps[0] > 0.25 || took < 5*second || took > 9*second {
-			t.Errorf("it returned in %v, from %v on", took, ramps[0])
+			t.Errorf("the site returned in %v, starting at a share of %v", took, ramps[0])
 		}
 		if filings < 2*second {
-			t.Errorf("filings returned after %v, before the others had", filings)
+			t.Errorf("filings returned after %v, too early", filings)
 		}
 		d.runUntil(t, "a", Lost, siteDown)
 	}
 	if waits[1] < waits[0]*3/2 || waits[2] < waits[1]*3/2 {
-		t.Errorf("a site that flaps returns after %v", waits)
+		t.Errorf("waits for return of a flapping site: %v", waits)
 	}
 	if d.written > int(d.now/(100*time.Millisecond)) {
-		t.Errorf("%d postures in %v", d.written, d.now)
+		t.Errorf("%d decisions written in %v", d.written, d.now)
 	}
 }
 
-// Trouble at a site that returns has it given less; so do an operator's words, at once.
+// Failures at a returning site reduce its share. An operator's orders apply at once.
 func TestReturnStepsBackAndOrders(t *testing.T) {
 	d := newSimulation(6)
 	d.orders["a"] = Orders{Lose: true}
@@ -204,13 +206,13 @@
 		})
 	}
 	if v := d.state("a"); v.Ramp >= before {
-		t.Errorf("half comes late, and it is given %v after %v", v.Ramp, before)
+		t.Errorf("half of the requests are late, and the verdict is %v after a share of %v", v.Ramp, before)
 	}
 	d.runUntil(t, "a", Up, allHealthy)
 }
 
-// Whatever routers see and whoever of them is heard: a site is never lost while somebody elsewhere reaches it, no loss
-// comes sooner than the settings say, a site that was lost is never given more than its pace, and the same days end alike.
+// With any observations and any set of reporting routers: a site that other routers reach is never lost, no loss comes
+// earlier than the settings say, a returning site never exceeds its pace, and equal runs end alike.
 func TestVerdictModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := func(patterns []int) []Verdict {
@@ -249,11 +251,11 @@
 					}
 					if v.State == Returning {
 						if limit := 0.2 + 0.8*ms(d.now-back)/6000 + 0.05; v.Ramp > limit {
-							t.Fatalf("%v after its loss it is given %v, at most %v", d.now-back, v.Ramp, limit)
+							t.Fatalf("%v after its loss the site has a share of %v, limit %v", d.now-back, v.Ramp, limit)
 						}
 					}
 					if v.State == Lost && d.last.Shares["query"]["b"]["a"] > 0 {
-						t.Fatal("a lost site is given work")
+						t.Fatal("a lost site gets load")
 					}
 					out = append(out, v)
 				}
@@ -262,12 +264,13 @@
 		}
 		patterns := rapid.SliceOfN(rapid.IntRange(0, 7), 1, 8).Draw(t, "seconds")
 		if a, b := run(patterns), run(patterns); !reflect.DeepEqual(a, b) {
-			t.Fatal("the same days end differently")
+			t.Fatal("equal runs end differently")
 		}
 	})
 }
 
-// The model finds a decider that returns a site at once, and one that refuses what is worth most.
+// The model detects a decider that gives a returning site its full share at once, and one that refuses the class of the
+// highest worth.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	d := newSimulation(6)
 	for _, decider := range d.deciders {
@@ -284,7 +287,7 @@
 		}
 	}
 	if !jumped {
-		t.Error("no-pace is not seen")
+		t.Error("no-pace is not detected")
 	}
 	correct, reversed := newSimulation(6), newSimulation(6)
 	for _, decider := range reversed.deciders {
--- a/internal/decide/sites/whole.go
+++ b/internal/decide/sites/whole.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// floorBonus is what a floor counts for above any worth.
+// floorBonus is the extra gain of requests that fill a floor. It exceeds the worth of any class.
 func (t *transport) floorBonus() float64 {
 	maxGain := 0.0
 	for _, c := range t.model.Classes {
@@ -15,7 +15,8 @@
 	return 100 * maxGain
 }
 
-// solveExact is the program as it stands: a variable for each class and each way, and once more for what of it fills a floor.
+// solveExact solves one program for the whole problem. It has a variable for each class and each pair of sites, and a
+// second one for the part that fills a floor.
 func (t *transport) solveExact() (Plan, error) {
 	var prog program
 	out := t.emptyPlan("lp")
@@ -35,9 +36,9 @@
 	type flow struct{ k, from, to, v int }
 	var flows []flow
 	for k, c := range t.model.Classes {
-		floorRow, asked := noRow, total(t.situation.Demand[k])
-		if c.Floor > 0 && asked > 0 {
-			floorRow = prog.addRow(c.Floor * asked)
+		floorRow, demand := noRow, total(t.situation.Demand[k])
+		if c.Floor > 0 && demand > 0 {
+			floorRow = prog.addRow(c.Floor * demand)
 		}
 		for from, d := range t.situation.Demand[k] {
 			if d <= 0 {
@@ -73,15 +74,15 @@
 		out.Flow[f.k][f.from][f.to] += x[f.v]
 		share[f.k][f.to] += x[f.v]
 	}
-	// The corner that the simplex ends at may refuse all at one site and none at another: where links allow it, all
-	// sites' routers refuse the same part.
+	// The simplex may end at a vertex that refuses everything at one site and nothing at another. Where links allow it,
+	// the plan is replaced by one in which all sites' routers refuse the same share.
 	if even := t.assignFlows("lp", share); even.Worth(t.model) >= out.Worth(t.model)*(1-boundTolerance) {
 		return even, nil
 	}
 	return out, nil
 }
 
-// addSiteRows adds the bounds of the sites: their room, and that for classes that return last where it is less.
+// addSiteRows adds the rows for the sites' capacity, and for the capacity of classes with Last where it is lower.
 func (t *transport) addSiteRows(p *program) {
 	for i := range t.model.Sites {
 		p.capacityRows, p.lastRows = append(p.capacityRows, noRow), append(p.lastRows, noRow)
@@ -94,9 +95,9 @@
 	}
 }
 
-// addFlow adds the variable for what of a class a site serves, bounded by what is needed of it, by the site and by a link,
-// and a second one for what of that fills the class's floor, where there is one.
-func (t *transport) addFlow(p *program, k, to int, gain float64, demandRow, floorRow, linkRow int) (made []int) {
+// addFlow adds the variable for the part of a class that a site serves, bounded by demand, site and link. If the class
+// has a floor, it adds a second one for the part that fills the floor.
+func (t *transport) addFlow(p *program, k, to int, gain float64, demandRow, floorRow, linkRow int) (variables []int) {
 	bounds := []int{p.capacityRows[to], linkRow}
 	if t.model.Classes[k].Last {
 		bounds = append(bounds, p.lastRows[to])
@@ -111,33 +112,34 @@
 		}
 		return v
 	}
-	made = append(made, add(gain))
+	variables = append(variables, add(gain))
 	if floorRow != noRow {
 		v := add(gain + t.floorBonus())
 		p.rows[floorRow][v] = 1
-		made = append(made, v)
+		variables = append(variables, v)
 	}
-	return made
+	return variables
 }
 
-// solveInSteps solves a large one in two steps: how much of each class each site serves, whoever asks, by a program; then who
-// sends it there, by the cheapest links first. What links don't bear is refused.
+// solveInSteps solves a large problem in two steps. A program determines how much of each class each site serves,
+// regardless of where the demand is. Then the demand is assigned to the sites over the cheapest links first. What the
+// links can't carry is refused.
 func (t *transport) solveInSteps() (Plan, error) {
 	var prog program
 	t.addSiteRows(&prog)
-	variables := make([][][]int, len(t.model.Classes)) // by class and site: the variables
+	variables := make([][][]int, len(t.model.Classes)) // by class and site: indices of variables
 	for k, c := range t.model.Classes {
-		asked := total(t.situation.Demand[k])
-		demandRow, floorRow := prog.addRow(asked), noRow
-		if c.Floor > 0 && asked > 0 {
-			floorRow = prog.addRow(c.Floor * asked)
+		demand := total(t.situation.Demand[k])
+		demandRow, floorRow := prog.addRow(demand), noRow
+		if c.Floor > 0 && demand > 0 {
+			floorRow = prog.addRow(c.Floor * demand)
 		}
 		for to := range t.model.Sites {
 			variables[k] = append(variables[k], nil)
-			if asked == 0 || !t.allows(k, to, to) {
+			if demand == 0 || !t.allows(k, to, to) {
 				continue
 			}
-			// A site that is asked itself is a little better: nothing moves then.
+			// Prefer sites that have demand of their own, so that less traffic moves.
 			gain := c.Worth * c.Work
 			if t.situation.Demand[k][to] == 0 {
 				gain *= 1 - transferPenalty
@@ -162,10 +164,10 @@
 	return t.assignFlows("lp by parts", share), nil
 }
 
-// assignFlows has what each site serves of each class asked for by somebody: its own routers first, then by the cheapest
-// links. A class that is served in part is so for all sites alike, as far as links go.
-func (t *transport) assignFlows(how string, share [][]float64) Plan {
-	out := t.emptyPlan(how)
+// assignFlows assigns what each site serves of each class to the demand: first to its own routers, then over the
+// cheapest links. A class that is served in part is cut by the same share at all sites, as far as links allow.
+func (t *transport) assignFlows(method string, share [][]float64) Plan {
+	out := t.emptyPlan(method)
 	rateLeft := map[[2]int]float64{}
 	for link, rate := range t.linkRate {
 		rateLeft[link] = rate
@@ -184,30 +186,30 @@
 	}
 	slices.SortStableFunc(routes, func(a, b route) int { return cmp.Compare(a.cost, b.cost) })
 	for _, k := range t.byWorth {
-		asked, served := total(t.situation.Demand[k]), total(share[k])
-		if asked == 0 {
+		totalDemand, served := total(t.situation.Demand[k]), total(share[k])
+		if totalDemand == 0 {
 			continue
 		}
 		demand, capacity := make([]float64, len(t.model.Sites)), slices.Clone(share[k])
 		for i, d := range t.situation.Demand[k] {
-			demand[i] = d * min(served/asked, 1)
+			demand[i] = d * min(served/totalDemand, 1)
 			if t.allows(k, i, i) {
 				local := min(demand[i], capacity[i])
 				out.Flow[k][i][i] = local
 				demand[i], capacity[i] = demand[i]-local, capacity[i]-local
 			}
 		}
-		for _, w := range routes {
-			flow := min(demand[w.from], capacity[w.to])
-			if flow <= 0 || !t.allows(k, w.from, w.to) {
+		for _, r := range routes {
+			flow := min(demand[r.from], capacity[r.to])
+			if flow <= 0 || !t.allows(k, r.from, r.to) {
 				continue
 			}
-			if rate, bounded := rateLeft[[2]int{w.from, w.to}]; bounded {
-				flow = min(flow, max(rate, 0)/t.work[k][w.to])
-				rateLeft[[2]int{w.from, w.to}] = rate - flow*t.work[k][w.to]
+			if rate, bounded := rateLeft[[2]int{r.from, r.to}]; bounded {
+				flow = min(flow, max(rate, 0)/t.work[k][r.to])
+				rateLeft[[2]int{r.from, r.to}] = rate - flow*t.work[k][r.to]
 			}
-			out.Flow[k][w.from][w.to] += flow
-			demand[w.from], capacity[w.to] = demand[w.from]-flow, capacity[w.to]-flow
+			out.Flow[k][r.from][r.to] += flow
+			demand[r.from], capacity[r.to] = demand[r.from]-flow, capacity[r.to]-flow
 		}
 	}
 	return out
