--- a/cmd/sumactl/policy.go
+++ b/cmd/sumactl/policy.go
@@ -156,7 +156,7 @@
 			step = rollout.Prepared
 		}
 		say := fmt.Sprintf("change %s: %s, round %d", now.ID, now.Phase, now.Round)
-		if missing := v.Missing(&now, step); !now.Phase.Over() && len(missing) > 0 {
+		if missing := v.Missing(&now, step); !now.Phase.Done() && len(missing) > 0 {
 			say += ", waiting for " + strings.Join(missing, ", ")
 		}
 		if say != said {
--- a/internal/decide/rollout/model_test.go
+++ b/internal/decide/rollout/model_test.go
@@ -17,16 +17,16 @@
 // no rule of its own but the promise: no request is taken under a version older than one that another was taken
 // under before, nor under one that is not committed.
 type world struct {
-	broken  string
-	draw    func(n int) int
-	now     time.Duration
-	views   []View // by revision
-	touched map[string]time.Duration
-	routers []*router
-	drivers []*Driver
-	drvSeen []int
-	newest  int64 // version that a request was taken under
-	serial  int
+	broken       string
+	draw         func(n int) int
+	now          time.Duration
+	views        []View // by revision
+	renewed      map[string]time.Duration
+	routers      []*router
+	drivers      []*Driver
+	driverSeen   []int
+	newestServed int64 // version that a request was taken under
+	serial       int
 }
 
 type router struct {
@@ -45,36 +45,36 @@
 const ttl = 40 * time.Millisecond
 
 func newWorld(broken string, draw func(int) int) *world {
-	w := &world{broken: broken, draw: draw, now: 1, touched: map[string]time.Duration{},
+	w := &world{broken: broken, draw: draw, now: 1, renewed: map[string]time.Duration{},
 		views: []View{{Current: &Version{Version: 1}, Routers: map[string]Router{}, Acks: map[string]Ack{}}}}
 	for i, name := range []string{"a", "b", "c"} {
 		w.routers = append(w.routers, &router{name: name, keep: i == 2})
-		w.drivers, w.drvSeen = append(w.drivers, &Driver{Me: name}), append(w.drvSeen, 0)
+		w.drivers, w.driverSeen = append(w.drivers, &Driver{Router: name}), append(w.driverSeen, 0)
 	}
 	return w
 }
 
-func (w *world) last() View { return w.views[len(w.views)-1] }
+func (w *world) latest() View { return w.views[len(w.views)-1] }
 
 // write makes the next revision.
 func (w *world) write(change func(*View)) {
-	v := w.last()
+	v := w.latest()
 	v.Routers, v.Acks = maps.Clone(v.Routers), maps.Clone(v.Acks)
 	v.Revision++
 	change(&v)
 	w.views = append(w.views, v)
 }
 
-// carries refuses the policies whose text says so to one router.
-func (r *router) carries(text string) error {
+// supports refuses the policies whose text says so to one router.
+func (r *router) supports(text string) error {
 	if text == "not "+r.name {
 		return errors.New("no")
 	}
 	return nil
 }
 
-// later draws a revision that is not older than one.
-func (w *world) later(than int) int { return than + w.draw(len(w.views)-than) }
+// revisionFrom draws a revision that is not older than one.
+func (w *world) revisionFrom(than int) int { return than + w.draw(len(w.views)-than) }
 
 func (w *world) step() error {
 	i := w.draw(len(w.routers))
@@ -83,8 +83,8 @@
 	case 0, 1:
 		w.now += time.Duration(1+w.draw(25)) * time.Millisecond
 	case 2: // a lease that is over is ended, some time
-		v := w.last()
-		if reg, named := v.Routers[r.name]; named && reg.OnLapse == Refuse && w.now-w.touched[r.name] > ttl {
+		v := w.latest()
+		if reg, registered := v.Routers[r.name]; registered && reg.OnLapse == Refuse && w.now-w.renewed[r.name] > ttl {
 			w.write(func(v *View) { delete(v.Routers, r.name) })
 		}
 	case 3: // the process dies and starts again; what it kept tells it no more than that it is another boot
@@ -95,15 +95,15 @@
 	case 4:
 		w.register(r)
 	case 5, 6:
-		if reg, named := w.last().Routers[r.name]; r.seen > 0 && (!named || reg.Boot != r.boot) {
+		if reg, registered := w.latest().Routers[r.name]; r.seen > 0 && (!registered || reg.Boot != r.boot) {
 			break // its next view shows it; until then its lease rules
 		}
 		if r.seen > 0 {
-			r.seen = w.later(r.seen)
-			w.stand(r, w.views[r.seen])
+			r.seen = w.revisionFrom(r.seen)
+			w.apply(r, w.views[r.seen])
 		}
 	case 7:
-		if r.ack != nil && w.last().Routers[r.name].Rev == r.rev && r.rev > 0 {
+		if r.ack != nil && w.latest().Routers[r.name].Rev == r.rev && r.rev > 0 {
 			w.write(func(v *View) { v.Acks[r.name] = *r.ack })
 		}
 		r.ack = nil
@@ -112,8 +112,8 @@
 		case r.renewal == 0:
 			r.renewal, r.answered = w.now, false
 		case !r.answered:
-			if reg := w.last().Routers[r.name]; reg.Boot == r.boot && reg.Rev == r.rev && r.rev > 0 {
-				w.touched[r.name], r.answered = w.now, true
+			if reg := w.latest().Routers[r.name]; reg.Boot == r.boot && reg.Rev == r.rev && r.rev > 0 {
+				w.renewed[r.name], r.answered = w.now, true
 			} else {
 				r.renewal = 0
 			}
@@ -123,16 +123,16 @@
 	case 9:
 		w.serial++
 		text := []string{"for all", "for all", "not a", "not c"}[w.draw(4)]
-		if next, running := Propose(w.last(), fmt.Sprint("change-", w.serial), text, "", "", "", Limits{StepBackMs: 20, WaitMs: 150}); running == nil {
+		if next, running := Propose(w.latest(), fmt.Sprint("change-", w.serial), text, "", "", "", Limits{StepBackMs: 20, WaitMs: 150}); running == nil {
 			from := int64(0)
-			if c := w.last().Change; c != nil {
+			if c := w.latest().Change; c != nil {
 				from = c.Rev
 			}
 			w.move(next, from)
 		}
 	case 10, 11:
-		w.drvSeen[i] = w.later(w.drvSeen[i])
-		v := w.views[w.drvSeen[i]]
+		w.driverSeen[i] = w.revisionFrom(w.driverSeen[i])
+		v := w.views[w.driverSeen[i]]
 		if c := v.Running(); w.broken == "no-round" && c != nil {
 			v.Acks = maps.Clone(v.Acks)
 			for name, a := range v.Acks {
@@ -144,14 +144,14 @@
 			w.move(next, v.Change.Rev)
 		}
 	case 12:
-		return w.take(r)
+		return w.serveRequest(r)
 	}
 	return nil
 }
 
 // move is a compare on the change's record.
 func (w *world) move(next *Change, from int64) {
-	if c := w.last().Change; c != nil && c.Rev != from {
+	if c := w.latest().Change; c != nil && c.Rev != from {
 		return
 	}
 	w.write(func(v *View) {
@@ -159,8 +159,8 @@
 		c.Rev = v.Revision
 		v.Change = &c
 		if c.Phase == Committed {
-			made := c.Result()
-			v.Current = &made
+			result := c.Result()
+			v.Current = &result
 		}
 	})
 }
@@ -175,24 +175,24 @@
 		lapse = Keep
 	}
 	w.write(func(v *View) { v.Routers[r.name] = Router{Name: r.name, Boot: r.boot, OnLapse: lapse, Rev: v.Revision} })
-	r.rev, w.touched[r.name] = w.last().Revision, w.now
+	r.rev, w.renewed[r.name] = w.latest().Revision, w.now
 	r.until, r.renewal = w.now+ttl, 0
 	if r.keep {
 		r.until = 1 << 62
 	}
 	if w.broken == "stale-start" {
 		if r.seen == 0 {
-			r.seen = w.later(0)
+			r.seen = w.revisionFrom(0)
 		}
 		r.mode, r.version = Serving, w.views[r.seen].Current.Version
 		return
 	}
 	r.seen = len(w.views) - 1
-	w.stand(r, w.last())
+	w.apply(r, w.latest())
 }
 
-func (w *world) stand(r *router, v View) {
-	s, registered := Member{r.name, r.boot}.Stance(v, r.carries)
+func (w *world) apply(r *router, v View) {
+	s, registered := Member{r.name, r.boot}.Directive(v, r.supports)
 	if !registered {
 		r.mode = Closed
 		return
@@ -205,23 +205,23 @@
 	}
 }
 
-func (w *world) take(r *router) error {
+func (w *world) serveRequest(r *router) error {
 	if r.mode != Serving || (w.now >= r.until && w.broken != "no-lapse") {
 		return nil
 	}
-	if at := w.last().Current.Version; r.version > at {
-		return fmt.Errorf("%s took a request under %d, %d is the last that was committed", r.name, r.version, at)
+	if current := w.latest().Current.Version; r.version > current {
+		return fmt.Errorf("%s took a request under %d, %d is the last that was committed", r.name, r.version, current)
 	}
-	if r.version < w.newest {
-		return fmt.Errorf("%s took a request under %d, after one had been taken under %d", r.name, r.version, w.newest)
+	if r.version < w.newestServed {
+		return fmt.Errorf("%s took a request under %d, after one had been taken under %d", r.name, r.version, w.newestServed)
 	}
-	w.newest = r.version
+	w.newestServed = r.version
 	return nil
 }
 
 // The promise against random steps: routers that lapse, restart, hear late and answer late, drivers that act on old
 // views, policies that a router can't carry.
-func TestPromise(t *testing.T) {
+func TestVersionOrder(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld("", func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "") })
@@ -235,7 +235,7 @@
 
 // The same steps find each rule that is broken on purpose; and without a break they commit and abort changes, else
 // they would show nothing.
-func TestPromiseIsChecked(t *testing.T) {
+func TestVersionOrderFindsInjectedFaults(t *testing.T) {
 	const runs, steps = 4000, 1500
 	outcomes := map[Phase]int{}
 	for _, broken := range []string{"", "no-hold", "no-lapse", "stale-start", "no-round"} {
@@ -251,7 +251,7 @@
 			}
 			if broken == "" {
 				for _, v := range w.views {
-					if v.Change != nil && v.Change.Phase.Over() && v.Change.Rev == v.Revision {
+					if v.Change != nil && v.Change.Phase.Done() && v.Change.Rev == v.Revision {
 						outcomes[v.Change.Phase]++
 					}
 				}
@@ -288,13 +288,13 @@
 	if _, running := Propose(v, "y", "", "", "", "", Limits{}); running == nil {
 		t.Error("a second change beside the first")
 	}
-	say := func(step Step, names ...string) {
+	acknowledge := func(step Step, names ...string) {
 		for _, n := range names {
 			v.Acks[n] = Ack{Boot: "1", Change: "x", Round: v.Change.Round, Step: step}
 		}
 	}
 	d := &Driver{} // no router: last in turn
-	due := func(now time.Duration, phase Phase, round int) {
+	expectMove := func(now time.Duration, phase Phase, round int) {
 		t.Helper()
 		next, wake := d.Next(v, now)
 		if next == nil && wake > now { // not its turn yet
@@ -308,24 +308,24 @@
 	if next, wake := d.Next(v, 0); next != nil || wake != time.Second {
 		t.Errorf("nobody has answered: %+v, %v", next, wake)
 	}
-	say(Checked, "a", "b")
-	due(10*time.Millisecond, Preparing, 1)
-	say(Prepared, "a")
+	acknowledge(Checked, "a", "b")
+	expectMove(10*time.Millisecond, Preparing, 1)
+	acknowledge(Prepared, "a")
 	if next, wake := d.Next(v, 100*time.Millisecond); next != nil || wake != 400*time.Millisecond {
 		t.Errorf("b has not prepared: %+v, %v", next, wake)
 	}
-	due(400*time.Millisecond, Checking, 2)
-	say(Checked, "a", "b")
-	due(500*time.Millisecond, Preparing, 2)
+	expectMove(400*time.Millisecond, Checking, 2)
+	acknowledge(Checked, "a", "b")
+	expectMove(500*time.Millisecond, Preparing, 2)
 	v.Acks["b"] = Ack{Boot: "0", Change: "x", Round: 2, Step: Prepared} // of a boot before
-	say(Prepared, "a")
+	acknowledge(Prepared, "a")
 	if next, _ := d.Next(v, 600*time.Millisecond); next != nil {
 		t.Errorf("an earlier boot's word counts: %+v", next)
 	}
 	delete(v.Routers, "b") // its lease is over
-	due(700*time.Millisecond, Committed, 2)
-	if made := v.Change.Result(); made.Version != 5 || made.Text != "text" {
-		t.Errorf("%+v", made)
+	expectMove(700*time.Millisecond, Committed, 2)
+	if result := v.Change.Result(); result.Version != 5 || result.Text != "text" {
+		t.Errorf("%+v", result)
 	}
 	if next, wake := d.Next(v, 9*time.Second); next != nil || wake != 0 {
 		t.Errorf("after the outcome: %+v, %v", next, wake)
@@ -334,43 +334,43 @@
 	c, _ = Propose(v, "z", "text", "", "", "", Limits{StepBackMs: 300, WaitMs: 1000})
 	set(c)
 	d.Next(v, 10*time.Second)
-	due(11*time.Second, Aborted, 1)
+	expectMove(11*time.Second, Aborted, 1)
 	if v.Change.Router != "a" || v.Change.Reason == "" {
 		t.Errorf("%+v", v.Change)
 	}
 	c, _ = Propose(v, "x", "text", "", "", "", Limits{StepBackMs: 300, WaitMs: 1000})
 	set(c)
 	v.Acks["a"] = Ack{Boot: "1", Change: "x", Round: 1, Step: Refused, Reason: "needs.zones"}
-	due(12*time.Second, Aborted, 1)
+	expectMove(12*time.Second, Aborted, 1)
 	if v.Change.Router != "a" || v.Change.Reason != "needs.zones" {
 		t.Errorf("%+v", v.Change)
 	}
 }
 
 // What a router does at a view, and what it says.
-func TestStance(t *testing.T) {
-	me := Member{"a", "1"}
+func TestDirective(t *testing.T) {
+	member := Member{"a", "1"}
 	for name, c := range map[string]struct {
-		change *Change
-		boot   string
-		mode   Mode
-		step   Step
-		cant   string
+		change      *Change
+		boot        string
+		mode        Mode
+		step        Step
+		unsupported string
 	}{
-		"no change":                        {boot: "1", mode: Serving, step: Taken},
+		"no change":                        {boot: "1", mode: Serving, step: Applied},
 		"not registered":                   {boot: "2", mode: Closed},
 		"checking":                         {change: &Change{Phase: Checking}, boot: "1", mode: Serving, step: Checked},
-		"checking what it can't carry":     {change: &Change{Phase: Checking, Text: "new"}, boot: "1", mode: Serving, step: Refused, cant: "new"},
+		"checking what it can't carry":     {change: &Change{Phase: Checking, Text: "new"}, boot: "1", mode: Serving, step: Refused, unsupported: "new"},
 		"preparing":                        {change: &Change{Phase: Preparing}, boot: "1", mode: Holding, step: Prepared},
-		"preparing what it can't carry":    {change: &Change{Phase: Preparing, Text: "new"}, boot: "1", mode: Holding, step: Refused, cant: "new"},
-		"committed":                        {change: &Change{Phase: Committed}, boot: "1", mode: Serving, step: Taken},
-		"aborted":                          {change: &Change{Phase: Aborted}, boot: "1", mode: Serving, step: Taken},
-		"can't carry the current version":  {boot: "1", mode: Closed, step: Refused, cant: "old"},
-		"nor does it serve while checking": {change: &Change{Phase: Checking}, boot: "1", mode: Closed, step: Checked, cant: "old"},
+		"preparing what it can't carry":    {change: &Change{Phase: Preparing, Text: "new"}, boot: "1", mode: Holding, step: Refused, unsupported: "new"},
+		"committed":                        {change: &Change{Phase: Committed}, boot: "1", mode: Serving, step: Applied},
+		"aborted":                          {change: &Change{Phase: Aborted}, boot: "1", mode: Serving, step: Applied},
+		"can't carry the current version":  {boot: "1", mode: Closed, step: Refused, unsupported: "old"},
+		"nor does it serve while checking": {change: &Change{Phase: Checking}, boot: "1", mode: Closed, step: Checked, unsupported: "old"},
 	} {
 		v := View{Current: &Version{Version: 3, Text: "old"}, Change: c.change, Routers: map[string]Router{"a": {Boot: c.boot}}}
-		s, registered := me.Stance(v, func(text string) error {
-			if c.cant != "" && text == c.cant {
+		s, registered := member.Directive(v, func(text string) error {
+			if c.unsupported != "" && text == c.unsupported {
 				return errors.New("can't")
 			}
 			return nil
@@ -380,7 +380,7 @@
 		}
 		if s.Ack != nil { // said once
 			v.Acks = map[string]Ack{"a": *s.Ack}
-			if again, _ := me.Stance(v, func(string) error { return nil }); c.cant == "" && again.Ack != nil {
+			if again, _ := member.Directive(v, func(string) error { return nil }); c.unsupported == "" && again.Ack != nil {
 				t.Errorf("%s: said twice", name)
 			}
 		}
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -28,8 +28,8 @@
 	Aborted   Phase = "aborted"   // it never took hold anywhere
 )
 
-// Over tells whether a change has its outcome.
-func (p Phase) Over() bool { return p == Committed || p == Aborted }
+// Done tells whether a change has its outcome.
+func (p Phase) Done() bool { return p == Committed || p == Aborted }
 
 // Limits bound a change in time, in milliseconds by each driver's own clock.
 type Limits struct {
@@ -95,7 +95,7 @@
 	Checked  Step = "checked"
 	Prepared Step = "prepared" // nothing more is taken under the old version
 	Refused  Step = "refused"  // it can't carry the new version, or the current one
-	Taken    Step = "taken"    // no change runs: the version is the current one
+	Applied  Step = "taken"    // no change runs: the version is the current one
 )
 
 // Ack is a router's last word.
@@ -119,7 +119,7 @@
 
 // Running is the change that has no outcome yet, or nil.
 func (v View) Running() *Change {
-	if v.Change == nil || v.Change.Phase.Over() {
+	if v.Change == nil || v.Change.Phase.Done() {
 		return nil
 	}
 	return v.Change
@@ -127,16 +127,16 @@
 
 // Ack is the last word of a router as it is registered, if it has said one since.
 func (v View) Ack(name string) (Ack, bool) {
-	a, said := v.Acks[name]
-	return a, said && a.Boot == v.Routers[name].Boot
+	a, acked := v.Acks[name]
+	return a, acked && a.Boot == v.Routers[name].Boot
 }
 
 // Missing lists the routers, in order, that have not come to a step of the running change's round.
 func (v View) Missing(c *Change, step Step) []string {
 	var out []string
 	for name := range v.Routers {
-		a, said := v.Ack(name)
-		if !said || a.Change != c.ID || a.Round != c.Round || (a.Step != step && a.Step != Prepared) {
+		a, acked := v.Ack(name)
+		if !acked || a.Change != c.ID || a.Round != c.Round || (a.Step != step && a.Step != Prepared) {
 			out = append(out, name)
 		}
 	}
@@ -146,9 +146,9 @@
 
 // refusal is the first router, in order, that can't carry the change.
 func (v View) refusal(c *Change) (name, reason string, refused bool) {
-	for at := range v.Routers {
-		if a, said := v.Ack(at); said && a.Change == c.ID && a.Step == Refused && (!refused || at < name) {
-			name, reason, refused = at, a.Reason, true
+	for router := range v.Routers {
+		if a, acked := v.Ack(router); acked && a.Change == c.ID && a.Step == Refused && (!refused || router < name) {
+			name, reason, refused = router, a.Reason, true
 		}
 	}
 	return name, reason, refused
@@ -166,58 +166,58 @@
 
 func (m Mode) String() string { return [...]string{"closed", "serving", "holding"}[m] }
 
-// Stance is what a router is to do at a view: first the mode, then the word.
-type Stance struct {
+// Directive is what a router is to do at a view: first the mode, then the word.
+type Directive struct {
 	Mode    Mode
 	Version *Version // with Serving
 	Ack     *Ack     // to be written; nil: the store has it
-	Why     string   // with Closed
+	Reason  string   // with Closed
 }
 
 // Member is a router as it registered.
 type Member struct{ Name, Boot string }
 
-// Stance decides by a view what the router does. carries tells whether its own file allows a policy. It must be asked
+// Directive decides by a view what the router does. carries tells whether its own file allows a policy. It must be asked
 // with views that are no older than the registration, and never with one older than the last. Without a
 // registration under its boot a router may not serve, and false is returned.
-func (m Member) Stance(v View, carries func(text string) error) (Stance, bool) {
-	if r, named := v.Routers[m.Name]; !named || r.Boot != m.Boot {
-		return Stance{Why: "not registered"}, false
+func (m Member) Directive(v View, supports func(text string) error) (Directive, bool) {
+	if r, registered := v.Routers[m.Name]; !registered || r.Boot != m.Boot {
+		return Directive{Reason: "not registered"}, false
 	}
-	s, word := m.stance(v, carries)
-	if last, said := v.Acks[m.Name]; !said || last != word {
-		s.Ack = &word
+	s, ack := m.decide(v, supports)
+	if last, acked := v.Acks[m.Name]; !acked || last != ack {
+		s.Ack = &ack
 	}
 	return s, true
 }
 
-func (m Member) stance(v View, carries func(string) error) (Stance, Ack) {
-	word := Ack{Boot: m.Boot, Step: Taken}
+func (m Member) decide(v View, supports func(string) error) (Directive, Ack) {
+	ack := Ack{Boot: m.Boot, Step: Applied}
 	if v.Current == nil {
-		return Stance{Why: "there is no policy yet"}, word
+		return Directive{Reason: "there is no policy yet"}, ack
 	}
-	s := Stance{Mode: Serving, Version: v.Current}
-	word.Change, word.Version = v.Current.Change, v.Current.Version
-	if err := carries(v.Current.Text); err != nil {
-		s = Stance{Why: "version " + strconv.FormatInt(v.Current.Version, 10) + " can't be carried: " + err.Error()}
-		word.Step, word.Reason, word.Version = Refused, err.Error(), 0
+	s := Directive{Mode: Serving, Version: v.Current}
+	ack.Change, ack.Version = v.Current.Change, v.Current.Version
+	if err := supports(v.Current.Text); err != nil {
+		s = Directive{Reason: "version " + strconv.FormatInt(v.Current.Version, 10) + " can't be carried: " + err.Error()}
+		ack.Step, ack.Reason, ack.Version = Refused, err.Error(), 0
 	}
 	c := v.Running()
 	if c == nil {
-		return s, word
+		return s, ack
 	}
-	word = Ack{Boot: m.Boot, Change: c.ID, Round: c.Round, Step: Checked, Version: word.Version}
-	if err := carries(c.Text); err != nil {
+	ack = Ack{Boot: m.Boot, Change: c.ID, Round: c.Round, Step: Checked, Version: ack.Version}
+	if err := supports(c.Text); err != nil {
 		// The change can't be committed with this word standing, so the old version may go on being served; one that
 		// registered late may be passed by the commit, and must hold all the same.
-		word.Step, word.Reason = Refused, err.Error()
+		ack.Step, ack.Reason = Refused, err.Error()
 	} else if c.Phase == Preparing {
-		word.Step = Prepared
+		ack.Step = Prepared
 	}
 	if c.Phase == Preparing && s.Mode == Serving {
-		s = Stance{Mode: Holding}
+		s = Directive{Mode: Holding}
 	}
-	return s, word
+	return s, ack
 }
 
 // stagger is how much later each next driver moves a change that the one before it should have moved.
@@ -226,14 +226,14 @@
 // Driver moves the running change on as far as a view allows. Any number of them may watch a store: each move is a
 // compare on the change's record, so one wins. Its zero value is that of a caller who is no router.
 type Driver struct {
-	Me string // a router's name
-
-	id   string        // of the change that is watched
-	seen time.Duration // when it was first seen
-	rev  int64         // of its record
-	at   time.Duration // when that was first seen
-	to   Phase         // what it was found due for
-	due  time.Duration // since when
+	Router string // a router's name
+
+	changeID    string        // of the change that is watched
+	changeSeen  time.Duration // when it was first seen
+	recordRev   int64         // of its record
+	recordSeen  time.Duration // when that was first seen
+	target      Phase         // what it was found due for
+	targetSince time.Duration // since when
 }
 
 // Next gives the record that should take the place of the view's, or nil; and when to ask again, should no other
@@ -241,18 +241,18 @@
 func (d *Driver) Next(v View, now time.Duration) (next *Change, wake time.Duration) {
 	c := v.Running()
 	if c == nil {
-		*d = Driver{Me: d.Me}
+		*d = Driver{Router: d.Router}
 		return nil, 0
 	}
-	if d.id != c.ID {
-		*d = Driver{Me: d.Me, id: c.ID, seen: now}
+	if d.changeID != c.ID {
+		*d = Driver{Router: d.Router, changeID: c.ID, changeSeen: now}
 	}
-	if d.rev != c.Rev {
-		d.rev, d.at, d.to = c.Rev, now, ""
+	if d.recordRev != c.Rev {
+		d.recordRev, d.recordSeen, d.target = c.Rev, now, ""
 	}
-	to := *c
-	end := d.seen + time.Duration(c.WaitMs)*time.Millisecond
-	back := d.at + time.Duration(c.StepBackMs)*time.Millisecond
+	updated := *c
+	deadline := d.changeSeen + time.Duration(c.WaitMs)*time.Millisecond
+	stepBackAt := d.recordSeen + time.Duration(c.StepBackMs)*time.Millisecond
 	step := Checked
 	if c.Phase == Preparing {
 		step = Prepared
@@ -261,44 +261,44 @@
 	name, reason, refused := v.refusal(c)
 	switch {
 	case refused:
-		to.Phase, to.Router, to.Reason = Aborted, name, reason
+		updated.Phase, updated.Router, updated.Reason = Aborted, name, reason
 	case len(missing) == 0 && c.Phase == Checking:
-		to.Phase = Preparing
+		updated.Phase = Preparing
 	case len(missing) == 0:
-		to.Phase = Committed
-	case now >= end:
-		to.Phase, to.Router = Aborted, missing[0]
-		to.Reason = "did not answer within " + (time.Duration(c.WaitMs) * time.Millisecond).String()
-	case c.Phase == Preparing && now >= back:
-		to.Phase, to.Round = Checking, c.Round+1
+		updated.Phase = Committed
+	case now >= deadline:
+		updated.Phase, updated.Router = Aborted, missing[0]
+		updated.Reason = "did not answer within " + (time.Duration(c.WaitMs) * time.Millisecond).String()
+	case c.Phase == Preparing && now >= stepBackAt:
+		updated.Phase, updated.Round = Checking, c.Round+1
 	case c.Phase == Preparing:
-		return nil, min(end, back)
+		return nil, min(deadline, stepBackAt)
 	default:
-		return nil, end
+		return nil, deadline
 	}
-	if d.to != to.Phase {
-		d.to, d.due = to.Phase, now
+	if d.target != updated.Phase {
+		d.target, d.targetSince = updated.Phase, now
 	}
-	if mine := d.due + time.Duration(rank(v, c.ID, d.Me))*stagger; now < mine {
-		return nil, mine
+	if turnAt := d.targetSince + time.Duration(rank(v, c.ID, d.Router))*stagger; now < turnAt {
+		return nil, turnAt
 	}
-	d.due = now + time.Duration(len(v.Routers))*stagger // a move that is lost is tried again
-	return &to, d.due
+	d.targetSince = now + time.Duration(len(v.Routers))*stagger // a move that is lost is tried again
+	return &updated, d.targetSince
 }
 
 // rank is a router's turn to move a change: by rendezvous hashing, so that it is not the same one for every change.
 // Whoever is no router comes last.
 func rank(v View, id, me string) int {
-	if _, named := v.Routers[me]; !named {
+	if _, registered := v.Routers[me]; !registered {
 		return len(v.Routers)
 	}
-	before, mine := 0, weight(id, me)
+	ahead, own := 0, weight(id, me)
 	for name := range v.Routers {
-		if cmp.Or(cmp.Compare(weight(id, name), mine), cmp.Compare(name, me)) < 0 {
-			before++
+		if cmp.Or(cmp.Compare(weight(id, name), own), cmp.Compare(name, me)) < 0 {
+			ahead++
 		}
 	}
-	return before
+	return ahead
 }
 
 func weight(id, name string) uint64 { return xxhash.Sum64String(id + "\x00" + name) }
--- a/internal/fleet/policy/agent.go
+++ b/internal/fleet/policy/agent.go
@@ -92,7 +92,7 @@
 		o.Boot = uuid.NewString()
 	}
 	return &Agent[T]{o: o, store: Store{client}, home: h, boot: o.Boot, gate: NewGate[T](o.Patience, o.Most),
-		driver: rollout.Driver{Me: o.Name}, verdicts: map[string]error{}}, nil
+		driver: rollout.Driver{Router: o.Name}, verdicts: map[string]error{}}, nil
 }
 
 // Gate is the gate that arrivals pass.
@@ -253,7 +253,7 @@
 
 // act does what a view asks for, and tells when to do so once more.
 func (a *Agent[T]) act(ctx context.Context, v rollout.View) (time.Duration, error) {
-	s, registered := rollout.Member{Name: a.o.Name, Boot: a.boot}.Stance(v, a.carries)
+	s, registered := rollout.Member{Name: a.o.Name, Boot: a.boot}.Directive(v, a.carries)
 	if !registered {
 		a.gate.set(state[T]{why: errLost.Error(), terms: a.made, lease: newLease(0)})
 		return 0, errLost
@@ -321,13 +321,13 @@
 }
 
 // stand sets the gate, and what is kept of it, before anybody is told.
-func (a *Agent[T]) stand(s rollout.Stance, running *rollout.Change) error {
+func (a *Agent[T]) stand(s rollout.Directive, running *rollout.Change) error {
 	now := a.gate.state.Load()
 	switch s.Mode {
 	case rollout.Closed:
-		if now.mode != rollout.Closed || now.why != s.Why {
-			a.o.Log.WithField("why", s.Why).Error("policy: not ready")
-			a.gate.set(state[T]{why: s.Why, terms: a.made, lease: newLease(0)})
+		if now.mode != rollout.Closed || now.why != s.Reason {
+			a.o.Log.WithField("why", s.Reason).Error("policy: not ready")
+			a.gate.set(state[T]{why: s.Reason, terms: a.made, lease: newLease(0)})
 		}
 	case rollout.Holding:
 		if err := a.remember(copied{Version: a.copy.Version, Prepared: running.ID}); err != nil {
--- a/internal/fleet/policy/await.go
+++ b/internal/fleet/policy/await.go
@@ -42,7 +42,7 @@
 		}
 		last = *v.Change
 		tell(v, last)
-		if last.Phase.Over() {
+		if last.Phase.Done() {
 			return last, nil
 		}
 		now := clock()
--- a/internal/fleet/policy/records.go
+++ b/internal/fleet/policy/records.go
@@ -155,7 +155,7 @@
 		made := next.Result()
 		ops = append(ops, put(currentKey, made, 0), put(numbered(versions, made.Version), made, 0), etcd.Del(numbered(versions, made.Version-kept)))
 	}
-	if next.Phase.Over() {
+	if next.Phase.Done() {
 		ops = append(ops, put(numbered(history, next.Seq), next, 0), etcd.Del(numbered(history, next.Seq-kept)))
 	}
 	r, err := s.Txn(ctx, &pb.TxnRequest{Compare: []*pb.Compare{etcd.At(changeKey, from)}, Success: ops})
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -187,7 +187,7 @@
 			if err != nil || v.Change == nil || v.Change.Note != note {
 				continue
 			}
-			if v.Change.Phase.Over() || (phase != Over && slices.Index(order, v.Change.Phase) >= slices.Index(order, phase)) {
+			if v.Change.Phase.Done() || (phase != Over && slices.Index(order, v.Change.Phase) >= slices.Index(order, phase)) {
 				return true
 			}
 		}
