--- a/internal/chat/handover.go
+++ b/internal/chat/handover.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if class.Samples && h.Samples != nil {
-		rec.Sampled = h.Samples.Epoch()
+		rec.SampleEpoch = h.Samples.Epoch()
 	}
 	entry, err := h.Book.New(rec, given != "")
 	switch {
@@ -235,11 +235,11 @@
 			elsewhere(w)
 			return true
 		}
-		switch seen = true; found.Again(rec.Digest) {
-		case ledger.Other:
+		switch seen = true; found.OnDuplicate(rec.Digest) {
+		case ledger.KeyReused:
 			reused(w)
 			return true
-		case ledger.Same:
+		case ledger.Replay:
 			h.kept(w, found)
 			return true
 		}
@@ -275,7 +275,7 @@
 	case err != nil:
 		h.Log.WithField("key", rec.Key).Error(err)
 		fallthrough
-	case rec.Outcome == ledger.Answered && a.Cut:
+	case rec.Outcome == ledger.Answered && a.BodyOmitted:
 		w.Header().Set(noRetry, "false")
 		fail(w, statusUnknown, "server_error", "answer_not_kept", "the request has run; its answer was too large to be kept")
 	case rec.Outcome == ledger.Answered:
--- a/internal/chat/samples.go
+++ b/internal/chat/samples.go
@@ -38,7 +38,7 @@
 
 // begins has a flight of a class that makes samples counted in hand.
 func (fl *flight) begins() {
-	if fl.epoch = fl.entry.Record().Sampled; fl.h.Samples == nil {
+	if fl.epoch = fl.entry.Record().SampleEpoch; fl.h.Samples == nil {
 		fl.epoch = 0
 	}
 	if fl.epoch != 0 {
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -60,53 +60,53 @@
 
 // Answer is a server's answer, or as much of its head as clients get.
 type Answer struct {
-	Status int    `cbor:"1,keyasint"`
-	Type   string `cbor:"2,keyasint"` // Content-Type
-	Body   []byte `cbor:"3,keyasint,omitempty"`
-	Cut    bool   `cbor:"4,keyasint,omitempty"` // the body was too large to be kept
+	Status      int    `cbor:"1,keyasint"`
+	Type        string `cbor:"2,keyasint"` // Content-Type
+	Body        []byte `cbor:"3,keyasint,omitempty"`
+	BodyOmitted bool   `cbor:"4,keyasint,omitempty"` // the body was too large to be kept
 }
 
 // Request is what a request consists of, for whoever must send it.
 type Request struct {
-	Body    []byte `cbor:"1,keyasint,omitempty"`
-	Cut     bool   `cbor:"2,keyasint,omitempty"` // the body was too large to be kept
-	Type    string `cbor:"3,keyasint,omitempty"`
-	Auth    string `cbor:"4,keyasint,omitempty"`
-	Session string `cbor:"5,keyasint,omitempty"`
-	Key     string `cbor:"6,keyasint,omitempty"` // the Idempotency-Key that the client gave
+	Body        []byte `cbor:"1,keyasint,omitempty"`
+	BodyOmitted bool   `cbor:"2,keyasint,omitempty"` // the body was too large to be kept
+	Type        string `cbor:"3,keyasint,omitempty"`
+	Auth        string `cbor:"4,keyasint,omitempty"`
+	Session     string `cbor:"5,keyasint,omitempty"`
+	Key         string `cbor:"6,keyasint,omitempty"` // the Idempotency-Key that the client gave
 }
 
 // Record is what is written down of one request.
 type Record struct {
-	Key      string  `cbor:"1,keyasint"` // a keyed digest of the client's key; or one drawn for a request without
-	Digest   string  `cbor:"2,keyasint"` // a keyed digest of the body
-	Class    string  `cbor:"3,keyasint"`
-	Version  int64   `cbor:"4,keyasint"` // of the policy that it was taken under
-	Effect   Effect  `cbor:"5,keyasint"`
-	Window   int64   `cbor:"6,keyasint,omitempty"` // Keyed: for how long repeats are dropped, in milliseconds
-	Stream   bool    `cbor:"7,keyasint,omitempty"`
-	Owner    Owner   `cbor:"8,keyasint"`
-	Epoch    int64   `cbor:"9,keyasint"`
-	Step     Step    `cbor:"10,keyasint"`
-	Worker   string  `cbor:"11,keyasint,omitempty"` // that it was sent to last
-	Attempts int     `cbor:"12,keyasint,omitempty"`
-	FirstMs  int64   `cbor:"13,keyasint,omitempty"` // when the first attempt that may have run was about to be sent
-	TakenMs  int64   `cbor:"14,keyasint"`
-	Deadline int64   `cbor:"15,keyasint"` // until then its answer must have begun
-	Outcome  Outcome `cbor:"16,keyasint,omitempty"`
-	EndedMs  int64   `cbor:"17,keyasint,omitempty"`
-	Request  Request `cbor:"18,keyasint"`
-	Answer   Answer  `cbor:"19,keyasint"`
-	Trace    string  `cbor:"20,keyasint,omitempty"` // the trace and the span in which it was taken
-	Sampled  int64   `cbor:"21,keyasint,omitempty"` // the epoch of samples that it began in; 0: its answer is no sample
-	Rev      int64   `cbor:"-"`                     // the store's revision of the record
+	Key         string  `cbor:"1,keyasint"` // a keyed digest of the client's key; or one drawn for a request without
+	Digest      string  `cbor:"2,keyasint"` // a keyed digest of the body
+	Class       string  `cbor:"3,keyasint"`
+	Version     int64   `cbor:"4,keyasint"` // of the policy that it was taken under
+	Effect      Effect  `cbor:"5,keyasint"`
+	Window      int64   `cbor:"6,keyasint,omitempty"` // Keyed: for how long repeats are dropped, in milliseconds
+	Stream      bool    `cbor:"7,keyasint,omitempty"`
+	Owner       Owner   `cbor:"8,keyasint"`
+	Epoch       int64   `cbor:"9,keyasint"`
+	Step        Step    `cbor:"10,keyasint"`
+	Worker      string  `cbor:"11,keyasint,omitempty"` // that it was sent to last
+	Attempts    int     `cbor:"12,keyasint,omitempty"`
+	FirstMs     int64   `cbor:"13,keyasint,omitempty"` // when the first attempt that may have run was about to be sent
+	TakenMs     int64   `cbor:"14,keyasint"`
+	Deadline    int64   `cbor:"15,keyasint"` // until then its answer must have begun
+	Outcome     Outcome `cbor:"16,keyasint,omitempty"`
+	EndedMs     int64   `cbor:"17,keyasint,omitempty"`
+	Request     Request `cbor:"18,keyasint"`
+	Answer      Answer  `cbor:"19,keyasint"`
+	Trace       string  `cbor:"20,keyasint,omitempty"` // the trace and the span in which it was taken
+	SampleEpoch int64   `cbor:"21,keyasint,omitempty"` // the epoch of samples that it began in; 0: its answer is no sample
+	Rev         int64   `cbor:"-"`                     // the store's revision of the record
 }
 
 // ErrNotOwner says that the record is another's by now: nothing more may be done for it.
 var ErrNotOwner = errors.New("the work has been taken over")
 
-// Sending is the record as it must stand before an attempt's first byte goes out.
-func (r Record) Sending(worker string, now int64) Record {
+// MarkSent is the record as it must stand before an attempt's first byte goes out.
+func (r Record) MarkSent(worker string, now int64) Record {
 	r.Step, r.Worker = Sent, worker
 	r.Attempts++
 	if r.FirstMs == 0 {
@@ -117,11 +117,11 @@
 
 // MaySend tells whether one more attempt is within the window in which servers drop repeats, where that matters.
 func (r Record) MaySend(now int64) bool {
-	return r.Effect != Keyed || r.FirstMs == 0 || now < r.FirstMs+r.Window-slack
+	return r.Effect != Keyed || r.FirstMs == 0 || now < r.FirstMs+r.Window-clockMargin
 }
 
-// NeverRan is the record once it is certain that the last attempt did not reach a server.
-func (r Record) NeverRan() Record {
+// MarkNotRun is the record once it is certain that the last attempt did not reach a server.
+func (r Record) MarkNotRun() Record {
 	if r.Attempts == 1 {
 		r.FirstMs = 0
 	}
@@ -142,8 +142,8 @@
 	return r
 }
 
-// Free is the record of an owner that gives it up: whoever comes first takes it.
-func (r Record) Free() Record {
+// Release is the record of an owner that gives it up: whoever comes first takes it.
+func (r Record) Release() Record {
 	r.Owner = Owner{}
 	return r
 }
@@ -151,24 +151,24 @@
 // Orphan tells whether a record's owner is no process that lives.
 func (r Record) Orphan(live []Owner) bool { return r.Step != Ended && !slices.Contains(live, r.Owner) }
 
-// Verdict is what becomes of a record whose owner is lost.
-type Verdict uint8
+// Recovery is what becomes of a record whose owner is lost.
+type Recovery uint8
 
 // The verdicts.
 const (
-	Keep   Verdict = iota // it has its outcome
-	Run                   // it never ran: run it, once
-	Repeat                // it may have run, and may run again
-	Settle                // it may have run and must not run again: its outcome is unknown, for good
-	Drop                  // it never ran, or running it again is harmless, and it can't be run: whoever comes again begins anew
+	Keep   Recovery = iota // it has its outcome
+	Run                    // it never ran: run it, once
+	Repeat                 // it may have run, and may run again
+	Settle                 // it may have run and must not run again: its outcome is unknown, for good
+	Drop                   // it never ran, or running it again is harmless, and it can't be run: whoever comes again begins anew
 )
 
-func (v Verdict) String() string { return [...]string{"keep", "run", "repeat", "settle", "drop"}[v] }
+func (v Recovery) String() string { return [...]string{"keep", "run", "repeat", "settle", "drop"}[v] }
 
-// slack is taken off the window in which servers drop repeats: clocks of two routers differ.
-const slack = 500
+// clockMargin is taken off the window in which servers drop repeats: clocks of two routers differ.
+const clockMargin = 500
 
-// Judge decides what becomes of a record whose owner is lost. attempts is how many the policy allows, 0 for any number.
+// Recovery decides what becomes of a record whose owner is lost. attempts is how many the policy allows, 0 for any number.
 //
 //	how far            safe                       keyed                           unsafe
 //	waiting            run                        run                             run
@@ -177,49 +177,49 @@
 //
 // What can't be run any more (its time is over, its body was not kept, no attempt is left) is dropped where it never
 // ran or may run again, and settled where it may have run and may not.
-func (r Record) Judge(now int64, attempts int) Verdict {
-	can := now < r.Deadline && !r.Request.Cut && (attempts == 0 || r.Attempts < attempts)
+func (r Record) Recovery(now int64, attempts int) Recovery {
+	runnable := now < r.Deadline && !r.Request.BodyOmitted && (attempts == 0 || r.Attempts < attempts)
 	switch {
 	case r.Step == Ended:
 		return Keep
-	case r.Step == Waiting && can:
+	case r.Step == Waiting && runnable:
 		return Run
 	case r.Step == Waiting:
 		return Drop
-	case r.Effect == Safe && can:
+	case r.Effect == Safe && runnable:
 		return Repeat
 	case r.Effect == Safe:
 		return Drop
-	case r.Effect == Keyed && can && r.MaySend(now):
+	case r.Effect == Keyed && runnable && r.MaySend(now):
 		return Repeat
 	}
 	return Settle
 }
 
-// Again is what a client is told that comes with a key that is known.
-type Again uint8
+// DuplicateAction is what a client is told that comes with a key that is known.
+type DuplicateAction uint8
 
 // The answers to a key that is known.
 const (
-	Join  Again = iota // it is running: wait for its outcome
-	Same               // the kept answer, or that its outcome is unknown
-	Other              // the key was used for something else
+	Join      DuplicateAction = iota // it is running: wait for its outcome
+	Replay                           // the kept answer, or that its outcome is unknown
+	KeyReused                        // the key was used for something else
 )
 
-// Again decides what a client is told that comes again with a record's key.
-func (r Record) Again(digest string) Again {
+// OnDuplicate decides what a client is told that comes again with a record's key.
+func (r Record) OnDuplicate(digest string) DuplicateAction {
 	switch {
 	case r.Digest != digest:
-		return Other
+		return KeyReused
 	case r.Step == Ended:
-		return Same
+		return Replay
 	}
 	return Join
 }
 
-// Taker is the router, of those that live, that is to take an orphan over: by rendezvous hashing, so that the
+// Successor is the router, of those that live, that is to take an orphan over: by rendezvous hashing, so that the
 // survivors share what a lost one had in hand, and each knows its part without asking.
-func Taker(key string, live []Owner) (Owner, bool) {
+func Successor(key string, live []Owner) (Owner, bool) {
 	if len(live) == 0 {
 		return Owner{}, false
 	}
@@ -244,10 +244,10 @@
 
 // Account counts what one router has written down, against its limits. It is used by one goroutine at a time.
 type Account struct {
-	limits Limits
-	open   int
-	kept   []batch // ended ones by the time at which they go, ascending
-	count  int
+	limits    Limits
+	open      int
+	batches   []batch // ended ones by the time at which they go, ascending
+	keptCount int
 }
 
 type batch struct {
@@ -263,8 +263,8 @@
 
 // Open takes a place for a request in hand.
 func (a *Account) Open(now int64) error {
-	a.lapse(now)
-	if a.open >= a.limits.Open || a.open+a.count >= a.limits.Open+a.limits.Kept {
+	a.expire(now)
+	if a.open >= a.limits.Open || a.open+a.keptCount >= a.limits.Open+a.limits.Kept {
 		return ErrFull
 	}
 	a.open++
@@ -278,23 +278,23 @@
 		return
 	}
 	until := now + a.limits.Keep.Milliseconds()
-	if last := len(a.kept) - 1; last >= 0 && a.kept[last].until/1000 == until/1000 {
-		a.kept[last].n++
+	if last := len(a.batches) - 1; last >= 0 && a.batches[last].until/1000 == until/1000 {
+		a.batches[last].n++
 	} else {
-		a.kept = append(a.kept, batch{until, 1})
+		a.batches = append(a.batches, batch{until, 1})
 	}
-	a.count++
+	a.keptCount++
 }
 
-func (a *Account) lapse(now int64) {
-	for len(a.kept) > 0 && a.kept[0].until <= now {
-		a.count -= a.kept[0].n
-		a.kept = a.kept[1:]
+func (a *Account) expire(now int64) {
+	for len(a.batches) > 0 && a.batches[0].until <= now {
+		a.keptCount -= a.batches[0].n
+		a.batches = a.batches[1:]
 	}
 }
 
-// InHand is how many requests are open, and how many ended ones are kept.
-func (a *Account) InHand(now int64) (open, kept int) {
-	a.lapse(now)
-	return a.open, a.count
+// Counts is how many requests are open, and how many ended ones are kept.
+func (a *Account) Counts(now int64) (open, kept int) {
+	a.expire(now)
+	return a.open, a.keptCount
 }
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 )
 
 // The table of the design note, cell by cell, and the edges at which a verdict changes.
-func TestJudge(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	const deadline, first, window = 10_000, 1_000, 5_000
 	for _, c := range []struct {
 		step     Step
@@ -21,7 +21,7 @@
 		now      int64
 		attempts int // made so far, of 3
 		cut      bool
-		want     Verdict
+		want     Recovery
 	}{
 		{Waiting, Safe, 2000, 0, false, Run},
 		{Waiting, Keyed, 2000, 0, false, Run},
@@ -33,8 +33,8 @@
 		{Sent, Safe, 2000, 3, false, Drop},
 		{Sent, Safe, 2000, 1, true, Drop},
 		{Sent, Safe, deadline, 1, false, Drop},
-		{Sent, Keyed, first + window - slack - 1, 1, false, Repeat},
-		{Sent, Keyed, first + window - slack, 1, false, Settle},
+		{Sent, Keyed, first + window - clockMargin - 1, 1, false, Repeat},
+		{Sent, Keyed, first + window - clockMargin, 1, false, Settle},
 		{Sent, Keyed, 2000, 3, false, Settle},
 		{Sent, Keyed, 2000, 1, true, Settle},
 		{Sent, Unsafe, 2000, 1, false, Settle},
@@ -45,28 +45,28 @@
 		{Ended, Keyed, 2000, 1, false, Keep},
 		{Ended, Unsafe, deadline, 1, false, Keep},
 	} {
-		r := Record{Step: c.step, Effect: c.effect, Attempts: c.attempts, Deadline: deadline, FirstMs: first, Window: window, Request: Request{Cut: c.cut}}
-		if got := r.Judge(c.now, 3); got != c.want {
+		r := Record{Step: c.step, Effect: c.effect, Attempts: c.attempts, Deadline: deadline, FirstMs: first, Window: window, Request: Request{BodyOmitted: c.cut}}
+		if got := r.Recovery(c.now, 3); got != c.want {
 			t.Errorf("%v, effect %d, at %d, %d attempts, cut %v: %v, want %v", c.step, c.effect, c.now, c.attempts, c.cut, got, c.want)
 		}
 	}
 }
 
 // The survivors share a lost router's records about evenly, and a router that is not lost keeps its part.
-func TestTaker(t *testing.T) {
+func TestSuccessor(t *testing.T) {
 	live := []Owner{{"a", "1"}, {"b", "1"}, {"c", "1"}, {"d", "1"}}
-	if _, any := Taker("x", nil); any {
+	if _, any := Successor("x", nil); any {
 		t.Error("nobody takes it")
 	}
 	count := map[Owner]int{}
 	for i := range 4000 {
 		key := fmt.Sprint("key-", i)
-		all, _ := Taker(key, live)
-		rest, _ := Taker(key, live[:3])
-		if all != live[3] && all != rest {
-			t.Fatalf("%s goes from %v to %v though neither was lost", key, all, rest)
+		beforeLoss, _ := Successor(key, live)
+		afterLoss, _ := Successor(key, live[:3])
+		if beforeLoss != live[3] && beforeLoss != afterLoss {
+			t.Fatalf("%s goes from %v to %v though neither was lost", key, beforeLoss, afterLoss)
 		}
-		count[rest]++
+		count[afterLoss]++
 	}
 	for _, o := range live[:3] {
 		if count[o] < 1000 || count[o] > 1700 {
@@ -92,11 +92,11 @@
 	if err := a.Open(now); err != nil {
 		t.Error(err)
 	}
-	if open, kept := a.InHand(now); open != 1 || kept != 4 {
+	if open, kept := a.Counts(now); open != 1 || kept != 4 {
 		t.Errorf("%d open, %d kept", open, kept)
 	}
 	a.Close(now, false)
-	if open, kept := a.InHand(now + 60_000); open != 0 || kept != 0 {
+	if open, kept := a.Counts(now + 60_000); open != 0 || kept != 0 {
 		t.Errorf("%d open, %d kept", open, kept)
 	}
 }
@@ -105,33 +105,33 @@
 // may be paused between any two of its acts. The rules: a filing runs once at most, and its client gets one final
 // answer at most that is no invitation to come again.
 type world struct {
-	broken  string
-	draw    func(int) int
-	now     int64
-	effect  Effect
-	rec     *Record // in the store
-	rev     int64
-	ran     int
-	final   map[string]bool
-	routers []*process
+	broken       string
+	draw         func(int) int
+	now          int64
+	effect       Effect
+	rec          *Record // in the store
+	rev          int64
+	runs         int
+	finalAnswers map[string]bool
+	routers      []*process
 }
 
 type process struct {
-	me      Owner
-	lease   bool // as the store has it
-	session int  // of the lease: another after it was lost
-	sentIn  int  // the session of the intent
-	boot    int
-	rec     *Record // as it was read or written last
-	mine    bool
-	sending bool // the intent is durable, nothing is written yet
-	checked bool // the lease was looked at just before the write
-	out     bool // the request is at the server
-	answer  bool // the server has answered
+	me          Owner
+	lease       bool // as the store has it
+	session     int  // of the lease: another after it was lost
+	sentSession int  // the session of the intent
+	boot        int
+	rec         *Record // as it was read or written last
+	mine        bool
+	sending     bool // the intent is durable, nothing is written yet
+	checked     bool // the lease was looked at just before the write
+	atServer    bool // the request is at the server
+	answered    bool // the server has answered
 }
 
 func newWorld(broken string, effect Effect, draw func(int) int) *world {
-	w := &world{broken: broken, draw: draw, now: 1, effect: effect, final: map[string]bool{}}
+	w := &world{broken: broken, draw: draw, now: 1, effect: effect, finalAnswers: map[string]bool{}}
 	for _, name := range []string{"a", "b", "c"} {
 		w.routers = append(w.routers, &process{me: Owner{name, "0"}, lease: true})
 	}
@@ -165,10 +165,10 @@
 	p := w.routers[w.draw(len(w.routers))]
 	switch w.draw(9) {
 	case 0: // a client comes
-		if p.mine || !p.lease || w.rec != nil || len(w.final) > 0 {
+		if p.mine || !p.lease || w.rec != nil || len(w.finalAnswers) > 0 {
 			break
 		}
-		if p.rec = nil; !p.sending && !p.out && !p.answer {
+		if p.rec = nil; !p.sending && !p.atServer && !p.answered {
 			r := Record{Key: "k", Digest: "d", Effect: w.effect, Window: 5000, Owner: p.me, Epoch: 1, Deadline: w.now + 20_000, TakenMs: w.now}
 			p.mine = w.cas(p, &r)
 		}
@@ -185,65 +185,65 @@
 			p.session++
 		}
 	case 3: // the intent
-		if p.mine && !p.sending && !p.out && !p.answer && p.rec != nil && p.rec.Step == Waiting {
+		if p.mine && !p.sending && !p.atServer && !p.answered && p.rec != nil && p.rec.Step == Waiting {
 			if w.broken == "late-intent" {
-				p.sending, p.sentIn = true, p.session
+				p.sending, p.sentSession = true, p.session
 				break
 			}
-			next := p.rec.Sending("s", w.now)
+			next := p.rec.MarkSent("s", w.now)
 			if p.sending = w.cas(p, &next); !p.sending {
 				p.mine = false
 			}
-			p.sentIn = p.session
+			p.sentSession = p.session
 		}
 	case 4: // the look before the write
 		if p.sending && !p.checked {
-			if p.checked = (p.lease && p.sentIn == p.session) || w.broken == "no-check"; !p.checked {
+			if p.checked = (p.lease && p.sentSession == p.session) || w.broken == "no-check"; !p.checked {
 				p.sending, p.mine = false, false
 			}
 		}
 	case 5: // the write. The time between look and write is shorter than the lease's margin, but for a pause
 		if p.sending && p.checked {
 			p.sending, p.checked = false, false
-			if (!p.lease || p.sentIn != p.session) && w.broken != "no-check" {
+			if (!p.lease || p.sentSession != p.session) && w.broken != "no-check" {
 				p.mine = false // the stated window between look and write, which the lease's margin covers
 				break
 			}
 			if w.rec == nil || w.rec.Step == Ended || w.rec.Epoch > p.rec.Epoch {
 				return errors.New("sent after it had been taken over or settled")
 			}
-			p.out = true
-			if w.ran++; w.ran > 1 && w.effect == Unsafe {
+			p.atServer = true
+			if w.runs++; w.runs > 1 && w.effect == Unsafe {
 				return errors.New("a filing ran twice")
 			}
 			if w.broken == "late-intent" {
-				next := p.rec.Sending("s", w.now)
+				next := p.rec.MarkSent("s", w.now)
 				if !w.cas(p, &next) {
 					p.mine = false
 				}
 			}
 		}
 	case 6:
-		if p.out {
-			p.out, p.answer = false, true
+		if p.atServer {
+			p.atServer, p.answered = false, true
 		}
 	case 7: // its end is written before its client has it
-		if p.answer && p.mine {
+		if p.answered && p.mine {
 			next := p.rec.End(Answered, Answer{Status: 200}, w.now)
-			p.answer, p.mine = false, false
+			p.answered, p.mine = false, false
 			if w.cas(p, &next) {
-				return w.answers("200")
+				return w.recordFinal("200")
 			}
 		}
 	case 8: // a survivor looks
-		if w.rec == nil || !p.lease || p.mine || p.sending || p.out || p.answer || !w.rec.Orphan(w.live()) {
+		if w.rec == nil || !p.lease || p.mine || p.sending || p.atServer || p.answered || !w.rec.Orphan(w.live()) {
 			break
 		}
 		p.rec = w.rec
-		switch w.rec.Judge(w.now, 3) {
+		switch w.rec.Recovery(w.now, 3) {
 		case Run, Repeat:
 			next := w.rec.Claim(p.me)
-			next = next.NeverRan()
+			next = next.MarkNotRun()
 			if w.rec.Step != Waiting {
 				next.FirstMs, next.Attempts = w.rec.FirstMs, w.rec.Attempts
 			}
@@ -251,7 +251,7 @@
 		case Settle:
 			next := w.rec.Claim(p.me).End(Unknown, Answer{}, w.now)
 			if w.cas(p, &next) {
-				return w.answers("unknown")
+				return w.recordFinal("unknown")
 			}
 		case Drop:
 			w.cas(p, nil)
@@ -260,15 +260,15 @@
 	return nil
 }
 
-func (w *world) answers(what string) error {
-	w.final[what] = true
-	if len(w.final) > 1 {
+func (w *world) recordFinal(what string) error {
+	w.finalAnswers[what] = true
+	if len(w.finalAnswers) > 1 {
 		return errors.New("two different final answers")
 	}
 	return nil
 }
 
-func TestLife(t *testing.T) {
+func TestLifecycle(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		effect := Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
@@ -282,7 +282,7 @@
 }
 
 // Each rule that is broken on purpose is found, and without a break all verdicts come about.
-func TestLifeIsChecked(t *testing.T) {
+func TestLifecycleFindsInjectedFaults(t *testing.T) {
 	const runs, steps = 20000, 120
 	for _, broken := range []string{"", "no-compare", "late-intent", "no-check"} {
 		found, answered, settled := 0, 0, 0
@@ -295,7 +295,7 @@
 					break
 				}
 			}
-			answered, settled = answered+len(w.final), settled+map[bool]int{true: 1}[w.final["unknown"]]
+			answered, settled = answered+len(w.finalAnswers), settled+map[bool]int{true: 1}[w.finalAnswers["unknown"]]
 		}
 		if (broken == "") != (found == 0) {
 			t.Errorf("%q: found in run %d of %d", broken, found, runs)
--- a/internal/fleet/work/entry.go
+++ b/internal/fleet/work/entry.go
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	rec.Owner, rec.Epoch = b.o.Me, 1
-	rec.Request.Body, rec.Request.Cut = squeeze(rec.Request.Body, b.o.Limits.Body)
+	rec.Request.Body, rec.Request.BodyOmitted = squeeze(rec.Request.Body, b.o.Limits.Body)
 	e := &Entry{book: b, session: session, keyed: keyed, rec: rec}
 	b.entries[rec.Key] = e
 	return e, nil
@@ -99,7 +99,7 @@
 	if !e.rec.MaySend(now()) {
 		return ledger.ErrNotOwner
 	}
-	next := e.rec.Sending(worker, now())
+	next := e.rec.MarkSent(worker, now())
 	if e.book.o.Broken == LateIntent {
 		go func() {
 			e.mu.Lock()
@@ -130,7 +130,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.over && e.rec.Attempts > 0 {
-		e.rec = e.rec.NeverRan()
+		e.rec = e.rec.MarkNotRun()
 	}
 }
 
@@ -215,7 +215,7 @@
 	if e.over {
 		return ledger.ErrNotOwner
 	}
-	a.Body, a.Cut = squeeze(a.Body, e.book.o.Limits.Answer)
+	a.Body, a.BodyOmitted = squeeze(a.Body, e.book.o.Limits.Answer)
 	next := from.End(o, a, now())
 	next.Rev = e.rec.Rev
 	data, err := Encode(next)
@@ -257,7 +257,7 @@
 	if e.over || e.rec.Step != ledger.Waiting {
 		return ledger.ErrNotOwner
 	}
-	err := e.write(ctx, e.rec.Free())
+	err := e.write(ctx, e.rec.Release())
 	e.leave(false)
 	return err
 }
--- a/internal/fleet/work/spans.go
+++ b/internal/fleet/work/spans.go
@@ -61,7 +61,7 @@
 // Resumed begins the span of a request that goes on here, in the trace in which it was taken.
 func (s Spans) Resumed(rec ledger.Record) trace.Span { return s.start(parent(rec), "resumed", rec) }
 
-func (s Spans) takeover(rec ledger.Record, v ledger.Verdict) trace.Span {
+func (s Spans) takeover(rec ledger.Record, v ledger.Recovery) trace.Span {
 	span := s.start(parent(rec), "takeover", rec)
 	span.SetAttributes(attribute.String("verdict", fmt.Sprint(v)), attribute.String("from", rec.Owner.Name), attribute.String("step", rec.Step.String()))
 	return span
--- a/internal/fleet/work/taker.go
+++ b/internal/fleet/work/taker.go
@@ -61,7 +61,7 @@
 	if rec.Rev > liveAt && rec.Owner != (ledger.Owner{}) {
 		return false
 	}
-	taker, any := ledger.Taker(rec.Key, live)
+	taker, any := ledger.Successor(rec.Key, live)
 	return any && taker == b.o.Me && rec.Orphan(live)
 }
 
@@ -81,7 +81,7 @@
 	b.mu.Unlock()
 	call, done := context.WithTimeout(ctx, takes)
 	defer done()
-	verdict := rec.Judge(now(), b.o.Attempts())
+	verdict := rec.Recovery(now(), b.o.Attempts())
 	span := b.o.Spans.takeover(rec, verdict)
 	defer span.End()
 	log := b.o.Log.WithField("key", rec.Key).WithField("class", rec.Class).WithField("from", rec.Owner.Name).WithField("step", rec.Step).WithField("verdict", verdict)
--- a/internal/fleet/work/work_test.go
+++ b/internal/fleet/work/work_test.go
@@ -91,7 +91,7 @@
 	}
 	must(t, e.Sending(t.Context(), "s-1"))
 	found, there, err := b.Find(t.Context(), "k")
-	if err != nil || !there || found.Step != ledger.Sent || found.Worker != "s-1" || found.Owner.Name != "a" || found.Again("d") != ledger.Join || found.Again("x") != ledger.Other {
+	if err != nil || !there || found.Step != ledger.Sent || found.Worker != "s-1" || found.Owner.Name != "a" || found.OnDuplicate("d") != ledger.Join || found.OnDuplicate("x") != ledger.KeyReused {
 		t.Fatalf("%+v, %v, %v", found, there, err)
 	}
 	twin := taken(t, b, record("k", ledger.Unsafe))
@@ -105,7 +105,7 @@
 	}
 	found, there, err = b.Find(t.Context(), "k")
 	answer, bad := Kept(found)
-	if err != nil || bad != nil || !there || string(answer.Body) != "the answer" || found.Again("d") != ledger.Same || len(found.Request.Body) > 0 {
+	if err != nil || bad != nil || !there || string(answer.Body) != "the answer" || found.OnDuplicate("d") != ledger.Replay || len(found.Request.Body) > 0 {
 		t.Errorf("%+v, %v, %v, %v", found, there, err, bad)
 	}
 	// One that never ran leaves nothing.
@@ -126,7 +126,7 @@
 	e = taken(t, a, rec)
 	must(t, e.Sending(t.Context(), "s-1"))
 	must(t, e.End(t.Context(), ledger.Answered, ledger.Answer{Status: 200, Body: big}))
-	if found, _, _ := a.Find(t.Context(), "big"); !found.Answer.Cut || !e.Record().Answer.Cut {
+	if found, _, _ := a.Find(t.Context(), "big"); !found.Answer.BodyOmitted || !e.Record().Answer.BodyOmitted {
 		t.Errorf("%+v", found)
 	}
 }
