--- a/internal/decide/rollout/model_test.go
+++ b/internal/decide/rollout/model_test.go
@@ -13,9 +13,9 @@
 	"sumacloft/internal/standin"
 )
 
-// world is a store, a few routers and drivers that each know of it only what they last read, and a clock. It holds
-// no rule of its own but the promise: no request is taken under a version older than one that another was taken
-// under before, nor under one that is not committed.
+// world models a store, three routers and their drivers, and a clock. Routers and drivers know only what they read
+// last. It checks one rule: no request is served under a version older than one already served, nor under one that is
+// not committed.
 type world struct {
 	broken       string
 	draw         func(n int) int
@@ -25,21 +25,21 @@
 	routers      []*router
 	drivers      []*Driver
 	driverSeen   []int
-	newestServed int64 // version that a request was taken under
+	newestServed int64 // newest version that a request was served under
 	serial       int
 }
 
 type router struct {
 	name, boot string
 	seen       int
-	rev        int64 // of its registration
+	rev        int64 // revision of its registration
 	keep       bool
 	mode       Mode
 	version    int64
-	until      time.Duration // of its lease as it counts it
-	ack        *Ack          // on its way
-	renewal    time.Duration // when the one under way was asked for; 0: none
-	answered   bool          // the store has taken it
+	until      time.Duration // end of its lease by its own clock
+	ack        *Ack          // sent but not yet stored
+	renewal    time.Duration // when the pending renewal was sent; 0: none
+	answered   bool          // the store has accepted the renewal
 }
 
 const ttl = 40 * time.Millisecond
@@ -56,7 +56,7 @@
 
 func (w *world) latest() View { return w.views[len(w.views)-1] }
 
-// write makes the next revision.
+// write appends a revision.
 func (w *world) write(change func(*View)) {
 	v := w.latest()
 	v.Routers, v.Acks = maps.Clone(v.Routers), maps.Clone(v.Acks)
@@ -65,7 +65,7 @@
 	w.views = append(w.views, v)
 }
 
-// supports refuses the policies whose text says so to one router.
+// supports refuses policies whose text names this router.
 func (r *router) supports(text string) error {
 	if text == "not "+r.name {
 		return errors.New("no")
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// revisionFrom draws a revision that is not older than one.
+// revisionFrom draws a revision that is not older than a given one.
 func (w *world) revisionFrom(than int) int { return than + w.draw(len(w.views)-than) }
 
 func (w *world) step() error {
@@ -82,12 +82,12 @@
 	switch w.draw(13) {
 	case 0, 1:
 		w.now += time.Duration(1+w.draw(25)) * time.Millisecond
-	case 2: // a lease that is over is ended, some time
+	case 2: // the store ends an expired lease, at any later time
 		v := w.latest()
 		if reg, registered := v.Routers[r.name]; registered && reg.OnLapse == Refuse && w.now-w.renewed[r.name] > ttl {
 			w.write(func(v *View) { delete(v.Routers, r.name) })
 		}
-	case 3: // the process dies and starts again; what it kept tells it no more than that it is another boot
+	case 3: // the process restarts: all that it keeps is the revision it saw
 		if w.draw(4) == 0 {
 			w.serial++
 			*r = router{name: r.name, boot: fmt.Sprint(w.serial), keep: r.keep, seen: r.seen}
@@ -96,7 +96,7 @@
 		w.register(r)
 	case 5, 6:
 		if reg, registered := w.latest().Routers[r.name]; r.seen > 0 && (!registered || reg.Boot != r.boot) {
-			break // its next view shows it; until then its lease rules
+			break // its next view shows that; until then its lease decides
 		}
 		if r.seen > 0 {
 			r.seen = w.revisionFrom(r.seen)
@@ -107,7 +107,7 @@
 			w.write(func(v *View) { v.Acks[r.name] = *r.ack })
 		}
 		r.ack = nil
-	case 8: // a renewal is asked for, reaches the store, is answered; any of it may never happen
+	case 8: // a renewal is sent, stored, and acknowledged; each part may never happen
 		switch {
 		case r.renewal == 0:
 			r.renewal, r.answered = w.now, false
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// move is a compare on the change's record.
+// move is a compare-and-swap on the change's record.
 func (w *world) move(next *Change, from int64) {
 	if c := w.latest().Change; c != nil && c.Rev != from {
 		return
@@ -210,17 +210,17 @@
 		return nil
 	}
 	if current := w.latest().Current.Version; r.version > current {
-		return fmt.Errorf("%s took a request under %d, %d is the last that was committed", r.name, r.version, current)
+		return fmt.Errorf("%s served a request under version %d, the last committed is %d", r.name, r.version, current)
 	}
 	if r.version < w.newestServed {
-		return fmt.Errorf("%s took a request under %d, after one had been taken under %d", r.name, r.version, w.newestServed)
+		return fmt.Errorf("%s served a request under version %d, after one had been served under %d", r.name, r.version, w.newestServed)
 	}
 	w.newestServed = r.version
 	return nil
 }
 
-// The promise against random steps: routers that lapse, restart, hear late and answer late, drivers that act on old
-// views, policies that a router can't carry.
+// The rule holds under random steps: leases expire, routers restart, read and acknowledge late, drivers act on old
+// views, and routers refuse policies.
 func TestVersionOrder(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -233,8 +233,7 @@
 	})
 }
 
-// The same steps find each rule that is broken on purpose; and without a break they commit and abort changes, else
-// they would show nothing.
+// The same steps detect each injected fault. Without a fault they commit and abort enough changes to be meaningful.
 func TestVersionOrderFindsInjectedFaults(t *testing.T) {
 	const runs, steps = 4000, 1500
 	outcomes := map[Phase]int{}
@@ -262,7 +261,7 @@
 		}
 		switch {
 		case broken == "" && found > 0:
-			t.Errorf("seed %d breaks the promise", found)
+			t.Errorf("seed %d breaks the version order", found)
 		case broken != "" && found == 0:
 			t.Errorf("%s: not found in %d runs", broken, runs)
 		default:
@@ -270,12 +269,12 @@
 		}
 	}
 	if outcomes[Committed] < 100 || outcomes[Aborted] < 100 {
-		t.Errorf("hardly anything happened: %v", outcomes)
+		t.Errorf("too few outcomes: %v", outcomes)
 	}
 	t.Logf("outcomes: %v", outcomes)
 }
 
-// A driver's moves, one after the other.
+// The moves of a driver through a change, step by step.
 func TestDriver(t *testing.T) {
 	v := View{Current: &Version{Version: 4}, Routers: map[string]Router{"a": {Boot: "1"}, "b": {Boot: "1"}}, Acks: map[string]Ack{}}
 	c, running := Propose(v, "x", "text", "who", "", "", Limits{StepBackMs: 300, WaitMs: 1000})
@@ -286,18 +285,18 @@
 	set := func(next *Change) { rev++; next.Rev = rev; v.Change = next }
 	set(c)
 	if _, running := Propose(v, "y", "", "", "", "", Limits{}); running == nil {
-		t.Error("a second change beside the first")
+		t.Error("a second change was accepted beside the first")
 	}
 	acknowledge := func(step Step, names ...string) {
 		for _, n := range names {
 			v.Acks[n] = Ack{Boot: "1", Change: "x", Round: v.Change.Round, Step: step}
 		}
 	}
-	d := &Driver{} // no router: last in turn
+	d := &Driver{} // not a router: last in rank
 	expectMove := func(now time.Duration, phase Phase, round int) {
 		t.Helper()
 		next, wake := d.Next(v, now)
-		if next == nil && wake > now { // not its turn yet
+		if next == nil && wake > now { // it is not this driver's turn yet
 			next, _ = d.Next(v, wake)
 		}
 		if next == nil || next.Phase != phase || next.Round != round {
@@ -306,7 +305,7 @@
 		set(next)
 	}
 	if next, wake := d.Next(v, 0); next != nil || wake != time.Second {
-		t.Errorf("nobody has answered: %+v, %v", next, wake)
+		t.Errorf("no router has answered: %+v, %v", next, wake)
 	}
 	acknowledge(Checked, "a", "b")
 	expectMove(10*time.Millisecond, Preparing, 1)
@@ -317,12 +316,12 @@
 	expectMove(400*time.Millisecond, Checking, 2)
 	acknowledge(Checked, "a", "b")
 	expectMove(500*time.Millisecond, Preparing, 2)
-	v.Acks["b"] = Ack{Boot: "0", Change: "x", Round: 2, Step: Prepared} // of a boot before
+	v.Acks["b"] = Ack{Boot: "0", Change: "x", Round: 2, Step: Prepared} // from an earlier boot
 	acknowledge(Prepared, "a")
 	if next, _ := d.Next(v, 600*time.Millisecond); next != nil {
-		t.Errorf("an earlier boot's word counts: %+v", next)
+		t.Errorf("an earlier boot's acknowledgement counts: %+v", next)
 	}
-	delete(v.Routers, "b") // its lease is over
+	delete(v.Routers, "b") // its lease has expired
 	expectMove(700*time.Millisecond, Committed, 2)
 	if result := v.Change.Result(); result.Version != 5 || result.Text != "text" {
 		t.Errorf("%+v", result)
@@ -330,7 +329,7 @@
 	if next, wake := d.Next(v, 9*time.Second); next != nil || wake != 0 {
 		t.Errorf("after the outcome: %+v, %v", next, wake)
 	}
-	// One that nobody answers is aborted, and names the router; one that a router can't carry as well.
+	// A change without answers is aborted and names the router. So is one that a router refuses.
 	c, _ = Propose(v, "z", "text", "", "", "", Limits{StepBackMs: 300, WaitMs: 1000})
 	set(c)
 	d.Next(v, 10*time.Second)
@@ -347,7 +346,7 @@
 	}
 }
 
-// What a router does at a view, and what it says.
+// The mode and the acknowledgement of a router at a view.
 func TestDirective(t *testing.T) {
 	member := Member{"a", "1"}
 	for name, c := range map[string]struct {
@@ -360,13 +359,13 @@
 		"no change":                        {boot: "1", mode: Serving, step: Applied},
 		"not registered":                   {boot: "2", mode: Closed},
 		"checking":                         {change: &Change{Phase: Checking}, boot: "1", mode: Serving, step: Checked},
-		"checking what it can't carry":     {change: &Change{Phase: Checking, Text: "new"}, boot: "1", mode: Serving, step: Refused, unsupported: "new"},
+		"checking an unsupported version":  {change: &Change{Phase: Checking, Text: "new"}, boot: "1", mode: Serving, step: Refused, unsupported: "new"},
 		"preparing":                        {change: &Change{Phase: Preparing}, boot: "1", mode: Holding, step: Prepared},
-		"preparing what it can't carry":    {change: &Change{Phase: Preparing, Text: "new"}, boot: "1", mode: Holding, step: Refused, unsupported: "new"},
+		"preparing an unsupported version": {change: &Change{Phase: Preparing, Text: "new"}, boot: "1", mode: Holding, step: Refused, unsupported: "new"},
 		"committed":                        {change: &Change{Phase: Committed}, boot: "1", mode: Serving, step: Applied},
 		"aborted":                          {change: &Change{Phase: Aborted}, boot: "1", mode: Serving, step: Applied},
-		"can't carry the current version":  {boot: "1", mode: Closed, step: Refused, unsupported: "old"},
-		"nor does it serve while checking": {change: &Change{Phase: Checking}, boot: "1", mode: Closed, step: Checked, unsupported: "old"},
+		"current version unsupported":      {boot: "1", mode: Closed, step: Refused, unsupported: "old"},
+		"the same while checking":          {change: &Change{Phase: Checking}, boot: "1", mode: Closed, step: Checked, unsupported: "old"},
 	} {
 		v := View{Current: &Version{Version: 3, Text: "old"}, Change: c.change, Routers: map[string]Router{"a": {Boot: c.boot}}}
 		s, registered := member.Directive(v, func(text string) error {
@@ -378,10 +377,10 @@
 		if registered != (c.boot == "1") || s.Mode != c.mode || (registered && (s.Ack == nil || s.Ack.Step != c.step)) {
 			t.Errorf("%s: %+v %+v, registered %v", name, s, s.Ack, registered)
 		}
-		if s.Ack != nil { // said once
+		if s.Ack != nil { // acknowledged only once
 			v.Acks = map[string]Ack{"a": *s.Ack}
 			if again, _ := member.Directive(v, func(string) error { return nil }); c.unsupported == "" && again.Ack != nil {
-				t.Errorf("%s: said twice", name)
+				t.Errorf("%s: acknowledged twice", name)
 			}
 		}
 	}
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,11 +1,12 @@
-// Package rollout decides how a change of policy takes hold at every router or at none. It holds what the store keeps
-// of a change and of the routers, what a router may do at a view of that (Member), and when the change moves on
-// (Driver). It does no I/O and knows no clock: the time is an argument, monotonic and of any origin.
+// Package rollout decides how a policy change takes effect at all routers or at none. It defines the stored records of
+// a change and of the routers, what a router does at a view of them (Member), and when the change moves on (Driver).
+// The package does no I/O and reads no clock. The time is an argument, monotonic with any origin.
 //
-// A change is checked by every registered router, then prepared: a router that has prepared takes nothing new under
-// the old version, and holds arrivals. Once all have prepared, the change is committed by a compare on its record;
-// until then anybody may step it back or abort it by the same compare. A router that registers while a change is
-// being prepared holds from the start, so the routers that a view names after the preparing began are all that matter.
+// First every registered router checks the change, then every router prepares. A router that has prepared takes no new
+// requests under the old version and holds arrivals. Once all have prepared, a compare-and-swap on the change's record
+// commits it. Until then any driver may step it back or abort it by the same compare-and-swap. A router that registers
+// while a change is being prepared holds from the start. So the commit depends only on the routers in a view that was
+// read after preparing began.
 package rollout
 
 import (
@@ -17,48 +18,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Phase is how far a change has come.
+// Phase is the phase of a change.
 type Phase string
 
 // The phases of a change.
 const (
-	Checking  Phase = "checking"  // each router looks whether it can carry the new version; the old one is served
-	Preparing Phase = "preparing" // each router ceases to take requests under the old version
-	Committed Phase = "committed" // the new version is the current one, everywhere
-	Aborted   Phase = "aborted"   // it never took hold anywhere
+	Checking  Phase = "checking"  // each router checks whether it supports the new version; the old one is served
+	Preparing Phase = "preparing" // each router stops taking requests under the old version
+	Committed Phase = "committed" // the new version is current at all routers
+	Aborted   Phase = "aborted"   // the new version was never served anywhere
 )
 
-// Done tells whether a change has its outcome.
+// Done reports whether a change is committed or aborted.
 func (p Phase) Done() bool { return p == Committed || p == Aborted }
 
-// Limits bound a change in time, in milliseconds by each driver's own clock.
+// Limits bound the duration of a change, in milliseconds of each driver's own clock.
 type Limits struct {
-	// StepBackMs is how long routers hold arrivals for one that does not prepare, before they go on under the old
-	// version and the change is checked anew.
+	// StepBackMs is how long routers hold arrivals for a router that does not prepare. Then they continue under the old
+	// version, and the change is checked again.
 	StepBackMs int64 `json:"step_back_ms"`
-	// WaitMs is how long the whole change may take. It should be longer than the routers' leases, so that a change
-	// can pass a router that is gone.
+	// WaitMs bounds the duration of the whole change. It should exceed the routers' leases, so that a change can
+	// proceed without a router that has failed.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// Change is the record of the change that runs, or ran last.
+// Change is the record of the running change, or of the last one.
 type Change struct {
 	ID     string `json:"id"`
-	Seq    int64  `json:"seq"` // counts the changes of a store
+	Seq    int64  `json:"seq"` // number of the change in this store
 	Round  int    `json:"round"`
 	Phase  Phase  `json:"phase"`
-	Base   int64  `json:"base"` // the version that it replaces
-	Text   string `json:"text"` // of version Base+1
+	Base   int64  `json:"base"` // version that it replaces
+	Text   string `json:"text"` // text of version Base+1
 	By     string `json:"by"`
 	Note   string `json:"note,omitempty"`
-	At     string `json:"at"`               // by the proposer's clock, for people only
+	At     string `json:"at"`               // by the proposer's clock, for display only
 	Reason string `json:"reason,omitempty"` // why it was aborted
-	Router string `json:"router,omitempty"` // because of which router
+	Router string `json:"router,omitempty"` // the router that caused the abort
 	Limits
 	Rev int64 `json:"-"` // the store's revision of this record
 }
 
-// Version is a policy that was committed.
+// Version is a committed policy.
 type Version struct {
 	Version int64  `json:"version"`
 	Change  string `json:"change"`
@@ -68,56 +69,56 @@
 	At      string `json:"at"`
 }
 
-// The terms on which a router serves while it can't renew its lease.
+// The values of Router.OnLapse: whether a router serves while it can't renew its lease.
 const (
-	Refuse = "refuse" // not at all: a change passes it once its lease is over
-	Keep   = "keep"   // on under the version that it has: a change waits for it
+	Refuse = "refuse" // it stops serving; a change proceeds without it once its lease has expired
+	Keep   = "keep"   // it serves under its current version; a change waits for it
 )
 
-// Router is a router's registration.
+// Router is the registration of a router.
 type Router struct {
 	Name    string `json:"name"`
-	Boot    string `json:"boot"` // drawn anew at each start
-	Home    string `json:"home"` // of the directory that this router holds a lock on; "" for none
+	Boot    string `json:"boot"` // random, different at each start
+	Home    string `json:"home"` // ID of the directory that this router holds a lock on; empty: none
 	OnLapse string `json:"on_lapse"`
 	Listen  string `json:"listen"`
-	Label   string `json:"label,omitempty"` // of the program's version that it runs
+	Label   string `json:"label,omitempty"` // label of the program version that it runs
 	LeaseMs int64  `json:"lease_ms"`
 	Rev     int64  `json:"-"` // the store's revision of the registration
-	Lease   int64  `json:"-"` // the store's lease by which the router shows that it lives, 0 when it is over
+	Lease   int64  `json:"-"` // the store's lease that the router renews; 0: expired
 }
 
-// Step is a router's word on a change.
+// Step is a router's answer to a change.
 type Step string
 
-// The steps of a router.
+// The answers of a router.
 const (
 	Checked  Step = "checked"
-	Prepared Step = "prepared" // nothing more is taken under the old version
-	Refused  Step = "refused"  // it can't carry the new version, or the current one
-	Applied  Step = "taken"    // no change runs: the version is the current one
+	Prepared Step = "prepared" // it takes no more requests under the old version
+	Refused  Step = "refused"  // it does not support the new version, or the current one
+	Applied  Step = "taken"    // no change runs, and it uses the current version
 )
 
-// Ack is a router's last word.
+// Ack is the last acknowledgement of a router.
 type Ack struct {
 	Boot    string `json:"boot"`
 	Change  string `json:"change"`
 	Round   int    `json:"round"`
 	Step    Step   `json:"step"`
-	Version int64  `json:"version"` // that the router served last
+	Version int64  `json:"version"` // version that the router served last
 	Reason  string `json:"reason,omitempty"`
 }
 
-// View is what the store has at one revision.
+// View is the content of the store at one revision.
 type View struct {
 	Revision int64
 	Current  *Version // nil: none was ever written
-	Change   *Change  // the last one; nil: there never was one
+	Change   *Change  // the last one; nil: none yet
 	Routers  map[string]Router
 	Acks     map[string]Ack
 }
 
-// Running is the change that has no outcome yet, or nil.
+// Running returns the change that is neither committed nor aborted, or nil.
 func (v View) Running() *Change {
 	if v.Change == nil || v.Change.Phase.Done() {
 		return nil
@@ -125,13 +126,13 @@
 	return v.Change
 }
 
-// Ack is the last word of a router as it is registered, if it has said one since.
+// Ack returns the last acknowledgement of a router under its current registration, if there is one.
 func (v View) Ack(name string) (Ack, bool) {
 	a, acked := v.Acks[name]
 	return a, acked && a.Boot == v.Routers[name].Boot
 }
 
-// Missing lists the routers, in order, that have not come to a step of the running change's round.
+// Missing returns the routers, sorted by name, that have not reached a step in the round of the running change.
 func (v View) Missing(c *Change, step Step) []string {
 	var out []string
 	for name := range v.Routers {
@@ -144,7 +145,7 @@
 	return out
 }
 
-// refusal is the first router, in order, that can't carry the change.
+// refusal returns the first router by name that refused the change, and its reason.
 func (v View) refusal(c *Change) (name, reason string, refused bool) {
 	for router := range v.Routers {
 		if a, acked := v.Ack(router); acked && a.Change == c.ID && a.Step == Refused && (!refused || router < name) {
@@ -154,32 +155,32 @@
 	return name, reason, refused
 }
 
-// Mode is what a router does with arrivals.
+// Mode is how a router handles arriving requests.
 type Mode uint8
 
 // The modes of a router.
 const (
-	Closed  Mode = iota // refuses them: it has no version that it may serve under
-	Serving             // takes them under a version
-	Holding             // has them wait for the outcome of a change
+	Closed  Mode = iota // refuses them: it has no version that it may serve
+	Serving             // serves them under a version
+	Holding             // holds them until the outcome of a change
 )
 
 func (m Mode) String() string { return [...]string{"closed", "serving", "holding"}[m] }
 
-// Directive is what a router is to do at a view: first the mode, then the word.
+// Directive is what a router must do at a view: first switch to the mode, then write the acknowledgement.
 type Directive struct {
 	Mode    Mode
-	Version *Version // with Serving
-	Ack     *Ack     // to be written; nil: the store has it
-	Reason  string   // with Closed
+	Version *Version // set with Serving
+	Ack     *Ack     // acknowledgement to write; nil: the store has it already
+	Reason  string   // set with Closed
 }
 
-// Member is a router as it registered.
+// Member identifies a router by its registration.
 type Member struct{ Name, Boot string }
 
-// Directive decides by a view what the router does. carries tells whether its own file allows a policy. It must be asked
-// with views that are no older than the registration, and never with one older than the last. Without a
-// registration under its boot a router may not serve, and false is returned.
+// Directive decides what the router must do at a view. supports reports whether the router's own configuration allows a
+// policy. Views must be no older than the registration, and must not go back in revision. Without a registration under
+// its boot the router must not serve, and the result is false.
 func (m Member) Directive(v View, supports func(text string) error) (Directive, bool) {
 	if r, registered := v.Routers[m.Name]; !registered || r.Boot != m.Boot {
 		return Directive{Reason: "not registered"}, false
@@ -208,8 +209,8 @@
 	}
 	ack = Ack{Boot: m.Boot, Change: c.ID, Round: c.Round, Step: Checked, Version: ack.Version}
 	if err := supports(c.Text); err != nil {
-		// The change can't be committed with this word standing, so the old version may go on being served; one that
-		// registered late may be passed by the commit, and must hold all the same.
+		// The change can't be committed while this refusal is recorded, so the old version may still be served. A
+		// router that registered late may be missing from the committer's view, so it must hold nevertheless.
 		ack.Step, ack.Reason = Refused, err.Error()
 	} else if c.Phase == Preparing {
 		ack.Step = Prepared
@@ -220,24 +221,24 @@
 	return s, ack
 }
 
-// stagger is how much later each next driver moves a change that the one before it should have moved.
+// stagger is the delay between drivers: each waits this much longer than the one ranked before it.
 const stagger = 30 * time.Millisecond
 
-// Driver moves the running change on as far as a view allows. Any number of them may watch a store: each move is a
-// compare on the change's record, so one wins. Its zero value is that of a caller who is no router.
+// Driver moves the running change on as far as a view allows. Any number of drivers may watch a store: each move is a
+// compare-and-swap on the change's record, so only one succeeds. The zero value is a driver that is not a router.
 type Driver struct {
-	Router string // a router's name
-
-	changeID    string        // of the change that is watched
-	changeSeen  time.Duration // when it was first seen
-	recordRev   int64         // of its record
-	recordSeen  time.Duration // when that was first seen
-	target      Phase         // what it was found due for
-	targetSince time.Duration // since when
+	Router string // name of this driver's router; empty: none
+
+	changeID    string        // ID of the watched change
+	changeSeen  time.Duration // when the change was first seen
+	recordRev   int64         // revision of its record
+	recordSeen  time.Duration // when that revision was first seen
+	target      Phase         // phase that the change is due for
+	targetSince time.Duration // when it became due
 }
 
-// Next gives the record that should take the place of the view's, or nil; and when to ask again, should no other
-// view come before, or 0.
+// Next returns the record that should replace the view's, or nil. wake is when to call again if no other view arrives,
+// or 0.
 func (d *Driver) Next(v View, now time.Duration) (next *Change, wake time.Duration) {
 	c := v.Running()
 	if c == nil {
@@ -282,19 +283,19 @@
 	if turnAt := d.targetSince + time.Duration(rank(v, c.ID, d.Router))*stagger; now < turnAt {
 		return nil, turnAt
 	}
-	d.targetSince = now + time.Duration(len(v.Routers))*stagger // a move that is lost is tried again
+	d.targetSince = now + time.Duration(len(v.Routers))*stagger // retry if the move gets lost
 	return &updated, d.targetSince
 }
 
-// rank is a router's turn to move a change: by rendezvous hashing, so that it is not the same one for every change.
-// Whoever is no router comes last.
-func rank(v View, id, me string) int {
-	if _, registered := v.Routers[me]; !registered {
+// rank returns a router's position in the order in which drivers move a change. Rendezvous hashing makes the order
+// differ between changes. A driver that is not a router comes last.
+func rank(v View, id, router string) int {
+	if _, registered := v.Routers[router]; !registered {
 		return len(v.Routers)
 	}
-	ahead, own := 0, weight(id, me)
+	ahead, own := 0, weight(id, router)
 	for name := range v.Routers {
-		if cmp.Or(cmp.Compare(weight(id, name), own), cmp.Compare(name, me)) < 0 {
+		if cmp.Or(cmp.Compare(weight(id, name), own), cmp.Compare(name, router)) < 0 {
 			ahead++
 		}
 	}
@@ -303,7 +304,7 @@
 
 func weight(id, name string) uint64 { return xxhash.Sum64String(id + "\x00" + name) }
 
-// Propose makes the record of a new change, or says which one runs.
+// Propose returns the record of a new change, or the change that is running.
 func Propose(v View, id, text, by, note, at string, l Limits) (next *Change, running *Change) {
 	if c := v.Running(); c != nil {
 		return nil, c
@@ -318,7 +319,7 @@
 	return c, nil
 }
 
-// Result is the version that a committed change makes.
+// Result returns the version that results from a committed change.
 func (c Change) Result() Version {
 	return Version{Version: c.Base + 1, Change: c.ID, Text: c.Text, By: c.By, Note: c.Note, At: c.At}
 }
