--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/ledger/ledger_test.go
@@ -12,16 +12,16 @@
 	"sumacloft/internal/standin"
 )
 
-// The table of the design note, cell by cell, and the edges at which a verdict changes.
+// Every cell of the table at Record.Recovery, and the limits at which the result changes.
 func TestRecovery(t *testing.T) {
 	const deadline, first, window = 10_000, 1_000, 5_000
 	for _, c := range []struct {
-		step     Step
-		effect   Effect
-		now      int64
-		attempts int // made so far, of 3
-		cut      bool
-		want     Recovery
+		step        Step
+		effect      Effect
+		now         int64
+		attempts    int // attempts made, of 3
+		bodyOmitted bool
+		want        Recovery
 	}{
 		{Waiting, Safe, 2000, 0, false, Run},
 		{Waiting, Keyed, 2000, 0, false, Run},
@@ -45,18 +45,18 @@
 		{Ended, Keyed, 2000, 1, false, Keep},
 		{Ended, Unsafe, deadline, 1, false, Keep},
 	} {
-		r := Record{Step: c.step, Effect: c.effect, Attempts: c.attempts, Deadline: deadline, FirstMs: first, Window: window, Request: Request{BodyOmitted: c.cut}}
+		r := Record{Step: c.step, Effect: c.effect, Attempts: c.attempts, Deadline: deadline, FirstMs: first, Window: window, Request: Request{BodyOmitted: c.bodyOmitted}}
 		if got := r.Recovery(c.now, 3); got != c.want {
-			t.Errorf("%v, effect %d, at %d, %d attempts, cut %v: %v, want %v", c.step, c.effect, c.now, c.attempts, c.cut, got, c.want)
+			t.Errorf("%v, effect %d, at %d, %d attempts, body omitted %v: %v, want %v", c.step, c.effect, c.now, c.attempts, c.bodyOmitted, got, c.want)
 		}
 	}
 }
 
-// The survivors share a lost router's records about evenly, and a router that is not lost keeps its part.
+// The remaining routers share a lost router's records about evenly. Records of other routers don't move.
 func TestSuccessor(t *testing.T) {
 	live := []Owner{{"a", "1"}, {"b", "1"}, {"c", "1"}, {"d", "1"}}
 	if _, any := Successor("x", nil); any {
-		t.Error("nobody takes it")
+		t.Error("a record was assigned without a live router")
 	}
 	count := map[Owner]int{}
 	for i := range 4000 {
@@ -64,7 +64,7 @@
 		beforeLoss, _ := Successor(key, live)
 		afterLoss, _ := Successor(key, live[:3])
 		if beforeLoss != live[3] && beforeLoss != afterLoss {
-			t.Fatalf("%s goes from %v to %v though neither was lost", key, beforeLoss, afterLoss)
+			t.Fatalf("%s moved from %v to %v though neither was lost", key, beforeLoss, afterLoss)
 		}
 		count[afterLoss]++
 	}
@@ -86,9 +86,9 @@
 		now += 1000
 	}
 	if err := a.Open(now); !errors.Is(err, ErrFull) {
-		t.Errorf("a full ledger took one more: %v", err)
+		t.Errorf("a full ledger accepted another record: %v", err)
 	}
-	now = 11_500 // the first is over
+	now = 11_500 // the first has expired
 	if err := a.Open(now); err != nil {
 		t.Error(err)
 	}
@@ -101,15 +101,15 @@
 	}
 }
 
-// world is a store with one record, routers that know of it what they last read, and a server that counts. Each router
-// may be paused between any two of its acts. The rules: a filing runs once at most, and its client gets one final
-// answer at most that is no invitation to come again.
+// world models a store with one record, three routers that know what they read last, and a server that counts runs. A
+// router may be suspended between any two steps. Two rules are checked: an unsafe request runs at most once, and its
+// client gets at most one final answer (one that does not invite a retry).
 type world struct {
 	broken       string
 	draw         func(int) int
 	now          int64
 	effect       Effect
-	rec          *Record // in the store
+	rec          *Record // as stored
 	rev          int64
 	runs         int
 	finalAnswers map[string]bool
@@ -118,14 +118,14 @@
 
 type process struct {
 	me          Owner
-	lease       bool // as the store has it
-	session     int  // of the lease: another after it was lost
-	sentSession int  // the session of the intent
+	lease       bool // whether its lease is alive in the store
+	session     int  // number of the lease; a lost lease is followed by a new one
+	sentSession int  // lease session in which the send was recorded
 	boot        int
-	rec         *Record // as it was read or written last
-	mine        bool
-	sending     bool // the intent is durable, nothing is written yet
-	checked     bool // the lease was looked at just before the write
+	rec         *Record // record as last read or written
+	owns        bool
+	sending     bool // the send is recorded, nothing is sent yet
+	checked     bool // the lease was checked just before sending
 	atServer    bool // the request is at the server
 	answered    bool // the server has answered
 }
@@ -138,7 +138,7 @@
 	return w
 }
 
-// cas writes a record if it is as it was read.
+// cas replaces the record if it is unchanged since it was read.
 func (w *world) cas(p *process, next *Record) bool {
 	if w.broken != "no-compare" && ((w.rec == nil) != (p.rec == nil) || (w.rec != nil && w.rec.Rev != p.rec.Rev)) {
 		return false
@@ -164,15 +164,15 @@
 	w.now += int64(w.draw(400))
 	p := w.routers[w.draw(len(w.routers))]
 	switch w.draw(9) {
-	case 0: // a client comes
-		if p.mine || !p.lease || w.rec != nil || len(w.finalAnswers) > 0 {
+	case 0: // a client sends a request
+		if p.owns || !p.lease || w.rec != nil || len(w.finalAnswers) > 0 {
 			break
 		}
 		if p.rec = nil; !p.sending && !p.atServer && !p.answered {
 			r := Record{Key: "k", Digest: "d", Effect: w.effect, Window: 5000, Owner: p.me, Epoch: 1, Deadline: w.now + 20_000, TakenMs: w.now}
-			p.mine = w.cas(p, &r)
+			p.owns = w.cas(p, &r)
 		}
-	case 1: // the process dies, or its lease ends while it goes on
+	case 1: // the process restarts, or its lease ends while it continues
 		if w.draw(3) == 0 {
 			p.boot++
 			*p = process{me: Owner{p.me.Name, fmt.Sprint(p.boot)}, boot: p.boot, lease: true}
@@ -180,37 +180,37 @@
 			p.lease = false
 		}
 	case 2:
-		if !p.lease && w.draw(2) == 0 { // it registers again, under the same boot
+		if !p.lease && w.draw(2) == 0 { // it registers again under the same boot
 			p.lease = true
 			p.session++
 		}
-	case 3: // the intent
-		if p.mine && !p.sending && !p.atServer && !p.answered && p.rec != nil && p.rec.Step == Waiting {
+	case 3: // record the send
+		if p.owns && !p.sending && !p.atServer && !p.answered && p.rec != nil && p.rec.Step == Waiting {
 			if w.broken == "late-intent" {
 				p.sending, p.sentSession = true, p.session
 				break
 			}
 			next := p.rec.MarkSent("s", w.now)
 			if p.sending = w.cas(p, &next); !p.sending {
-				p.mine = false
+				p.owns = false
 			}
 			p.sentSession = p.session
 		}
-	case 4: // the look before the write
+	case 4: // check the lease before sending
 		if p.sending && !p.checked {
 			if p.checked = (p.lease && p.sentSession == p.session) || w.broken == "no-check"; !p.checked {
-				p.sending, p.mine = false, false
+				p.sending, p.owns = false, false
 			}
 		}
-	case 5: // the write. The time between look and write is shorter than the lease's margin, but for a pause
+	case 5: // send; unless suspended, the time since the check is shorter than the lease's margin
 		if p.sending && p.checked {
 			p.sending, p.checked = false, false
 			if (!p.lease || p.sentSession != p.session) && w.broken != "no-check" {
-				p.mine = false // the stated window between look and write, which the lease's margin covers
+				p.owns = false // the lease was lost between check and send, which the lease's margin covers
 				break
 			}
 			if w.rec == nil || w.rec.Step == Ended || w.rec.Epoch > p.rec.Epoch {
-				return errors.New("sent after it had been taken over or settled")
+				return errors.New("sent after the record was taken over or settled")
 			}
 			p.atServer = true
 			if w.runs++; w.runs > 1 && w.effect == Unsafe {
@@ -219,7 +219,7 @@
 			if w.broken == "late-intent" {
 				next := p.rec.MarkSent("s", w.now)
 				if !w.cas(p, &next) {
-					p.mine = false
+					p.owns = false
 				}
 			}
 		}
@@ -227,16 +227,16 @@
 		if p.atServer {
 			p.atServer, p.answered = false, true
 		}
-	case 7: // its end is written before its client has it
-		if p.answered && p.mine {
+	case 7: // the outcome is written before the client gets it
+		if p.answered && p.owns {
 			next := p.rec.End(Answered, Answer{Status: 200}, w.now)
-			p.answered, p.mine = false, false
+			p.answered, p.owns = false, false
 			if w.cas(p, &next) {
 				return w.recordFinal("200")
 			}
 		}
-	case 8: // a survivor looks
-		if w.rec == nil || !p.lease || p.mine || p.sending || p.atServer || p.answered || !w.rec.Orphan(w.live()) {
+	case 8: // another router checks for an orphan
+		if w.rec == nil || !p.lease || p.owns || p.sending || p.atServer || p.answered || !w.rec.Orphan(w.live()) {
 			break
 		}
 		p.rec = w.rec
@@ -247,7 +247,7 @@
 			if w.rec.Step != Waiting {
 				next.FirstMs, next.Attempts = w.rec.FirstMs, w.rec.Attempts
 			}
-			p.mine = w.cas(p, &next)
+			p.owns = w.cas(p, &next)
 		case Settle:
 			next := w.rec.Claim(p.me).End(Unknown, Answer{}, w.now)
 			if w.cas(p, &next) {
@@ -260,8 +260,8 @@
 	return nil
 }
 
-func (w *world) recordFinal(what string) error {
-	w.finalAnswers[what] = true
+func (w *world) recordFinal(answer string) error {
+	w.finalAnswers[answer] = true
 	if len(w.finalAnswers) > 1 {
 		return errors.New("two different final answers")
 	}
@@ -281,7 +281,7 @@
 	})
 }
 
-// Each rule that is broken on purpose is found, and without a break all verdicts come about.
+// Each injected fault is detected. Without one, both answered and unknown outcomes occur often enough.
 func TestLifecycleFindsInjectedFaults(t *testing.T) {
 	const runs, steps = 20000, 120
 	for _, broken := range []string{"", "no-compare", "late-intent", "no-check"} {
@@ -301,7 +301,7 @@
 			t.Errorf("%q: found in run %d of %d", broken, found, runs)
 		}
 		if broken == "" && (settled < 100 || answered-settled < 100) {
-			t.Errorf("hardly anything happened: %d answered, %d settled", answered-settled, settled)
+			t.Errorf("too few outcomes: %d answered, %d settled", answered-settled, settled)
 		}
 		t.Logf("%q: found in run %d; %d ended, %d of them unknown", broken, found, answered, settled)
 	}
