--- a/internal/decide/sites/pace.go
+++ b/internal/decide/sites/pace.go
@@ -11,7 +11,7 @@
 	started    bool
 	agreed     float64       // share that the fleet has agreed on
 	since      time.Duration // start of the current growth step
-	proposed   float64       // last proposed share, and its time
+	proposed   float64       // last proposed share, at proposedAt
 	proposedAt time.Duration
 	reduceTo   float64       // share to fall back to until the fleet has agreed on it; 0: none
 	holdUntil  time.Duration // no growth before this time
--- a/internal/decide/sites/solve_test.go
+++ b/internal/decide/sites/solve_test.go
@@ -42,7 +42,7 @@
 func TestLossAtPeakRefusesLowestWorth(t *testing.T) {
 	m := threeSites()
 	s := m.Declared().Without(m, "a")
-	for k, d := range []float64{60, 54} { // 228 per second in all, 152 without the reserve
+	for k, d := range []float64{60, 54} { // 228 per second in all, capacity 152 after the reserve
 		s.Demand[k] = []float64{0, d * 2, d * 2}
 	}
 	p := Solve(m, s)
--- a/internal/decide/sites/verdict_test.go
+++ b/internal/decide/sites/verdict_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// A loss is agreed on about when the settings say. A return waits as long, is paced, and brings filings back last. Each
-// further loss makes the next return wait longer.
+// A loss is agreed on soon after LostAfterMs. A return waits for BackAfterMs, is paced, and brings filings back last.
+// Each further loss makes the next return wait longer.
 func TestLossAndReturn(t *testing.T) {
 	d := newSimulation(6)
 	for range 8 {
@@ -211,8 +211,9 @@
 	d.runUntil(t, "a", Up, allHealthy)
 }
 
-// With any observations and any set of reporting routers: a site that other routers reach is never lost, no loss comes
-// earlier than the settings say, a returning site never exceeds its pace, and equal runs end alike.
+// With any observations and any set of reporting routers: a site that other routers reach is never lost, no loss is
+// declared before LostAfterMs (half of it for a returning site), a returning site never exceeds its pace, and equal
+// runs end alike.
 func TestVerdictModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := func(patterns []int) []Verdict {
--- a/internal/decide/sites/whole.go
+++ b/internal/decide/sites/whole.go
@@ -28,7 +28,7 @@
 		if !bounded {
 			return noRow
 		}
-		if _, made := links[link]; !made {
+		if _, exists := links[link]; !exists {
 			links[link] = prog.addRow(rate)
 		}
 		return links[link]
