--- a/internal/decide/sites/decide.go
+++ b/internal/decide/sites/decide.go
@@ -9,134 +9,137 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Posture is what all routers follow: it stands in the store, and is written by a compare on the one before.
-type Posture struct {
-	Seq     int64              `json:"seq"`
-	Version int64              `json:"version"` // of the policy whose model it was made by
-	By      string             `json:"by"`
-	Sites   map[string]Verdict `json:"sites"`
-	Admit   map[string]Rows    `json:"admit,omitempty"` // by class and by the site of the routers; what is not named is taken whole
-	Parts   map[string]Table   `json:"parts,omitempty"` // by class, by the site of the routers and by that of the servers
-	Bearing map[string]float64 `json:"bearing"`         // by site: how its true capacity compares with the declared one
-	How     string             `json:"how,omitempty"`
-	Rev     int64              `json:"-"`
+// Decision is the shared decision that all routers follow. It is kept in the store and replaced by a compare-and-swap
+// on the previous one.
+type Decision struct {
+	Seq           int64                 `json:"seq"`
+	Version       int64                 `json:"version"` // version of the policy that contains the model
+	By            string                `json:"by"`
+	Sites         map[string]Verdict    `json:"sites"`
+	Admit         map[string]BySite     `json:"admit,omitempty"` // admitted share by class and by the site of the routers; absent: everything
+	Shares        map[string]BySitePair `json:"parts,omitempty"` // share of the traffic by class, by the site of the routers and by the site of the servers
+	CapacityRatio map[string]float64    `json:"bearing"`         // by site: estimated capacity relative to the declared one
+	Method        string                `json:"how,omitempty"`
+	Rev           int64                 `json:"-"`
 }
 
-// Taken is the part of a class that the routers of a site take; without a posture all of it.
-func (p *Posture) Taken(class, site string) float64 {
-	if p != nil {
-		if part, limited := p.Admit[class][site]; limited {
-			return part
+// Admitted returns the share of a class that the routers of a site admit. Without a decision that is everything.
+func (d *Decision) Admitted(class, site string) float64 {
+	if d != nil {
+		if share, limited := d.Admit[class][site]; limited {
+			return share
 		}
 	}
 	return 1
 }
 
-// Rows and Table are figures by site, and by two sites.
+// BySite holds a value per site. BySitePair holds a value per pair of sites.
 type (
-	Rows  map[string]float64
-	Table map[string]Rows
+	BySite     map[string]float64
+	BySitePair map[string]BySite
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a deliberate violation of a rule, used to test that the checkers detect it.
 type Fault string
 
-// The faults.
+// The faults that can be injected.
 const (
-	NoPace   Fault = "no-pace"  // a site that returns is given its whole part at once
-	Reversed Fault = "reversed" // what is worth most is refused first
+	NoPace   Fault = "no-pace"  // a returning site gets its full share immediately
+	Reversed Fault = "reversed" // the classes of the highest worth are refused first
 )
 
-// Decider comes to postures. Each router keeps one and steps it alike; whose turn it is writes.
+// Decider computes decisions. Each router runs one with the same inputs. The router whose turn it is writes the result.
 type Decider struct {
-	Me     string
-	Broken Fault
+	Router string
+	Fault  Fault
 
-	judge Judge
-	heard turn.Stood
-	learned
-	stepped time.Duration
-	settled time.Duration // until then the times of answers are a change's
-	due     turn.Due
-	states  map[string]State
+	detector  Detector
+	freshness turn.Stood
+	estimates
+	estimatedAt time.Duration
+	settleUntil time.Duration // until then, response times reflect a recent change of a verdict
+	due         turn.Due
+	states      map[string]State
 }
 
-// View is what is known at one moment.
+// View is the input of a decision.
 type View struct {
 	Model   Model
 	Version int64
-	Last    *Posture // nil: there was none
+	Last    *Decision // nil: none yet
 	Orders  map[string]Orders
-	Reports []Report // by whatever routers there are
+	Reports []Report // from all routers
 }
 
 const (
-	// freshFor is for how many periods a report is believed.
-	freshFor = 4
-	// step is how much later each next router writes a posture that the one before it should have written.
-	step = 250 * time.Millisecond
-	// rise bounds by how much of a class more is taken with each period while something waits, riseQuiet while nothing
-	// does; less is taken at once, and all as soon as there is room for it.
-	rise, riseQuiet = 0.25, 0.5
-	// settles is how long after a verdict the times of answers are the change's: sites don't count as bearing less by them.
-	settles = 5 * time.Second
-	// full is the part from which a class counts as taken whole.
-	full = 0.995
+	// freshPeriods is the number of report periods for which a report is valid.
+	freshPeriods = 4
+	// turnStep is the delay between turns: each router waits this much longer than the one ranked before it.
+	turnStep = 250 * time.Millisecond
+	// admissionRise bounds the increase of a class's admitted share per period while requests are queued,
+	// admissionRiseIdle while none are. Decreases apply at once, and so do increases when there is neither overload nor
+	// crowding.
+	admissionRise, admissionRiseIdle = 0.25, 0.5
+	// settleFor is the time after a change of a verdict in which late answers don't lower the estimated capacity of a
+	// site. They are caused by the change.
+	settleFor = 5 * time.Second
+	// fullAdmission is the share from which a class counts as fully admitted.
+	fullAdmission = 0.995
 )
 
-// Next gives the posture that should take the place of the last, or nil while that may stand or another router's turn
-// is before ours.
-func (d *Decider) Next(v View, now time.Duration) *Posture {
-	m := v.Model.Filled()
+// Next returns the decision that should replace the last one. It returns nil if the last one is still valid or if it is
+// another router's turn.
+func (d *Decider) Next(v View, now time.Duration) *Decision {
+	m := v.Model.WithDefaults()
 	fresh := d.fresh(v, m, now)
-	var last Posture
+	var last Decision
 	if v.Last != nil {
 		last = *v.Last
 	}
-	next := Posture{Seq: last.Seq + 1, Version: v.Version, By: d.Me}
-	next.Sites = d.judge.Step(m, last.Sites, v.Orders, fresh, now)
-	if d.Broken == NoPace {
-		for name, one := range next.Sites {
-			if one.State == Returning {
-				one.State, one.Ramp = Up, 1
-				next.Sites[name] = one
+	next := Decision{Seq: last.Seq + 1, Version: v.Version, By: d.Router}
+	next.Sites = d.detector.Step(m, last.Sites, v.Orders, fresh, now)
+	if d.Fault == NoPace {
+		for name, verdict := range next.Sites {
+			if verdict.State == Returning {
+				verdict.State, verdict.Ramp = Up, 1
+				next.Sites[name] = verdict
 			}
 		}
 	}
-	d.note(next.Sites, now)
-	d.learn(m, last, fresh, now)
-	next.Bearing = d.bearing
+	d.recordStates(next.Sites, now)
+	d.updateEstimates(m, last, fresh, now)
+	next.CapacityRatio = d.capacityRatio
 	situation := d.situation(m, next.Sites)
-	planned := m
-	planned.Reserve = d.fit(m, situation)
-	next.plan(planned, last, situation, d.rises(), d.Broken)
+	adjusted := m
+	adjusted.Reserve = d.fitCapacity(m, situation)
+	next.fill(adjusted, last, situation, d.maxAdmissionRise(), d.Fault)
 	if v.Last != nil && !differs(last, next) {
 		d.due.Over()
 		return nil
 	}
-	if !d.due.Now(d.rank(fresh), step, now) {
+	if !d.due.Now(d.rank(fresh), turnStep, now) {
 		return nil
 	}
 	return &next
 }
 
-// note remembers since when verdicts are what they are, whoever came to them.
-func (d *Decider) note(verdicts map[string]Verdict, now time.Duration) {
+// recordStates notes when a verdict last changed, whichever router decided it.
+func (d *Decider) recordStates(verdicts map[string]Verdict, now time.Duration) {
 	if d.states == nil {
 		d.states = map[string]State{}
 	}
 	for name, v := range verdicts {
 		if before := d.states[name]; before != "" && before != v.State {
-			d.settled = now + settles
+			d.settleUntil = now + settleFor
 		}
 		d.states[name] = v.State
 	}
 }
 
-// fresh are the reports that were written anew not long ago, by this router's clock.
+// fresh returns the reports that were renewed recently by this router's clock, sorted by router.
 func (d *Decider) fresh(v View, m Model, now time.Duration) (out []Report) {
 	for _, r := range v.Reports {
-		if ms(d.heard.For(r.Router, r.Rev, now)) <= freshFor*m.ReportMs {
+		if ms(d.freshness.For(r.Router, r.Rev, now)) <= freshPeriods*m.ReportMs {
 			out = append(out, r)
 		}
 	}
@@ -144,45 +147,45 @@
 	return out
 }
 
-// rank is a router's turn among those that report.
+// rank returns this router's position in the turn order of the reporting routers.
 func (d *Decider) rank(fresh []Report) int {
 	names := make([]string, len(fresh))
 	for i, r := range fresh {
 		names[i] = r.Router
 	}
-	return turn.Rank("sites", d.Me, names)
+	return turn.Rank("sites", d.Router, names)
 }
 
-func (p Posture) refuses() bool { return len(p.Admit) > 0 }
+func (d Decision) limitsAdmission() bool { return len(d.Admit) > 0 }
 
-// rises is by how much of a class more is taken at once.
-func (d *Decider) rises() float64 {
+// maxAdmissionRise returns the largest increase of an admitted share in one decision.
+func (d *Decider) maxAdmissionRise() float64 {
 	switch {
-	case !d.tight && !d.crowded:
+	case !d.overloaded && !d.crowded:
 		return 1
-	case d.quiet:
-		return riseQuiet
+	case d.idle:
+		return admissionRiseIdle
 	}
-	return rise
+	return admissionRise
 }
 
-// situation is what is to be planned for: the sites as judged, and what is asked now.
+// situation returns the input of the plan: the sites by their verdicts, and the current demand.
 func (d *Decider) situation(m Model, verdicts map[string]Verdict) Situation {
-	s := Situation{Cut: make([]bool, len(m.Sites))}
+	s := Situation{CutOff: make([]bool, len(m.Sites))}
 	for i, site := range m.Sites {
 		v := verdicts[site.Name]
 		factor := v.Ramp
 		switch {
 		case v.Kind == CutOff && v.State != Up:
-			factor, s.Cut[i] = 1, true // its own routers go on
+			factor, s.CutOff[i] = 1, true // its own routers continue to use it
 		case v.State == Lost:
 			factor = 0
 		}
-		lates := 1.0
+		lastShare := 1.0
 		if v.State == Returning {
-			lates = late(v.Ramp)
+			lastShare = lastShareFor(v.Ramp)
 		}
-		s.Factor, s.Late = append(s.Factor, factor*(1-v.Gone)*cmp.Or(d.bearing[site.Name], 1)), append(s.Late, lates)
+		s.Factor, s.LastShare = append(s.Factor, factor*(1-v.MissingShare)*cmp.Or(d.capacityRatio[site.Name], 1)), append(s.LastShare, lastShare)
 	}
 	for _, c := range m.Classes {
 		var row []float64
@@ -194,67 +197,68 @@
 	return s
 }
 
-// plan fills in where work goes and how much is taken.
-func (p *Posture) plan(m Model, last Posture, s Situation, rise float64, broken Fault) {
-	if broken == Reversed {
+// fill sets the traffic shares, and the admitted shares where they are below 1.
+func (d *Decision) fill(m Model, last Decision, s Situation, maxRise float64, fault Fault) {
+	if fault == Reversed {
 		m.Classes = slices.Clone(m.Classes)
 		for k := range m.Classes {
 			m.Classes[k].Worth, m.Classes[k].Floor = 1/cmp.Or(m.Classes[k].Worth, 1), 0
 		}
 	}
-	calm := true
-	for _, v := range p.Sites {
-		calm = calm && v.State == Up && v.Kind != CutOff && v.Gone == 0
+	steady := true
+	for _, v := range d.Sites {
+		steady = steady && v.State == Up && v.Kind != CutOff && v.MissingShare == 0
 	}
 	plan := Solve(m, s)
-	p.How = plan.How
+	d.Method = plan.Method
 	for k, c := range m.Classes {
 		for from, site := range m.Sites {
 			admit := plan.Admit(k, from)
-			admit = min(admit, last.Taken(c.Name, site.Name)+rise)
-			if admit >= full {
+			admit = min(admit, last.Admitted(c.Name, site.Name)+maxRise)
+			if admit >= fullAdmission {
 				continue
 			}
-			if p.Admit == nil {
-				p.Admit = map[string]Rows{}
+			if d.Admit == nil {
+				d.Admit = map[string]BySite{}
 			}
-			if p.Admit[c.Name] == nil {
-				p.Admit[c.Name] = Rows{}
+			if d.Admit[c.Name] == nil {
+				d.Admit[c.Name] = BySite{}
 			}
-			p.Admit[c.Name][site.Name] = round(admit)
+			d.Admit[c.Name][site.Name] = round(admit)
 		}
 	}
-	if calm && len(p.Admit) == 0 {
-		return // the module's own ways, as without a plan
+	if steady && len(d.Admit) == 0 {
+		return // normal operation: without shares the routers choose servers as if there were no plan
 	}
-	p.Parts = map[string]Table{}
+	d.Shares = map[string]BySitePair{}
 	for k, c := range m.Classes {
-		p.Parts[c.Name] = Table{}
+		d.Shares[c.Name] = BySitePair{}
 		for from, site := range m.Sites {
-			row := Rows{}
-			parts := plan.Parts(k, from)
-			if slices.Max(parts) == 0 { // nothing is asked there just now, or nothing is taken: what comes goes where there is room
-				parts = s.idle(m, k, from)
+			row := BySite{}
+			shares := plan.Shares(k, from)
+			if slices.Max(shares) == 0 { // no demand or nothing admitted there: new requests go to any site with capacity
+				shares = s.defaultShares(m, k, from)
 			}
-			for to, other := range m.Sites {
-				row[other.Name] = round(parts[to])
+			for to, destination := range m.Sites {
+				row[destination.Name] = round(shares[to])
 			}
-			p.Parts[c.Name][site.Name] = row
+			d.Shares[c.Name][site.Name] = row
 		}
 	}
 }
 
-// idle are the parts for a class that is not asked at a site: its own servers, or all that there are.
-func (s Situation) idle(m Model, k, from int) []float64 {
-	t := newTask(m, s)
+// defaultShares returns the traffic shares of a class without demand at a site: all to its own servers, or to all
+// allowed sites by capacity.
+func (s Situation) defaultShares(m Model, k, from int) []float64 {
+	t := newTransport(m, s)
 	out := make([]float64, len(m.Sites))
-	if t.way(k, from, from) {
+	if t.allows(k, from, from) {
 		out[from] = 1
 		return out
 	}
 	for to := range out {
-		if t.way(k, from, to) {
-			out[to] = t.room[to]
+		if t.allows(k, from, to) {
+			out[to] = t.capacity[to]
 		}
 	}
 	if sum := total(out); sum > 0 {
@@ -267,28 +271,29 @@
 
 func round(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// matters is by how much a figure must differ before a posture is written for it alone.
-const matters = 0.02
+// minChange is the smallest change of a value that justifies a new decision.
+const minChange = 0.02
 
-// differs tells whether a posture says something new.
-func differs(a, b Posture) bool {
-	if a.Version != b.Version || len(a.Sites) != len(b.Sites) || len(a.Parts) != len(b.Parts) || len(a.Admit) != len(b.Admit) {
+// differs reports whether decision b differs from a enough to be written.
+func differs(a, b Decision) bool {
+	if a.Version != b.Version || len(a.Sites) != len(b.Sites) || len(a.Shares) != len(b.Shares) || len(a.Admit) != len(b.Admit) {
 		return true
 	}
 	for name, v := range b.Sites {
 		w := a.Sites[name]
-		if v.State != w.State || v.Kind != w.Kind || v.Losses != w.Losses || math.Abs(v.Ramp-w.Ramp) > matters || (v.Ramp == 1) != (w.Ramp == 1) || math.Abs(v.Gone-w.Gone) > matters {
+		if v.State != w.State || v.Kind != w.Kind || v.Losses != w.Losses || math.Abs(v.Ramp-w.Ramp) > minChange ||
+			(v.Ramp == 1) != (w.Ramp == 1) || math.Abs(v.MissingShare-w.MissingShare) > minChange {
 			return true
 		}
 	}
 	for class, rows := range b.Admit {
-		if differ(a.Admit[class], rows, 1) {
+		if sharesDiffer(a.Admit[class], rows, 1) {
 			return true
 		}
 	}
-	for class, table := range b.Parts {
+	for class, table := range b.Shares {
 		for from, rows := range table {
-			if differ(a.Parts[class][from], rows, 0) {
+			if sharesDiffer(a.Shares[class][from], rows, 0) {
 				return true
 			}
 		}
@@ -296,14 +301,14 @@
 	return false
 }
 
-func differ(a, b Rows, absent float64) bool {
-	for _, pair := range [][2]Rows{{a, b}, {b, a}} {
+func sharesDiffer(a, b BySite, absent float64) bool {
+	for _, pair := range [][2]BySite{{a, b}, {b, a}} {
 		for name, v := range pair[0] {
-			w, there := pair[1][name]
-			if !there {
+			w, present := pair[1][name]
+			if !present {
 				w = absent
 			}
-			if math.Abs(v-w) > matters || (v == 0) != (w == 0) {
+			if math.Abs(v-w) > minChange || (v == 0) != (w == 0) {
 				return true
 			}
 		}
--- a/internal/decide/sites/pace.go
+++ b/internal/decide/sites/pace.go
@@ -5,67 +5,68 @@
 	"time"
 )
 
-// Pace brings a site back: all routers together give it no more than cold servers bear, a little more with each step,
-// and less again where its answers come late or not at all.
-type Pace struct {
-	begun  bool
-	ramp   float64       // as it stands with the fleet
-	at     time.Duration // since when
-	said   float64       // what this gave last, and when
-	saidAt time.Duration
-	cut    float64       // to what it is to be cut back, until the fleet has that; 0: it is not
-	rest   time.Duration // no step up until then
+// Ramp controls the load of a returning site. All routers together give it no more than its cold servers can carry. The
+// share grows with each step, and is reduced when its answers are late or missing.
+type Ramp struct {
+	started    bool
+	agreed     float64       // share that the fleet has agreed on
+	since      time.Duration // start of the current growth step
+	proposed   float64       // last proposed share, at proposedAt
+	proposedAt time.Duration
+	reduceTo   float64       // share to fall back to until the fleet has agreed on it; 0: none
+	holdUntil  time.Duration // no growth before this time
 }
 
-// The terms of a return.
+// Limits of a return.
 const (
-	// trouble is the part of a site's requests that fail or come late from which it is given less; of fewer than
-	// least of them nothing is made.
-	trouble, least = 0.2, 10
-	// back is what is left of its part then, and restFor of its warm-up is how long it stays there.
-	back, restFor = 0.6, 0.2
+	// A site's share is reduced when more than maxFailureShare of its requests fail or are late. Fewer than minRequests
+	// requests are no evidence.
+	maxFailureShare, minRequests = 0.2, 10
+	// reduceFactor is the remaining part of the share after a reduction. The share then stays unchanged for holdShare
+	// of the warm-up time.
+	reduceFactor, holdShare = 0.6, 0.2
 )
 
-// Start is the part that a site is given at first.
-func (p *Pace) Start(m Model) float64 { return m.Filled().ColdShare }
+// Initial returns the share that a returning site gets first.
+func (r *Ramp) Initial(m Model) float64 { return m.WithDefaults().ColdShare }
 
-// Next is the part that a site should be given from now on, and why; ramp is what it is given as far as the fleet has
-// agreed.
-func (p *Pace) Next(m Model, ramp float64, seen Seen, o Orders, now time.Duration) (float64, string) {
-	m = m.Filled()
-	if !p.begun || ramp != p.ramp {
-		from := now
-		if p.begun && ramp == p.said { // as we said: it holds since then
-			from = p.saidAt
+// Next returns the share that a site should get from now on, and the reason. ramp is the share that the fleet has
+// agreed on.
+func (r *Ramp) Next(m Model, ramp float64, seen Observation, o Orders, now time.Duration) (float64, string) {
+	m = m.WithDefaults()
+	if !r.started || ramp != r.agreed {
+		since := now
+		if r.started && ramp == r.proposed { // this router proposed it, so it holds since the proposal
+			since = r.proposedAt
 		}
-		p.begun, p.ramp, p.at, p.cut = true, ramp, from, 0
+		r.started, r.agreed, r.since, r.reduceTo = true, ramp, since, 0
 	}
-	n := seen.InTime + seen.Late
-	troubled := n >= least && float64(seen.Late) > trouble*float64(n)
-	if troubled && now >= p.rest {
-		p.cut = max(ramp*back, m.ColdShare/4)
-		p.rest = now + time.Duration(restFor*m.WarmMs)*time.Millisecond
+	requests := seen.InTime + seen.Late
+	failing := requests >= minRequests && float64(seen.Late) > maxFailureShare*float64(requests)
+	if failing && now >= r.holdUntil {
+		r.reduceTo = max(ramp*reduceFactor, m.ColdShare/4)
+		r.holdUntil = now + time.Duration(holdShare*m.WarmMs)*time.Millisecond
 	}
-	why := fmt.Sprintf("it returns: %.0f%% of its part", 100*ramp)
+	reason := fmt.Sprintf("it returns: %.0f%% of its part", 100*ramp)
 	switch {
-	case p.cut > 0:
-		ramp, why = p.cut, fmt.Sprintf("%d of %d requests there failed or were late: it is given less", seen.Late, n)
-	case now < p.rest:
-		p.at = now
+	case r.reduceTo > 0:
+		ramp, reason = r.reduceTo, fmt.Sprintf("%d of %d requests there failed or were late: it is given less", seen.Late, requests)
+	case now < r.holdUntil:
+		r.since = now
 	case o.Hold:
-		p.at, why = now, "an operator holds it where it is"
+		r.since, reason = now, "an operator holds it where it is"
 	default:
-		ramp += (1 - m.ColdShare) * ms(now-p.at) / m.WarmMs
+		ramp += (1 - m.ColdShare) * ms(now-r.since) / m.WarmMs
 	}
 	if o.Pace > 0 && ramp > o.Pace {
-		ramp, why = o.Pace, "an operator paces it"
+		ramp, reason = o.Pace, "an operator paces it"
 	}
-	p.said, p.saidAt = min(ramp, 1), now
-	return p.said, why
+	r.proposed, r.proposedAt = min(ramp, 1), now
+	return r.proposed, reason
 }
 
-// lateFrom is the part of a site's return from which classes that return last are given work there.
-const lateFrom = 0.5
+// lastFrom is the share of a site's return from which classes with Last get capacity there.
+const lastFrom = 0.5
 
-// late is the part of a returning site's room that those classes may have.
-func late(ramp float64) float64 { return min(max((ramp-lateFrom)/(1-lateFrom), 0), 1) }
+// lastShareFor returns the share of a returning site's capacity that classes with Last may use.
+func lastShareFor(ramp float64) float64 { return min(max((ramp-lastFrom)/(1-lastFrom), 0), 1) }
--- a/internal/decide/sites/program.go
+++ b/internal/decide/sites/program.go
@@ -7,50 +7,51 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// program is a linear program in the making: it maximises under rows that are bounded from above, all from 0 on.
+// program is a linear program under construction. It maximises the objective subject to upper bounds on the rows. All
+// variables are at least 0.
 type program struct {
-	gain  []float64
-	rows  []map[int]float64
-	bound []float64
-	rooms []int // by site: its row, and that of what returns last; none
-	lates []int
+	objective    []float64
+	rows         []map[int]float64
+	bounds       []float64
+	capacityRows []int // by site: the row of its capacity, or noRow
+	lastRows     []int
 }
 
-// none stands for a row that there is not.
-const none = -1
+// noRow marks a row that does not exist.
+const noRow = -1
 
-func (p *program) variable(gain float64) int {
-	p.gain = append(p.gain, gain)
-	return len(p.gain) - 1
+func (p *program) addVariable(coefficient float64) int {
+	p.objective = append(p.objective, coefficient)
+	return len(p.objective) - 1
 }
 
-func (p *program) row(bound float64) int {
-	p.rows, p.bound = append(p.rows, map[int]float64{}), append(p.bound, bound)
+func (p *program) addRow(bound float64) int {
+	p.rows, p.bounds = append(p.rows, map[int]float64{}), append(p.bounds, bound)
 	return len(p.rows) - 1
 }
 
-// errLarge says that a program is too large to be solved in time.
-var errLarge = fmt.Errorf("the program is too large")
+// errTooLarge is returned for a program that can't be solved in time.
+var errTooLarge = fmt.Errorf("linear program has too many rows")
 
-// tolerance of the solver, against values that are scaled to about 1.
-const tolerance = 1e-9
+// simplexTolerance applies to values that are scaled to about 1.
+const simplexTolerance = 1e-9
 
-// solve has gonum's simplex solve it, from the corner at which nothing is served.
+// solve runs gonum's simplex, starting from the vertex at which nothing is served.
 func (p *program) solve() (x []float64, err error) {
-	defer func() { // a program at the edge of what its numbers can tell makes the library panic
+	defer func() { // the library panics on numerically degenerate programs
 		if r := recover(); r != nil {
 			err = fmt.Errorf("simplex: %v", r)
 		}
 	}()
-	n, m := len(p.gain), len(p.rows)
+	n, m := len(p.objective), len(p.rows)
 	if n == 0 || m == 0 {
 		return make([]float64, n), nil
 	}
-	if m > 2*exact {
-		return nil, errLarge
+	if m > 2*maxExactRows {
+		return nil, errTooLarge
 	}
 	scale := 0.0
-	for _, b := range p.bound {
+	for _, b := range p.bounds {
 		scale = max(scale, b)
 	}
 	if scale == 0 {
@@ -62,12 +63,12 @@
 			a.Set(i, j, v)
 		}
 		a.Set(i, n+i, 1)
-		b[i], basis[i] = p.bound[i]/scale, n+i
+		b[i], basis[i] = p.bounds[i]/scale, n+i
 	}
-	for j, g := range p.gain {
+	for j, g := range p.objective {
 		c[j] = -g
 	}
-	_, out, err := lp.Simplex(c, &counted{Matrix: a, left: 4*m*(n+m) + m*turns*(n+m)}, b, tolerance, basis)
+	_, out, err := lp.Simplex(c, &limitedMatrix{Matrix: a, readsLeft: 4*m*(n+m) + m*stepsPerVariable*(n+m)}, b, simplexTolerance, basis)
 	if err != nil {
 		return nil, fmt.Errorf("simplex: %w", err)
 	}
@@ -77,20 +78,21 @@
 	return out[:n], nil
 }
 
-// turns is how many steps for each variable and row the simplex may take: it needs about one, and where rounding has it
-// go in a circle it would never end.
-const turns = 10
+// stepsPerVariable bounds the simplex steps per variable and row. It needs about one step for each. Rounding errors can
+// make it cycle, and without a bound it would never end.
+const stepsPerVariable = 10
 
-// counted is a matrix that may be looked at so many times.
-type counted struct {
+// limitedMatrix is a matrix that allows a limited number of reads.
+type limitedMatrix struct {
 	mat.Matrix
-	left int
+	readsLeft int
 }
 
-// At serves mat.Matrix. The simplex reads a column in each step; it has no limit of its own.
-func (c *counted) At(i, j int) float64 {
-	if c.left--; c.left < 0 {
-		panic("it goes in a circle")
+// At implements mat.Matrix. The simplex reads a column in each step and has no step limit of its own, so limiting the
+// reads limits the steps.
+func (m *limitedMatrix) At(i, j int) float64 {
+	if m.readsLeft--; m.readsLeft < 0 {
+		panic("step limit exceeded, probably cycling")
 	}
-	return c.Matrix.At(i, j)
+	return m.Matrix.At(i, j)
 }
