--- a/brain/api.go
+++ b/brain/api.go
@@ -92,9 +92,9 @@
 	// RereadWeight is what reading a shared beginning once more counts, besides the time that it takes, in that time.
 	RereadWeight float64
 
-	// WholeTokens is the length from which prompts are read apart: a shorter one is read by its writer, which takes less
+	// MinPrefillTokens is the length from which prompts are read apart: a shorter one is read by its writer, which takes less
 	// than a separate read and a move would; 0: all are read apart.
-	WholeTokens float64
+	MinPrefillTokens float64
 
 	// Admitted is, by class, the part of the requests that the fleet has room for: those of the least rank; the others
 	// are turned away as they arrive. A class past its end is taken whole.
@@ -115,73 +115,73 @@
 	MemoryShare float64 // of its memory, held
 	WaitTokens  float64 // prompt tokens that wait to be read or fetched
 	Queue       float64 // requests that wait
-	Hearsay     bool    // others' word, which may lack what they do not know of
+	FromPeers   bool    // others' word, which may lack what they do not know of
 }
 
 // Handle takes one event at the time now and appends the actions that answer it.
 func (s *Scheduler) Handle(now time.Duration, event Event, out []Action) []Action {
-	s.now, s.out = now, out
+	s.now, s.actions = now, out
 	switch ev := event.(type) {
 	case Listed:
-		s.listed(ev)
+		s.onListed(ev)
 	case Arrived:
-		s.arrive(ev)
+		s.onArrived(ev)
 	case Ended:
-		s.ended(ev)
+		s.onEnded(ev)
 	case Started:
-		s.start(ev)
-	case Gone:
-		s.gone(ev)
+		s.onStarted(ev)
+	case ClientGone:
+		s.onClientGone(ev)
 	case TimerFired:
-		s.timer(ev)
+		s.onTimer(ev)
 	case Probed:
-		s.probed(ev)
+		s.onProbed(ev)
 	case Reported:
 		if e := s.engines[ev.Engine]; e != nil {
-			s.heard(e, ev.Load)
+			s.recordLoad(e, ev.Load)
 		}
 	}
-	return s.out
+	return s.actions
 }
 
 // Home is the engine that requests with a beginning go to first where engines are alike; 0: there are none.
 func Home(prefix uint64, engines []EngineID) (home EngineID) {
-	most := 0.0
+	best := 0.0
 	for _, id := range engines {
-		if u := unit(prefix, uint64(id)); u > most {
-			home, most = id, u
+		if u := unit(prefix, uint64(id)); u > best {
+			home, best = id, u
 		}
 	}
 	return home
 }
 
-// Out is how many attempts are out at an engine, answers that have begun among them.
-func (s *Scheduler) Out(id EngineID) int {
+// OpenAttempts is how many attempts are out at an engine, answers that have begun among them.
+func (s *Scheduler) OpenAttempts(id EngineID) int {
 	if e := s.engines[id]; e != nil {
-		return len(e.out) + len(e.streams)
+		return len(e.pending) + len(e.streams)
 	}
 	return 0
 }
 
 // Candidates are the engines that a request's prompt would first be considered for, most of them at most; none where its
 // writer is to read it.
-func (s *Scheduler) Candidates(ev Arrived, most int) []EngineID {
-	if ev.PromptTokens < s.set.WholeTokens {
+func (s *Scheduler) Candidates(ev Arrived, limit int) []EngineID {
+	if ev.PromptTokens < s.set.MinPrefillTokens {
 		return nil
 	}
 	var ids []EngineID
 	for _, e := range s.readersInOrder(&request{Arrived: ev, class: &Class{}}) {
-		if len(ids) < most && e.role == Reader {
+		if len(ids) < limit && e.role == Reader {
 			ids = append(ids, e.ID)
 		}
 	}
 	return ids
 }
 
-// Waiting is how many prompt tokens of attempts that are out at an engine are thought to be unread.
-func (s *Scheduler) Waiting(id EngineID) (tokens float64) {
+// PendingTokens is how many prompt tokens of attempts that are out at an engine are thought to be unread.
+func (s *Scheduler) PendingTokens(id EngineID) (tokens float64) {
 	if e := s.engines[id]; e != nil {
-		for _, r := range e.out {
+		for _, r := range e.pending {
 			tokens += r.work
 		}
 	}
@@ -197,10 +197,10 @@
 
 // The kinds of Listed events.
 const (
-	ListFailed ListKind = iota // asking for the list failed; the old one stands
-	ListWhole                  // every engine; those absent are gone
-	ListCached                 // as ListWhole, but possibly stale
-	ListDelta                  // changed engines only
+	ListFailed   ListKind = iota // asking for the list failed; the old one stands
+	ListComplete                 // every engine; those absent are gone
+	ListCached                   // as ListWhole, but possibly stale
+	ListDelta                    // changed engines only
 )
 
 // Availability is the list's word on an engine.
@@ -221,9 +221,9 @@
 	Availability Availability
 	Weight       float64
 	StartedAt    time.Duration // 0: long ago
-	// Parts scale, by class, the engine's share of the keys; with 0 nothing of the class goes there. The fleet's plan
+	// ClassWeights scale, by class, the engine's share of the keys; with 0 nothing of the class goes there. The fleet's plan
 	// sets them; a class past their end is whole.
-	Parts []float64
+	ClassWeights []float64
 }
 
 // Listed brings news from discovery.
@@ -234,25 +234,25 @@
 
 // Arrived is a request that the router has taken on: one final answer is owed.
 type Arrived struct {
-	Request      RequestID
-	Class        int
-	Session      uint64 // 0: none
-	Prefix       uint64 // beginning shared with other sessions; 0: none
-	PromptTokens float64
-	PrefixTokens float64
-	MaxTokens    float64
-	HintTokens   float64       // rough length of the answer; 0: not known
-	Left         time.Duration // until the client gives up on this try
-	Tried        int           // attempts that were made for it elsewhere; they count with ours
-	Rank         float64       // its place, from 0 to 1, in the order in which Settings.Admitted takes its class
-	Homes        []EngineID    // that are thought to keep the beginning besides; a wrong one costs a read
-	Resumed      bool          // the client asks for the rest of an answer that broke: its start was in time long ago
+	Request       RequestID
+	Class         int
+	Session       uint64 // 0: none
+	Prefix        uint64 // beginning shared with other sessions; 0: none
+	PromptTokens  float64
+	PrefixTokens  float64
+	MaxTokens     float64
+	HintTokens    float64       // rough length of the answer; 0: not known
+	Timeout       time.Duration // until the client gives up on this try
+	PriorAttempts int           // attempts that were made for it elsewhere; they count with ours
+	Rank          float64       // its place, from 0 to 1, in the order in which Settings.Admitted takes its class
+	Homes         []EngineID    // that are thought to keep the beginning besides; a wrong one costs a read
+	Resumed       bool          // the client asks for the rest of an answer that broke: its start was in time long ago
 }
 
 // Result is how an attempt ended.
 type Result uint8
 
-// The results of an attempt. Only Full, ConnectFailed, Moot, Read and Rejected prove that nothing ran.
+// The results of an attempt. Only Full, ConnectFailed, NotSent, Read and Rejected prove that nothing ran.
 const (
 	Served Result = iota
 	Read          // the prompt is read, its state waits at the reader
@@ -262,22 +262,22 @@
 	ConnectFailed
 	Broke
 	Cancelled
-	Moot     // never sent
-	Rejected // the engine finds the request at fault, as any other would
-	Mishap   // as Broke, by what may happen at any engine: the answer or the connection was spoilt on the way
+	NotSent      // never sent
+	Rejected     // the engine finds the request at fault, as any other would
+	NetworkFault // as Broke, by what may happen at any engine: the answer or the connection was spoilt on the way
 )
 
 // Ended tells that an attempt is over; exactly one follows each Send.
 type Ended struct {
-	Request RequestID
-	Attempt int // the number of the request's Send, from 0
-	Engine  EngineID
-	Result  Result
-	NoState bool
-	Kept    float64 // Read, Served: prompt tokens found kept
-	Took    time.Duration
-	Last    bool // the client has its final answer
-	Load    Load
+	Request      RequestID
+	Attempt      int // the number of the request's Send, from 0
+	Engine       EngineID
+	Result       Result
+	NoState      bool
+	CachedTokens float64 // Read, Served: prompt tokens found kept
+	Took         time.Duration
+	Last         bool // the client has its final answer
+	Load         Load
 }
 
 // Started tells that the answer has begun to stream; the client's deadline no longer counts.
@@ -288,8 +288,8 @@
 	Took    time.Duration
 }
 
-// Gone tells that the client has left; nothing is owed any more.
-type Gone struct{ Request RequestID }
+// ClientGone tells that the client has left; nothing is owed any more.
+type ClientGone struct{ Request RequestID }
 
 // TimerFired is the answer to a SetTimer.
 type TimerFired struct{ Key uint64 }
@@ -313,7 +313,7 @@
 func (Arrived) event()    {}
 func (Ended) event()      {}
 func (Started) event()    {}
-func (Gone) event()       {}
+func (ClientGone) event() {}
 func (TimerFired) event() {}
 func (Probed) event()     {}
 
@@ -334,30 +334,30 @@
 	Attempt int
 }
 
-// Why is the reason of a final answer that is no success, in words for operators.
-type Why string
+// Reason is the reason of a final answer that is no success, in words for operators.
+type Reason string
 
 // The reasons.
 const (
-	NoShare   Why = "the fleet has no room for its rank"
-	NothingTo Why = "its time, its attempts or what was read for it are over"
-	AllFull   Why = "all readers turned it away"
-	TooLong   Why = "it would wait too long"
-	NoWorker  Why = "there was no worker to send it to"
-	AtFault   Why = "a worker finds the request at fault"
+	NotAdmitted    Reason = "the fleet has no room for its rank"
+	Exhausted      Reason = "its time, its attempts or what was read for it are over"
+	ReadersFull    Reason = "all readers turned it away"
+	WaitTooLong    Reason = "it would wait too long"
+	NoWorker       Reason = "there was no worker to send it to"
+	InvalidRequest Reason = "a worker finds the request at fault"
 )
 
 // Refuse is a final answer that tells the client that trying again is harmless.
 type Refuse struct {
 	Request RequestID
-	Why     Why
+	Reason  Reason
 	HoldOff time.Duration // how long the client should stay away; 0: no advice
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct {
 	Request RequestID
-	Why     Why
+	Reason  Reason
 }
 
 // Release lets go of every state held for the request that no attempt waits for.
@@ -388,10 +388,10 @@
 func (Subscribe) action() {}
 func (Log) action()       {}
 
-// Retune takes new settings for requests that arrive from now on. Classes keep their places, since requests
+// UpdateSettings takes new settings for requests that arrive from now on. Classes keep their places, since requests
 // under way are known by them; a request under way keeps its class as it came. What the scheduler has learnt of
 // engines and requests stays.
-func (s *Scheduler) Retune(set Settings) {
+func (s *Scheduler) UpdateSettings(set Settings) {
 	fresh := New(set, s.seed)
-	s.set, s.tick, s.patience, s.most = fresh.set, fresh.tick, fresh.patience, fresh.most
+	s.set, s.tick, s.waitSeen, s.maxWorth = fresh.set, fresh.tick, fresh.waitSeen, fresh.maxWorth
 }
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -39,18 +39,18 @@
 	now    time.Duration
 	timers []SetTimer
 	log    []Action
-	dead   map[EngineID]bool // do not answer probes
+	silent map[EngineID]bool // do not answer probes
 	load   map[EngineID]Load // in answers to probes
 }
 
 func newBench(t *testing.T, set Settings, engines []Engine) *bench {
 	b := &bench{T: t, s: New(set, 7), now: time.Second}
-	b.give(Listed{Kind: ListCached, Engines: engines})
+	b.handle(Listed{Kind: ListCached, Engines: engines})
 	return b
 }
 
-// give hands an event over and returns the actions but the timers.
-func (b *bench) give(ev Event) []Action {
+// handle hands an event over and returns the actions but the timers.
+func (b *bench) handle(ev Event) []Action {
 	b.Helper()
 	var seen []Action
 	for _, a := range b.s.Handle(b.now, ev, nil) {
@@ -64,10 +64,10 @@
 	for _, a := range slices.Clone(seen) {
 		if probe, ok := a.(Probe); !ok {
 			continue
-		} else if b.dead[probe.Engine] {
+		} else if b.silent[probe.Engine] {
 			b.timers = append(b.timers, SetTimer{At: b.now + 250*ms, Key: probeTimeout | uint64(probe.Engine)})
 		} else {
-			seen = append(seen, b.give(Probed{Engine: probe.Engine, Result: Served, Load: b.load[probe.Engine]})...)
+			seen = append(seen, b.handle(Probed{Engine: probe.Engine, Result: Served, Load: b.load[probe.Engine]})...)
 		}
 	}
 	return seen
@@ -76,8 +76,8 @@
 // probeTimeout marks the bench's own timers for probes that nobody answers.
 const probeTimeout = 1 << 60
 
-// pass lets time go by and fires the timers that come due; it returns the actions of that time.
-func (b *bench) pass(d time.Duration) []Action {
+// advance lets time go by and fires the timers that come due; it returns the actions of that time.
+func (b *bench) advance(d time.Duration) []Action {
 	b.Helper()
 	from, end := len(b.log), b.now+d
 	for {
@@ -94,10 +94,10 @@
 		b.timers = append(b.timers[:next:next], b.timers[next+1:]...)
 		b.now = max(b.now, timer.At)
 		if timer.Key>>60 == 1 {
-			b.give(Probed{Engine: EngineID(timer.Key &^ probeTimeout), Result: TimedOut, Took: 250 * ms})
+			b.handle(Probed{Engine: EngineID(timer.Key &^ probeTimeout), Result: TimedOut, Took: 250 * ms})
 			continue
 		}
-		b.give(TimerFired{Key: timer.Key})
+		b.handle(TimerFired{Key: timer.Key})
 	}
 	b.now = end
 	return b.log[from:]
@@ -105,8 +105,8 @@
 
 func (b *bench) arrive(id RequestID, class int, left time.Duration) EngineID {
 	b.Helper()
-	b.give(Arrived{Request: id, Class: class, Session: 1000 + uint64(id), Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500,
-		MaxTokens: 300, Left: left})
+	b.handle(Arrived{Request: id, Class: class, Session: 1000 + uint64(id), Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500,
+		MaxTokens: 300, Timeout: left})
 	return b.sentTo(id)
 }
 
@@ -127,13 +127,13 @@
 	if result == Full {
 		took = ms
 	}
-	return b.give(Ended{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
+	return b.handle(Ended{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
 		Engine: b.sentTo(id), Result: result, NoState: noState, Took: took, Last: result == Served})
 }
 
 func (b *bench) start(id RequestID) []Action {
 	b.Helper()
-	return b.give(Started{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
+	return b.handle(Started{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
 		Engine: b.sentTo(id), Took: 50 * ms})
 }
 
@@ -160,14 +160,14 @@
 	}
 }
 
-// silence lets time go by in which some engines answer nothing.
-func (b *bench) silence(d time.Duration, silent ...EngineID) {
+// advanceSilent lets time go by in which some engines answer nothing.
+func (b *bench) advanceSilent(d time.Duration, silent ...EngineID) {
 	b.Helper()
-	b.dead = map[EngineID]bool{}
+	b.silent = map[EngineID]bool{}
 	for _, id := range silent {
-		b.dead[id] = true
+		b.silent[id] = true
 	}
-	b.pass(d)
+	b.advance(d)
 }
 
 func TestOrdinaryPath(t *testing.T) {
@@ -179,7 +179,7 @@
 	b.must(writer == w1 && reader == r1 || writer == w2 && reader == r2, "state of %d went to %d", reader, writer)
 	b.start(1)
 	b.end(1, Served, false)
-	b.pass(10 * time.Second)
+	b.advance(10 * time.Second)
 	b.must(b.finals(1) == 0 && !has[Release](b.log) && !has[Cancel](b.log), "a served request needs nothing more")
 }
 
@@ -187,12 +187,12 @@
 	run := func() []Action {
 		b := newBench(t, testSettings(), fleet())
 		for id := RequestID(1); id < 50; id++ {
-			b.give(Arrived{Request: id, Class: int(id) % 3, Session: uint64(id % 7), Prefix: uint64(id % 3),
-				PromptTokens: float64(100 * id), PrefixTokens: 90, MaxTokens: 300, Left: 3 * time.Second})
-			b.pass(10 * ms)
+			b.handle(Arrived{Request: id, Class: int(id) % 3, Session: uint64(id % 7), Prefix: uint64(id % 3),
+				PromptTokens: float64(100 * id), PrefixTokens: 90, MaxTokens: 300, Timeout: 3 * time.Second})
+			b.advance(10 * ms)
 			b.end(id, []Result{Read, Full, Errored, ConnectFailed}[id%4], false)
 		}
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		return b.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
@@ -200,23 +200,23 @@
 	}
 }
 
-func TestSubscribesWhereTheListMustBeAsked(t *testing.T) {
+func TestSubscribesWithAskForList(t *testing.T) {
 	set := testSettings()
 	set.AskForList = true
 	b := &bench{T: t, s: New(set, 1), now: time.Second}
-	b.must(has[Subscribe](b.give(Listed{Kind: ListCached, Engines: fleet()})), "did not subscribe")
-	b.give(Listed{Kind: ListFailed})
-	b.must(has[Subscribe](b.pass(6*time.Second)), "did not ask again after a failure")
+	b.must(has[Subscribe](b.handle(Listed{Kind: ListCached, Engines: fleet()})), "did not subscribe")
+	b.handle(Listed{Kind: ListFailed})
+	b.must(has[Subscribe](b.advance(6*time.Second)), "did not ask again after a failure")
 }
 
 func TestListChangesMidRequest(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
-	b.give(Listed{Kind: ListWhole, Engines: fleet()[2:3]}) // its reader, the other one and a writer are gone
+	b.handle(Listed{Kind: ListComplete, Engines: fleet()[2:3]}) // its reader, the other one and a writer are gone
 	b.end(1, Read, false)
 	b.must(b.sentTo(1) == w1, "the state went to %d, not to the writer that is left", b.sentTo(1))
-	b.end(1, Moot, false)
-	b.pass(3 * time.Second)
+	b.end(1, NotSent, false)
+	b.advance(3 * time.Second)
 	b.end(1, Cancelled, false)
 	b.must(b.finals(1) == 1 && has[Release](b.log), "want one answer and the state let go")
 }
@@ -227,28 +227,28 @@
 	all := make([]*bench, routers)
 	for i := range all {
 		all[i] = &bench{T: t, s: New(set, uint64(i)*7919), now: time.Second}
-		all[i].give(Listed{Kind: ListCached, Engines: engines})
+		all[i].handle(Listed{Kind: ListCached, Engines: engines})
 	}
-	id, told := RequestID(1), false
+	id, listed := RequestID(1), false
 	for at := time.Duration(0); at < warmUp+length; at += 20 * ms {
-		if at >= warmUp && !told {
-			told = true
+		if at >= warmUp && !listed {
+			listed = true
 			for _, b := range all {
 				b.log = nil
-				b.give(Listed{Kind: ListDelta, Engines: cold(b.now)})
+				b.handle(Listed{Kind: ListDelta, Engines: cold(b.now)})
 			}
 		}
 		for range 2 { // 100 requests a second over all routers
 			b := all[int(id)*37%routers]
-			b.give(Arrived{Request: id, Session: uint64(id), Prefix: 1 + uint64(id)%97, PromptTokens: 2000,
-				PrefixTokens: 1500, MaxTokens: 300, Left: 3 * time.Second})
+			b.handle(Arrived{Request: id, Session: uint64(id), Prefix: 1 + uint64(id)%97, PromptTokens: 2000,
+				PrefixTokens: 1500, MaxTokens: 300, Timeout: 3 * time.Second})
 			b.end(id, Read, false)
 			b.start(id)
 			b.end(id, Served, false)
 			id++
 		}
 		for _, b := range all {
-			b.pass(20 * ms)
+			b.advance(20 * ms)
 		}
 	}
 	return all
@@ -273,7 +273,7 @@
 			b.end(id, Read, false)
 			b.end(id, Full, false)
 		}
-		b.pass(3 * time.Second)
+		b.advance(3 * time.Second)
 		b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
 	}
 }
--- a/brain/cold.go
+++ b/brain/cold.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// chill opens our part of the budget of an engine that has just started.
-func (s *Scheduler) chill(e *engine, since time.Duration) {
-	if till := since + s.set.WarmAfter; till > e.coldTill {
-		if s.now >= e.coldTill { // no router starts with room: in a jam all that had it would come at once
-			e.coldRoom, e.coldAt = -unit(s.seed, uint64(e.ID))*s.pools[e.role].reading, s.now
+// startWarmup opens our part of the budget of an engine that has just started.
+func (s *Scheduler) startWarmup(e *engine, since time.Duration) {
+	if till := since + s.set.WarmAfter; till > e.coldUntil {
+		if s.now >= e.coldUntil { // no router starts with room: in a jam all that had it would come at once
+			e.coldBudget, e.budgetAt = -unit(s.seed, uint64(e.ID))*s.pools[e.role].uncached, s.now
 		}
-		e.coldTill = till
+		e.coldUntil = till
 	}
 }
 
-// hasRoom tells whether an engine that has just started can take the request within our part of its budget:
+// withinColdBudget tells whether an engine that has just started can take the request within our part of its budget:
 // a bucket that fills at the rate at which the engine may be sent work at its worst, of which our part is
 // what warm peers of its zone serve for us (requests stay in a zone). A part of less than one request makes
 // the next one wait longer.
-func (s *Scheduler) hasRoom(e *engine, r *request) bool {
-	if s.now >= e.coldTill {
+func (s *Scheduler) withinColdBudget(e *engine, r *request) bool {
+	if s.now >= e.coldUntil {
 		return true
 	}
 	p, zone := &s.pools[e.role], e.Zone
 	if p.warm[zone] == 0 { // a whole zone has started anew
 		zone = allZones
 	}
-	served := func(zone int) float64 { return p.served[zone] * fade(s.now-p.servedAt, streamMemory) }
+	served := func(zone int) float64 { return p.served[zone] * decay(s.now-p.servedAt, streamDecay) }
 	// Where no warm one serves us, as after our own start, no rate is known: one request at a time follows
 	// the engine's own pace, and keeps a fleet in use that is all cold, or fails where it is warm.
-	if served(allZones) < p.reading && len(e.out)+len(e.streams) == 0 {
+	if served(allZones) < p.uncached && len(e.pending)+len(e.streams) == 0 {
 		return true
 	}
-	rate := coldMargin * s.set.OverloadRatio * s.warmth(e) * e.sized() / max(p.warm[zone], 1) * served(zone) /
-		streamMemory.Seconds()
-	e.coldRoom = min(e.coldRoom+rate*(s.now-e.coldAt).Seconds(), rate*s.set.OverloadFor.Seconds()/2)
-	e.coldAt = s.now
-	return e.coldRoom >= 0
+	rate := coldMargin * s.set.OverloadRatio * s.warmth(e) * e.size() / max(p.warm[zone], 1) * served(zone) /
+		streamDecay.Seconds()
+	e.coldBudget = min(e.coldBudget+rate*(s.now-e.budgetAt).Seconds(), rate*s.set.OverloadFor.Seconds()/2)
+	e.budgetAt = s.now
+	return e.coldBudget >= 0
 }
 
 // warmth is the least share of its capacity that an engine has by the time since its start. Keys come to a
 // starting reader by it, at all routers alike: what it can't take yet is read and kept in one other place.
 func (s *Scheduler) warmth(e *engine) float64 {
-	if s.now >= e.coldTill {
+	if s.now >= e.coldUntil {
 		return 1
 	}
-	left := (e.coldTill - s.now).Seconds() / s.set.WarmAfter.Seconds()
+	left := (e.coldUntil - s.now).Seconds() / s.set.WarmAfter.Seconds()
 	return s.set.ColdShare + (1-s.set.ColdShare)*(1-min(left, 1))
 }
 
 // countServed counts what warm engines serve: what a cold one does tells nothing of their rate.
 func (s *Scheduler) countServed(e *engine, r *request) {
-	e.passed = max(e.passed, r.sentAt)
-	if s.now < e.coldTill {
+	e.newestServed = max(e.newestServed, r.sentAt)
+	if s.now < e.coldUntil {
 		return
 	}
 	p := &s.pools[e.role]
 	for zone := range p.served {
-		p.served[zone] *= fade(s.now-p.servedAt, streamMemory)
+		p.served[zone] *= decay(s.now-p.servedAt, streamDecay)
 	}
 	p.served[e.Zone] += r.size(e)
 	p.served[allZones] += r.size(e)
@@ -65,7 +65,7 @@
 // size is the work that a request means for an engine of a role, in tokens.
 func (r *request) size(e *engine) float64 {
 	if e.role == Reader {
-		return r.PromptTokens - r.PrefixTokens + stepTokens
+		return r.PromptTokens - r.PrefixTokens + overheadTokens
 	}
 	return r.footprint()
 }
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// over tells by how much an engine that started was sent more than it bears, in its worst window while it was cold: N +
+// overload tells by how much an engine that started was sent more than it bears, in its worst window while it was cold: N +
 // 3 x root of N + 3 requests of mean work, N being what the settings allow it then. Below 1 it stands.
-func (w *town) over(e *townEngine) (worst float64) {
+func (w *simFleet) overload(e *simEngine) (worst float64) {
 	window, sum, first := w.set.OverloadFor, 0.0, 0
-	for _, s := range e.got {
+	for _, s := range e.received {
 		if s.at >= e.StartedAt+w.set.WarmAfter {
 			break
 		}
 		sum += s.work
-		for ; e.got[first].at <= s.at-window; first++ {
-			sum -= e.got[first].work
+		for ; e.received[first].at <= s.at-window; first++ {
+			sum -= e.received[first].work
 		}
 		n := w.set.OverloadRatio * e.capacity * w.warm(e, s.at-window) * window.Seconds()
 		worst = max(worst, sum/(n+3*math.Sqrt(n)+3))
@@ -36,18 +36,18 @@
 // A cold engine bears only so much from all routers together, which share nothing and of which most see next to none of
 // the traffic: after one start; as a release replaces six in ten within 7 s; and as a third return at once while seven in ten of the
 // routers are new, too, and know no rate.
-func TestColdEngineBearsAllRouters(t *testing.T) {
+func TestColdEngineIsNotOverloadedByAllRouters(t *testing.T) {
 	const engines, capacity, use = 40, 30.0, 0.85
 	for name, set := range map[string]Settings{
 		"300 routers": coldSettings(300, 0.27, 2.5, 3*time.Second, 14*time.Second),
 		"120 routers": coldSettings(120, 0.2, 3, 1500*time.Millisecond, 10*time.Second),
 	} {
-		for day, start := range map[string]func(w *town, i int) (in time.Duration, starts bool){
-			"one": func(_ *town, i int) (time.Duration, bool) { return 0, i == 3 || i == 4 },
-			"release": func(_ *town, i int) (time.Duration, bool) {
+		for day, start := range map[string]func(w *simFleet, i int) (in time.Duration, starts bool){
+			"one": func(_ *simFleet, i int) (time.Duration, bool) { return 0, i == 3 || i == 4 },
+			"release": func(_ *simFleet, i int) (time.Duration, bool) {
 				return time.Duration(i) * 300 * time.Millisecond, i < engines*6/10
 			},
-			"herd": func(_ *town, i int) (time.Duration, bool) { return 0, i < engines/3 },
+			"herd": func(_ *simFleet, i int) (time.Duration, bool) { return 0, i < engines/3 },
 		} {
 			if (set.Routers == 300) == (day == "one") {
 				continue
@@ -56,14 +56,14 @@
 				t.Parallel()
 				var list []Engine
 				for i := range engines {
-					kind := one(i%4 > 2) // three readers and a writer in every other cell, one and three in the others
+					kind := toInt(i%4 > 2) // three readers and a writer in every other cell, one and three in the others
 					if i/4%2 == 1 {
-						kind = one(i%4 > 0)
+						kind = toInt(i%4 > 0)
 					}
 					list = append(list, Engine{ID: EngineID(100 + i), Cell: i / 4, Kind: kind, Weight: 1})
 				}
-				w := newTown(set, 22, list, capacity)
-				w.mute = set.Routers == 300
+				w := newSimFleet(set, 22, list, capacity)
+				w.noReports = set.Routers == 300
 				ends := map[string]int{}
 				w.done = func(_ Arrived, how string) { ends[how]++ }
 				const before = 8 * time.Second
@@ -90,7 +90,7 @@
 				worst, sent := 0.0, 0
 				for _, e := range w.engines {
 					if e.StartedAt > 0 {
-						worst, sent = max(worst, w.over(e)), sent+len(e.got)
+						worst, sent = max(worst, w.overload(e)), sent+len(e.received)
 					}
 				}
 				if worst >= 1 {
--- a/brain/example_test.go
+++ b/brain/example_test.go
@@ -20,8 +20,8 @@
 			}
 		}
 	}
-	give(0, brain.Listed{Kind: brain.ListWhole, Engines: []brain.Engine{{ID: 10, Kind: 0}, {ID: 20, Kind: 1}}})
-	give(5*time.Millisecond, brain.Arrived{Request: 1, Session: 7, PromptTokens: 900, MaxTokens: 200, Left: 4 * time.Second})
+	give(0, brain.Listed{Kind: brain.ListComplete, Engines: []brain.Engine{{ID: 10, Kind: 0}, {ID: 20, Kind: 1}}})
+	give(5*time.Millisecond, brain.Arrived{Request: 1, Session: 7, PromptTokens: 900, MaxTokens: 200, Timeout: 4 * time.Second})
 	give(90*time.Millisecond, brain.Ended{Request: 1, Engine: 10, Result: brain.Read, Took: 85 * time.Millisecond})
 	give(120*time.Millisecond, brain.Started{Request: 1, Attempt: 1, Engine: 20, Took: 30 * time.Millisecond})
 	give(3*time.Second, brain.Ended{Request: 1, Attempt: 1, Engine: 20, Result: brain.Served, Last: true})
--- a/brain/health.go
+++ b/brain/health.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// atOnce is how long an answer takes at most that has not waited.
-func (s *Scheduler) atOnce(r *request) time.Duration {
-	return max(share(muteLeast, r.aim()), s.set.Step)
+// immediate is how long an answer takes at most that has not waited.
+func (s *Scheduler) immediate(r *request) time.Duration {
+	return max(scale(immediateShare, r.aim()), s.set.Step)
 }
 
-// mute tells whether the engine owes an answer to a probe for longer than probes take. Where probes wait like
+// unresponsive tells whether the engine owes an answer to a probe for longer than probes take. Where probes wait like
 // requests an answer takes as long as a queue, and its lack for a moment says nothing.
-func (s *Scheduler) mute(e *engine, r *request) bool {
-	return e.probedAt > e.lastLife && s.now-e.probedAt >= max(s.atOnce(r), share(muteShare, s.answerTime))
+func (s *Scheduler) unresponsive(e *engine, r *request) bool {
+	return e.probedAt > e.lastAlive && s.now-e.probedAt >= max(s.immediate(r), scale(lateProbe, s.probeTime))
 }
 
 // Evidence is kept by engine and pooled by what engines have in common: with few attempts a router would
@@ -25,14 +25,14 @@
 	anyClass = -1 // evidence that holds for every class
 )
 
-// trust is how many outcomes the wider evidence weighs against that of the zone, the cell and the engine.
-var trust = [...]float64{byZone: 4, byCell: 4, byEngine: 1}
+// parentWeight is how many outcomes the wider evidence weighs against that of the zone, the cell and the engine.
+var parentWeight = [...]float64{byZone: 4, byCell: 4, byEngine: 1}
 
-// note takes an outcome as a word on the engine for a class: bad is 1 for a failure, 0 for none.
-func (s *Scheduler) note(e *engine, class int, bad float64) {
-	for _, g := range e.groups(class) {
+// addOutcome takes an outcome as a word on the engine for a class: bad is 1 for a failure, 0 for none.
+func (s *Scheduler) addOutcome(e *engine, class int, bad float64) {
+	for _, g := range e.tallyKeys(class) {
 		t := s.tallies[g]
-		left := fade(s.now-t.at, s.span(healthSample, healthMemory, 3*healthMemory))
+		left := decay(s.now-t.at, s.sampleWindow(healthSample, healthDecay, 3*healthDecay))
 		s.tallies[g] = tally{t.n*left + 1, t.bad*left + bad, s.now}
 	}
 }
@@ -43,10 +43,10 @@
 	worst := 0.0
 	for _, c := range [...]int{anyClass, class} {
 		p := 0.0
-		for _, g := range e.groups(c) {
+		for _, g := range e.tallyKeys(c) {
 			if t, ok := s.tallies[g]; ok {
-				left := fade(s.now-t.at, s.span(healthSample, healthMemory, 3*healthMemory))
-				p = (t.bad*left + trust[g.scope]*p) / (t.n*left + trust[g.scope])
+				left := decay(s.now-t.at, s.sampleWindow(healthSample, healthDecay, 3*healthDecay))
+				p = (t.bad*left + parentWeight[g.scope]*p) / (t.n*left + parentWeight[g.scope])
 			}
 		}
 		worst = max(worst, p)
@@ -54,90 +54,90 @@
 	return worst
 }
 
-// judge reads the end of an attempt as a word on the engine. Failures and 'full' are held against it for the
+// assess reads the end of an attempt as a word on the engine. Failures and 'full' are held against it for the
 // class that met them, a broken or refused connection for all.
-func (s *Scheduler) judge(e *engine, r *request, ev Ended) {
-	s.heard(e, ev.Load)
+func (s *Scheduler) assess(e *engine, r *request, ev Ended) {
+	s.recordLoad(e, ev.Load)
 	class := anyClass
 	if r != nil {
 		class = r.Class
 	}
 	switch ev.Result {
 	case ConnectFailed, Broke:
-		s.note(e, anyClass, 1)
+		s.addOutcome(e, anyClass, 1)
 		return
-	case Mishap:
-		s.note(e, anyClass, mishapBlame)
+	case NetworkFault:
+		s.addOutcome(e, anyClass, networkFaultWeight)
 		return
 	case Read:
-		s.note(e, class, 0)
-		s.note(e, anyClass, 0)
+		s.addOutcome(e, class, 0)
+		s.addOutcome(e, anyClass, 0)
 	case Errored, TimedOut:
-		if s.note(e, class, 1); ev.Result == TimedOut {
+		if s.addOutcome(e, class, 1); ev.Result == TimedOut {
 			return
 		}
 	case Full:
 		if ev.NoState {
 			break
 		}
-		s.note(e, class, 1)
-		if r == nil || ev.Took < s.atOnce(r) { // at once: no room; later: it sorts by class
-			e.fullTill = s.now + s.tick
+		s.addOutcome(e, class, 1)
+		if r == nil || ev.Took < s.immediate(r) { // at once: no room; later: it sorts by class
+			e.fullUntil = s.now + s.tick
 			if e.role != Reader && r != nil { // no room: a start would have taken as long as the aim
 				s.learnStart(e, r, r.aim(), gain)
 			}
 			if e.role != Writer { // a full queue of prompts is a long wait for those behind it
-				e.fullTill = s.now + s.tick*leaseChecks/2
+				e.fullUntil = s.now + s.tick*leaseChecks/2
 			}
 		}
 	case Served, Rejected:
 	default:
 		return
 	}
-	s.alive(e)
+	s.heartbeat(e)
 }
 
 // checkHealth probes an engine that owes us work and is silent: the probe is the lease's heartbeat.
 func (s *Scheduler) checkHealth(e *engine) {
-	if !s.set.Probing || e.probing || e.Availability == Removed || len(e.out) == 0 {
+	if !s.set.Probing || e.probing || e.Availability == Removed || len(e.pending) == 0 {
 		return
 	}
-	limit := share(quietShare, s.tick*leaseChecks)
-	if s.now-max(e.lastLife, e.probedAt) > limit && s.now-e.out[0].sentAt > limit {
+	limit := scale(probeAfterShare, s.tick*leaseChecks)
+	if s.now-max(e.lastAlive, e.probedAt) > limit && s.now-e.pending[0].sentAt > limit {
 		s.probe(e)
 	}
 }
 
 func (s *Scheduler) probe(e *engine) {
 	e.probing, e.probedAt = true, s.now
-	s.do(Probe{Engine: e.ID})
+	s.emit(Probe{Engine: e.ID})
 }
 
-// probed takes a probe's answer. One that fails while nothing else was heard shows that the engine is
+// onProbed takes a probe's answer. One that fails while nothing else was heard shows that the engine is
 // silent: what can be repeated without harm moves on at once.
-func (s *Scheduler) probed(ev Probed) {
+func (s *Scheduler) onProbed(ev Probed) {
 	e := s.engines[ev.Engine]
 	if e == nil {
 		return
 	}
 	e.probing = false
-	s.answerTime += share(gain, ev.Took-s.answerTime)
-	s.heard(e, ev.Load)
+	s.probeTime += scale(gain, ev.Took-s.probeTime)
+	s.recordLoad(e, ev.Load)
 	if ev.Result == Served || ev.Result == Full || ev.Result == Errored {
-		s.note(e, anyClass, 0)
-		s.alive(e)                // even a refused probe was answered: a crowded engine is not a silent one
-		for _, r := range e.out { // reads lapse at once, unless the engine itself had paused
-			if e.role == Reader && ev.Took < share(lostShare, r.aim()) && s.overdue(e, r) {
+		s.addOutcome(e, anyClass, 0)
+		s.heartbeat(e)                // even a refused probe was answered: a crowded engine is not a silent one
+		for _, r := range e.pending { // reads lapse at once, unless the engine itself had paused
+			if e.role == Reader && ev.Took < scale(lostShare, r.aim()) && s.overdue(e, r) {
 				r.lease = s.now
 			}
 		}
 		s.checkLeases(e)
-	} else if late := ev.Took > share(muteShare, s.answerTime); ev.Result != Moot && // Moot: never sent
-		e.lastLife < e.probedAt && (late || ev.Result != TimedOut) {
-		s.note(e, anyClass, 1)
-		for _, r := range slices.Clone(e.out) {
+	} else if late := ev.Took > scale(lateProbe, s.probeTime); ev.Result != NotSent && // Moot: never sent
+		e.lastAlive < e.probedAt && (late || ev.Result != TimedOut) {
+		s.addOutcome(e, anyClass, 1)
+		for _, r := range slices.Clone(e.pending) {
 			if e.role == Reader || r.class.Effect == Safe {
-				s.callOff(r)
+				s.cancel(r)
 			}
 		}
 	}
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-func TestDrainKept(t *testing.T) {
+func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
 	for _, state := range []Availability{Draining, Removed} {
-		b.give(Listed{Kind: ListDelta, Engines: []Engine{{ID: reader, Kind: 0, Availability: state}}})
+		b.handle(Listed{Kind: ListDelta, Engines: []Engine{{ID: reader, Kind: 0, Availability: state}}})
 		for id := RequestID(10 * (1 + int(state))); id < RequestID(10*(1+int(state))+5); id++ {
 			to := b.arrive(id, 0, 3*time.Second)
 			b.must(to != 0 && to != reader, "sent to %d, which is draining or gone", to)
@@ -20,11 +20,11 @@
 }
 
 // A crowded reader turns probes away too; that must not have its reads called off and read again.
-func TestProbeAnsweredFullIsLife(t *testing.T) {
+func TestRefusedProbeIsSignOfLife(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 0, 3*time.Second)
-	b.silence(300*ms, reader)
-	got := b.give(Probed{Engine: reader, Result: Full})
+	b.advanceSilent(300*ms, reader)
+	got := b.handle(Probed{Engine: reader, Result: Full})
 	b.must(!has[Cancel](got), "a full reader's reads were called off: %+v", got)
 }
 
@@ -59,12 +59,12 @@
 
 // What is served is a word for every class, as a refused connection is one against: else only failures counted
 // there, and healthy writers stood idle for the sake of dead neighbours in their cell.
-func TestServingClearsTheNeighboursOfTheDead(t *testing.T) {
+func TestSuccessLowersRiskOfDeadEnginesNeighbours(t *testing.T) {
 	const neighbour = EngineID(23)
 	b := newBench(t, testSettings(), []Engine{{ID: r1, Cell: 1, Weight: 1}, {ID: w1, Cell: 1, Kind: 1, Weight: 1},
 		{ID: neighbour, Cell: 1, Kind: 1, Weight: 1}})
 	for range 6 {
-		b.s.note(b.s.engines[w1], anyClass, 1)
+		b.s.addOutcome(b.s.engines[w1], anyClass, 1)
 	}
 	for id := RequestID(1); id <= 12; id++ {
 		b.arrive(id, 0, 3*time.Second)
@@ -82,19 +82,19 @@
 
 // An engine that leaves the list while it still streams for us is forgotten with its last stream, whether or not
 // the list changes again.
-func TestGoneEngineIsForgotten(t *testing.T) {
+func TestRemovedEngineIsForgotten(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3000*ms)
 	b.end(1, Read, false)
 	b.start(1)
 	at := b.sentTo(1)
 	gone := Engine{ID: at, Kind: 1, Availability: Removed}
-	b.give(Listed{Kind: ListDelta, Engines: []Engine{gone}})
+	b.handle(Listed{Kind: ListDelta, Engines: []Engine{gone}})
 	if b.s.engines[at] == nil {
 		t.Fatal("forgotten while it streams")
 	}
 	b.end(1, Served, false)
-	b.pass(2 * time.Second)
+	b.advance(2 * time.Second)
 	if b.s.engines[at] != nil || len(b.s.order) != 3 {
 		t.Error("remembered after its last stream")
 	}
@@ -102,15 +102,15 @@
 
 // What may happen at any engine must not have the engines shunned one after the other, yet one to which nothing else
 // happens is told from the rest.
-func TestMishaps(t *testing.T) {
+func TestNetworkFaults(t *testing.T) {
 	risk := func(results ...Result) float64 {
 		b := newBench(t, testSettings(), fleet()[:1])
 		for _, result := range results {
-			b.s.judge(b.s.engines[r1], nil, Ended{Result: result})
+			b.s.assess(b.s.engines[r1], nil, Ended{Result: result})
 		}
 		return b.s.risk(b.s.engines[r1], anyClass)
 	}
-	one, often, broke := risk(Read, Mishap), risk(Mishap, Mishap, Mishap, Mishap, Mishap), risk(Read, Broke)
+	one, often, broke := risk(Read, NetworkFault), risk(NetworkFault, NetworkFault, NetworkFault, NetworkFault, NetworkFault), risk(Read, Broke)
 	if one <= 0 || one > broke/3 || often < 1.5*one || often > ejectRisk {
 		t.Errorf("risk %.2f after one mishap, %.2f after five and nothing else, %.2f after a break", one, often, broke)
 	}
@@ -119,14 +119,14 @@
 // A probe for which this router had no socket is no word on the engine. At 256 descriptors such probes had 107 reads
 // called off at once, at engines that were well.
 func TestProbeNeverSent(t *testing.T) {
-	for result, called := range map[Result]bool{Moot: false, ConnectFailed: true} {
+	for result, called := range map[Result]bool{NotSent: false, ConnectFailed: true} {
 		b := newBench(t, testSettings(), fleet()[:1])
 		b.arrive(1, 1, 6*time.Second)
 		b.now += 10 * ms
 		b.s.now = b.now
 		b.s.probe(b.s.engines[r1])
 		b.now += ms
-		b.give(Probed{Engine: r1, Result: result})
+		b.handle(Probed{Engine: r1, Result: result})
 		if got := count[Cancel](b.log, func(Cancel) bool { return true }) > 0; got != called {
 			t.Errorf("result %d: called off %v", result, got)
 		}
@@ -136,13 +136,13 @@
 // Where probes wait like requests, one that times out at a crowded reader is no sign of its death: on join+vast 62 of
 // 62 reads called off within 2 s had only a probe's silence against them, and each was begun anew elsewhere. Forty
 // routers with a read each must wait. One that has seen probes answered at once takes the same silence for what it is.
-func TestProbeThatWaitsCallsNothingOff(t *testing.T) {
+func TestQueuedProbeCancelsNothing(t *testing.T) {
 	set := testSettings()
 	off := 0
 	for i := range 40 {
 		b := &bench{T: t, s: New(set, uint64(i)*7919), now: time.Second}
-		b.give(Listed{Kind: ListCached, Engines: fleet()})
-		b.silence(1200*ms, b.arrive(1, 1, 6*time.Second))
+		b.handle(Listed{Kind: ListCached, Engines: fleet()})
+		b.advanceSilent(1200*ms, b.arrive(1, 1, 6*time.Second))
 		off += count[Cancel](b.log, nil)
 		b.must(count[Probe](b.log, nil) > 0, "nothing was probed")
 	}
@@ -151,8 +151,8 @@
 	}
 	b := newBench(t, set, fleet())
 	for range 20 {
-		b.give(Probed{Engine: r2, Result: Served, Took: ms})
+		b.handle(Probed{Engine: r2, Result: Served, Took: ms})
 	}
-	b.silence(1200*ms, b.arrive(1, 1, 6*time.Second))
+	b.advanceSilent(1200*ms, b.arrive(1, 1, 6*time.Second))
 	b.must(has[Cancel](b.log), "probes are known to be answered at once, and one was not")
 }
--- a/brain/homes_test.go
+++ b/brain/homes_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// drawn gives the actions on events drawn from a seed over readers, writers and mixed engines in two zones; homes names those of
+// randomActions gives the actions on events randomActions from a seed over readers, writers and mixed engines in two zones; homes names those of
 // a prefix.
-func drawn(t *testing.T, seed uint64, homes func(prefix uint64) []EngineID) []Action {
+func randomActions(t *testing.T, seed uint64, homes func(prefix uint64) []EngineID) []Action {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var engines []Engine
 	for i := range 12 {
@@ -19,15 +19,15 @@
 	b := newBench(t, testSettings(), engines)
 	for id := RequestID(1); id < 120; id++ {
 		a := Arrived{Request: id, Class: rng.IntN(3), Session: uint64(rng.IntN(20)), Prefix: uint64(rng.IntN(6)), PromptTokens: float64(100 + rng.IntN(3000)),
-			PrefixTokens: 90, MaxTokens: 300, Left: time.Duration(1+rng.IntN(5)) * time.Second}
+			PrefixTokens: 90, MaxTokens: 300, Timeout: time.Duration(1+rng.IntN(5)) * time.Second}
 		a.Homes = homes(a.Prefix)
-		b.give(a)
+		b.handle(a)
 		if rng.IntN(12) == 0 {
 			e := engines[rng.IntN(len(engines))]
 			e.Availability = []Availability{Ready, Draining}[rng.IntN(2)]
-			b.give(Listed{Kind: ListDelta, Engines: []Engine{e}})
+			b.handle(Listed{Kind: ListDelta, Engines: []Engine{e}})
 		}
-		b.pass(time.Duration(rng.IntN(60)) * ms)
+		b.advance(time.Duration(rng.IntN(60)) * ms)
 		for open := max(id, 6) - 5; open <= id; open++ {
 			switch rng.IntN(3) {
 			case 0:
@@ -37,17 +37,17 @@
 			}
 		}
 	}
-	b.pass(8 * time.Second)
+	b.advance(8 * time.Second)
 	return b.log
 }
 
 // Homes that are empty, or of which none is listed, change nothing; those that are listed do.
-func TestHomesChangeNothingElse(t *testing.T) {
+func TestUnlistedHomesChangeNothing(t *testing.T) {
 	changed := 0
 	for seed := range uint64(40) {
-		none := drawn(t, seed, func(uint64) []EngineID { return nil })
-		unknown := drawn(t, seed, func(uint64) []EngineID { return []EngineID{900, 901} })
-		some := drawn(t, seed, func(prefix uint64) []EngineID { return []EngineID{EngineID(10 + prefix)} })
+		none := randomActions(t, seed, func(uint64) []EngineID { return nil })
+		unknown := randomActions(t, seed, func(uint64) []EngineID { return []EngineID{900, 901} })
+		some := randomActions(t, seed, func(prefix uint64) []EngineID { return []EngineID{EngineID(10 + prefix)} })
 		if !reflect.DeepEqual(none, unknown) {
 			t.Fatalf("seed %d: homes that are not listed changed what is done", seed)
 		}
@@ -70,7 +70,7 @@
 	b := newBench(t, testSettings(), engines)
 	for i := range 50 {
 		id := RequestID(1 + i)
-		b.give(Arrived{Request: id, Session: uint64(i), Prefix: uint64(1000 + i), PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 30, Left: 3 * time.Second})
+		b.handle(Arrived{Request: id, Session: uint64(i), Prefix: uint64(1000 + i), PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 30, Timeout: 3 * time.Second})
 		if got, want := b.sentTo(id), Home(uint64(1000+i), ids); got != want {
 			t.Errorf("prefix %d went to %d, not to %d", 1000+i, got, want)
 		}
@@ -83,7 +83,7 @@
 }
 
 // A home comes before the hash order, in its own zone only, and not where it is likely to fail or can't be asked.
-func TestHomeComesFirst(t *testing.T) {
+func TestHomesComeBeforeHashOrder(t *testing.T) {
 	for i := range 8 {
 		home := EngineID(20 + i)
 		engines := make([]Engine, 0, 8)
@@ -95,7 +95,7 @@
 			if change != nil {
 				change(b)
 			}
-			b.give(Arrived{Request: 1, Session: 4, Prefix: 77, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 30, Left: 3 * time.Second, Homes: []EngineID{home}})
+			b.handle(Arrived{Request: 1, Session: 4, Prefix: 77, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 30, Timeout: 3 * time.Second, Homes: []EngineID{home}})
 			return b.sentTo(1)
 		}
 		t.Run(fmt.Sprint("home ", home), func(t *testing.T) {
@@ -105,7 +105,7 @@
 			if got := ask(t, func(b *bench) {
 				drains := engines[i]
 				drains.Availability = Draining
-				b.give(Listed{Kind: ListDelta, Engines: []Engine{drains}})
+				b.handle(Listed{Kind: ListDelta, Engines: []Engine{drains}})
 			}); got == home {
 				t.Error("a home that drains was sent to")
 			}
--- a/brain/homewriter_test.go
+++ b/brain/homewriter_test.go
@@ -14,7 +14,7 @@
 	used := map[EngineID]bool{}
 	for seed := range uint64(10) {
 		set := testSettings()
-		set.Zone, set.WholeTokens = -1, 3000
+		set.Zone, set.MinPrefillTokens = -1, 3000
 		b := newBench(t, set, engines)
 		b.s.seed = seed
 		for id := RequestID(1); id <= 5; id++ {
@@ -30,10 +30,10 @@
 		home = id
 	}
 	set := testSettings()
-	set.Zone, set.WholeTokens = -1, 3000
+	set.Zone, set.MinPrefillTokens = -1, 3000
 	b := newBench(t, set, engines)
 	for _, e := range engines[1:] {
-		b.give(Reported{Engine: e.ID, Load: Load{Known: true, MemoryShare: float64(one(e.ID == home)), WaitTokens: -1}})
+		b.handle(Reported{Engine: e.ID, Load: Load{Known: true, MemoryShare: float64(toInt(e.ID == home)), WaitTokens: -1}})
 	}
 	b.must(b.arrive(1, 0, 3*time.Second) != home, "sent to a home without memory")
 }
@@ -41,9 +41,9 @@
 // The candidates of a request are the readers in the order in which it would be sent to them; a short prompt has none.
 func TestCandidatesAreTheReadersInOrder(t *testing.T) {
 	set := testSettings()
-	set.Zone, set.WholeTokens = -1, 1000
+	set.Zone, set.MinPrefillTokens = -1, 1000
 	b := newBench(t, set, readersIn(3))
-	ev := Arrived{Class: 0, Session: 1001, Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 300, Left: 3 * time.Second}
+	ev := Arrived{Class: 0, Session: 1001, Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 300, Timeout: 3 * time.Second}
 	ids := b.s.Candidates(ev, 3)
 	b.must(len(ids) == 3, "%d candidates", len(ids))
 	b.must(ids[0] == b.arrive(1, 0, 3*time.Second), "the first candidate %d is not the home", ids[0])
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -9,76 +9,76 @@
 // seen.
 func (s *Scheduler) startWait(role Role, way int) float64 {
 	p := s.pools[role].starts[way]
-	return p.mean * fade(s.now-p.at, s.span(startSample, 2*waitMemory, streamMemory))
+	return p.mean * decay(s.now-p.at, s.sampleWindow(startSample, 2*waitDecay, streamDecay))
 }
 
-// ease lets what was learnt of a role's starts go once none of our attempts waits there: a jam that is over
+// decayStarts lets what was learnt of a role's starts go once none of our attempts waits there: a jam that is over
 // would else be believed in for as long as it turns away all that could disprove it.
-func (s *Scheduler) ease(role Role) {
+func (s *Scheduler) decayStarts(role Role) {
 	waits := map[int]bool{}
 	for _, e := range s.order {
-		for _, r := range e.out {
-			waits[r.way(e)] = waits[r.way(e)] || e.role == role
+		for _, r := range e.pending {
+			waits[r.origin(e)] = waits[r.origin(e)] || e.role == role
 		}
 	}
 	for way := range s.pools[role].starts {
 		if !waits[way] {
-			s.pools[role].starts[way] = starts{s.startWait(role, way) * fade(s.tick, waitMemory/2), s.now}
+			s.pools[role].starts[way] = startTime{s.startWait(role, way) * decay(s.tick, waitDecay/2), s.now}
 		}
 	}
 }
 
 func (s *Scheduler) learnStart(e *engine, r *request, took time.Duration, weight float64) {
-	way := r.way(e)
+	way := r.origin(e)
 	before := s.startWait(e.role, way)
-	s.pools[e.role].starts[way] = starts{before + weight*(took.Seconds()-before), s.now}
+	s.pools[e.role].starts[way] = startTime{before + weight*(took.Seconds()-before), s.now}
 }
 
 // paceOf is the engine's time for a token, in seconds: its own samples, which fade, beside the pool's mean.
 // Times and tokens are summed before they are divided, or short reads, which are mostly overhead, would rule.
 func (s *Scheduler) paceOf(e *engine) float64 {
-	p, left := &s.pools[e.role], fade(s.now-e.pacedAt, streamMemory)
-	return (e.time*left + paceTrust*p.time) / max(e.tokens*left+paceTrust*p.tokens, 1)
+	p, left := &s.pools[e.role], decay(s.now-e.pacedAt, streamDecay)
+	return (e.time*left + poolPaceReads*p.time) / max(e.tokens*left+poolPaceReads*p.tokens, 1)
 }
 
 func (s *Scheduler) learnPace(e *engine, r *request, took time.Duration, work float64) {
-	p, left, tokens := &s.pools[e.role], fade(s.now-e.pacedAt, streamMemory), r.ahead+work+stepTokens
+	p, left, tokens := &s.pools[e.role], decay(s.now-e.pacedAt, streamDecay), r.ahead+work+overheadTokens
 	e.time, e.tokens, e.pacedAt = e.time*left+took.Seconds(), e.tokens*left+tokens, s.now
 	if p.tokens == 0 {
-		p.time, p.tokens = took.Seconds()*poolGain/s.early(), tokens // it may have waited
+		p.time, p.tokens = took.Seconds()*poolGain/s.poolWeight(), tokens // it may have waited
 	}
 	p.reads++ // a plain mean at first: a router of a large fleet sees few reads
 	p.pace += max(poolGain, 1/p.reads) * (took.Seconds()/tokens - p.pace)
 	weight := poolGain
 	if took.Seconds()*p.tokens < p.time*tokens { // a slow read may have waited behind what others sent
-		weight = s.early()
+		weight = s.poolWeight()
 	}
 	p.time += weight * (took.Seconds() - p.time)
 	p.tokens += weight * (tokens - p.tokens)
 }
 
-// early is the weight of a sample in a pool's mean: greater while this router has seen little for so many
+// poolWeight is the weight of a sample in a pool's mean: greater while this router has seen little for so many
 // peers. At a large fleet that is most of a day, and the first sample alone must not turn away what follows.
-func (s *Scheduler) early() float64 {
+func (s *Scheduler) poolWeight() float64 {
 	if s.seen < s.set.Routers/4 {
 		return gain
 	}
 	return poolGain
 }
 
-// span is the time in which the router sees so many requests, within bounds: what a router of a large fleet
+// sampleWindow is the time in which the router sees so many requests, within bounds: what a router of a large fleet
 // forgot sooner it would have to learn by failing again.
-func (s *Scheduler) span(n int, least, most time.Duration) time.Duration {
+func (s *Scheduler) sampleWindow(n int, least, most time.Duration) time.Duration {
 	return min(max(least, time.Duration(n)*(s.now-s.began)/time.Duration(s.seen+1)), most)
 }
 
-func (s *Scheduler) heard(e *engine, load Load) {
+func (s *Scheduler) recordLoad(e *engine, load Load) {
 	if !load.Known {
 		return
 	}
 	e.load, e.loadAt = load, s.now
 	p := &s.pools[e.role]
-	p.waiting += poolGain * (s.reportedWait(e) - p.waiting)
+	p.backlog += poolGain * (s.reportedBacklog(e) - p.backlog)
 	if load.MemoryShare >= 0 {
 		p.memory = cmp.Or(p.memory, load.MemoryShare)
 		p.memory += poolGain * (load.MemoryShare - p.memory)
--- a/brain/readers.go
+++ b/brain/readers.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// weigh settles each engine's share of the prefix keys: readers lean towards cells with more writers for each
+// updateShares settles each engine's share of the prefix keys: readers lean towards cells with more writers for each
 // reader, so that state need not leave its cell; mixed servers count for their part of the work.
-func (s *Scheduler) weigh() {
+func (s *Scheduler) updateShares() {
 	cells, all := map[int][Mixed + 1]float64{}, [Mixed + 1]float64{}
 	for _, e := range s.order {
 		if e.Availability == Ready {
@@ -25,7 +25,7 @@
 			near := cells[e.Cell][Writer] / max(cells[e.Cell][Reader], 1)
 			e.share = even * min(max(near/even, 1/cellTilt), cellTilt)
 		}
-		e.share *= e.sized()
+		e.share *= e.size()
 	}
 }
 
@@ -41,11 +41,11 @@
 	}
 	for _, e := range list {
 		// a jam at its own writers speaks against a reader too, though no more than a long queue
-		cost := s.projectedWait(e, r) + min(s.startAfter(e), limit) + 2*failCost*limit*s.risk(e, r.Class)
-		if missing := r.PrefixTokens - e.keeps(r); e.role != Writer && e != r.home && missing > 0 {
+		cost := s.projectedWait(e, r) + min(s.startDelay(e), limit) + 2*failCost*limit*s.risk(e, r.Class)
+		if missing := r.PrefixTokens - e.cachedTokens(r); e.role != Writer && e != r.home && missing > 0 {
 			cost += s.set.RereadWeight * s.paceOf(e) * missing // read once more it takes the room of others
 		}
-		if e == r.avoid || s.mute(e, r) || (e.role != Reader && s.projectedMemory(e) > crowdShare) {
+		if e == r.avoid || s.unresponsive(e, r) || (e.role != Reader && s.projectedMemory(e) > highMemory) {
 			cost += limit
 		}
 		if cost < bestCost {
@@ -57,22 +57,22 @@
 	}
 	if best == nil {
 		if s.parked = append(s.parked, r); r.sends > 0 { // all are full: waiting would feed the jam
-			s.giveUp(r, s.set.MaxHoldOff, AllFull)
+			s.giveUp(r, s.set.MaxHoldOff, ReadersFull)
 		}
 		return
 	}
-	if wait := s.projectedWait(best, r) + s.startAfter(best); r.sends == 0 && wait > s.admitLimit(r) {
-		s.giveUp(r, share(wait, time.Second), TooLong)
-	} else if best.role == Reader && s.set.MaxAttempts > 0 && r.Tried+r.sends+2 > s.set.MaxAttempts {
-		s.giveUp(r, s.set.MaxHoldOff, NothingTo) // no attempt would be left to have the answer written
+	if wait := s.projectedWait(best, r) + s.startDelay(best); r.sends == 0 && wait > s.admitLimit(r) {
+		s.giveUp(r, scale(wait, time.Second), WaitTooLong)
+	} else if best.role == Reader && s.set.MaxAttempts > 0 && r.PriorAttempts+r.sends+2 > s.set.MaxAttempts {
+		s.giveUp(r, s.set.MaxHoldOff, Exhausted) // no attempt would be left to have the answer written
 	} else {
 		s.send(r, best)
 	}
 }
 
-// ableZone is the part of the prefix keys that stay in our zone: all, unless its readers are colder than the
+// localKeyShare is the part of the prefix keys that stay in our zone: all, unless its readers are colder than the
 // others'. A zone that comes back all cold would else read all of its prompts while the others have room.
-func (s *Scheduler) ableZone() float64 {
+func (s *Scheduler) localKeyShare() float64 {
 	var own, all, ownAble, allAble float64
 	for _, e := range s.order {
 		if e.Availability != Ready || e.role == Writer {
@@ -89,26 +89,26 @@
 // admitLimit is the wait, in seconds, from which a request is turned away. It guards against any overload,
 // whatever its cause; it can do harm just after a jam, so what was seen of it fades.
 func (s *Scheduler) admitLimit(r *request) float64 {
-	limit := admitShare * (r.aim() + share(s.set.LateShare, r.deadline-r.aimAt)).Seconds()
+	limit := admitShare * (r.aim() + scale(s.set.LateShare, r.deadline-r.aimAt)).Seconds()
 	if r.Resumed { // what it waits costs it little; turned away it loses all that it has
 		limit = admitShare * (r.deadline - r.arrived).Seconds()
 	}
-	if r.class.Worth < s.most {
-		limit *= lesserShare
+	if r.class.Worth < s.maxWorth {
+		limit *= lowWorthShare
 	}
 	return limit
 }
 
-// startAfter is the time in which an answer would start whose prompt this engine reads: a slow link between
+// startDelay is the time in which an answer would start whose prompt this engine reads: a slow link between
 // cells is no reason to turn away what a writer of its own cell has room for. Without one it starts like the
 // slowest.
-func (s *Scheduler) startAfter(reader *engine) float64 {
+func (s *Scheduler) startDelay(reader *engine) float64 {
 	if reader.role != Reader {
 		return 0
 	}
 	for _, e := range s.order {
-		open := e.Availability == Ready && s.now >= max(e.fullTill, e.coldTill) && len(e.out) == 0
-		if open && e.role == Writer && e.Cell == reader.Cell && s.projectedMemory(e) <= crowdShare {
+		open := e.Availability == Ready && s.now >= max(e.fullUntil, e.coldUntil) && len(e.pending) == 0
+		if open && e.role == Writer && e.Cell == reader.Cell && s.projectedMemory(e) <= highMemory {
 			return s.startWait(Writer, reader.Cell)
 		}
 	}
@@ -122,25 +122,25 @@
 // readersInOrder lists the engines that may read, by rendezvous hashing: those of our own zone first, since
 // every crossing has a price, then the others, last those that are likely to fail; of each a home first.
 func (s *Scheduler) readersInOrder(r *request) []*engine {
-	list := s.usable(r, func(e *engine) bool { return e.role != Writer })
+	list := s.eligible(r, func(e *engine) bool { return e.role != Writer })
 	if len(list) == 0 && s.set.WritersRead {
-		list = s.usable(r, func(*engine) bool { return true })
+		list = s.eligible(r, func(*engine) bool { return true })
 	}
 	key := cmp.Or(r.Prefix, r.Session, uint64(r.Request))
-	part := func(e *engine) float64 { return e.part(r.Class) * s.warmth(e) }
-	score := func(e *engine) float64 { return part(e) / -math.Log(unit(key, uint64(e.ID))) }
-	stays := s.set.Zone >= 0 && unit(key, stayKey) < s.ableZone()
+	weight := func(e *engine) float64 { return e.classShare(r.Class) * s.warmth(e) }
+	score := func(e *engine) float64 { return weight(e) / -math.Log(unit(key, uint64(e.ID))) }
+	stays := s.set.Zone >= 0 && unit(key, stayKey) < s.localKeyShare()
 	for _, e := range list {
 		risky := e == r.avoid || s.risk(e, r.Class) > ejectRisk
-		e.away = max(2*one(risky), one(stays && e.Zone != s.set.Zone))
+		e.tier = max(2*toInt(risky), toInt(stays && e.Zone != s.set.Zone))
 	}
 	slices.SortStableFunc(list, func(a, b *engine) int {
-		return cmp.Or(a.away-b.away, r.holds(b)-r.holds(a), cmp.Compare(score(b), score(a)))
+		return cmp.Or(a.tier-b.tier, r.holdsPrefix(b)-r.holdsPrefix(a), cmp.Compare(score(b), score(a)))
 	})
-	own := 0
+	hops := 0
 	return slices.DeleteFunc(list, func(e *engine) bool {
-		own += 1 + spillAway*one(e.away > 0)
-		return own > spillHops
+		hops += 1 + spillZoneHops*toInt(e.tier > 0)
+		return hops > spillHops
 	})
 }
 
@@ -148,22 +148,22 @@
 // for longer than was projected shows a slower engine before it ends.
 func (s *Scheduler) projectedWait(e *engine, r *request) float64 {
 	pace, late := s.paceOf(e), 0.0
-	if len(e.out) > 0 {
-		oldest := e.out[0]
-		late = (s.now - oldest.sentAt).Seconds() - pace*(oldest.ahead+oldest.work+stepTokens)
+	if len(e.pending) > 0 {
+		oldest := e.pending[0]
+		late = (s.now - oldest.sentAt).Seconds() - pace*(oldest.ahead+oldest.work+overheadTokens)
 	}
-	return max(late, 0) + pace*(s.backlog(e)+s.toRead(e, r)+stepTokens)
+	return max(late, 0) + pace*(s.backlog(e)+s.uncachedTokens(e, r)+overheadTokens)
 }
 
-// toRead is what of the prompt this engine is thought not to have kept. Other routers send the same
+// uncachedTokens is what of the prompt this engine is thought not to have kept. Other routers send the same
 // beginnings to the same home, so there what is usually found counts, also if this router never sent it one.
-func (s *Scheduler) toRead(e *engine, r *request) float64 {
+func (s *Scheduler) uncachedTokens(e *engine, r *request) float64 {
 	if e.role == Writer {
 		return 0
 	}
-	kept := e.keeps(r)
+	kept := e.cachedTokens(r)
 	if kept == 0 && e == r.home {
-		kept = s.found * r.PromptTokens
+		kept = s.homeHit * r.PromptTokens
 	}
 	return max(r.PromptTokens-min(kept, r.PromptTokens), 1)
 }
@@ -172,21 +172,21 @@
 // into the pool's mean, and what we have sent since.
 func (s *Scheduler) backlog(e *engine) float64 {
 	own := 0.0
-	for _, r := range e.out {
+	for _, r := range e.pending {
 		if r.sentAt > e.loadAt {
 			own += r.work
 		}
 	}
-	mean := s.pools[e.role].waiting
-	return own + mean + (s.reportedWait(e)-mean)*fade(s.now-e.loadAt, waitMemory)
+	mean := s.pools[e.role].backlog
+	return own + mean + (s.reportedBacklog(e)-mean)*decay(s.now-e.loadAt, waitDecay)
 }
 
-func (s *Scheduler) reportedWait(e *engine) float64 {
+func (s *Scheduler) reportedBacklog(e *engine) float64 {
 	if !e.load.Known {
-		return s.pools[e.role].waiting
+		return s.pools[e.role].backlog
 	}
 	if e.load.WaitTokens >= 0 {
 		return e.load.WaitTokens
 	}
-	return max(e.load.Queue, 0) * s.pools[e.role].reading
+	return max(e.load.Queue, 0) * s.pools[e.role].uncached
 }
--- a/brain/readers_test.go
+++ b/brain/readers_test.go
@@ -23,7 +23,7 @@
 	b.must(used[r1] && used[r2], "a hot prefix stayed on one reader")
 }
 
-func TestMixedAnswersWhole(t *testing.T) {
+func TestMixedServerTakesWholeRequest(t *testing.T) {
 	b := newBench(t, testSettings(), []Engine{{ID: m1, Kind: 2, Weight: 1}})
 	b.must(b.arrive(1, 0, 3*time.Second) == m1, "not sent to the mixed server")
 	b.start(1)
@@ -41,7 +41,7 @@
 }
 
 // A zone of ours that is dead but still listed must not fill all hops of a beginning's order.
-func TestDeadZoneLeavesTheOrder(t *testing.T) {
+func TestDeadZoneDoesNotFillHashOrder(t *testing.T) {
 	engines := []Engine{{ID: 90, Cell: 9, Zone: 1, Kind: 0}, {ID: 91, Cell: 9, Zone: 1, Kind: 1}}
 	dead := map[EngineID]bool{}
 	for id := EngineID(40); id < 52; id++ {
@@ -49,9 +49,9 @@
 		dead[id] = true
 	}
 	b := newBench(t, testSettings(), engines)
-	b.dead = dead
+	b.silent = dead
 	for id := RequestID(1); id < 40; id++ {
-		for b.arrive(id, 0, 3*time.Second); b.finals(id) == 0; b.pass(100 * ms) {
+		for b.arrive(id, 0, 3*time.Second); b.finals(id) == 0; b.advance(100 * ms) {
 			if dead[b.sentTo(id)] {
 				b.end(id, ConnectFailed, false)
 			} else if b.sentTo(id) != 0 {
@@ -63,12 +63,12 @@
 		}
 	}
 	b.arrive(100, 0, 3*time.Second)
-	b.pass(300 * ms)
+	b.advance(300 * ms)
 	b.must(b.sentTo(100) == 90, "sent to %d, not to the zone that lives", b.sentTo(100))
 }
 
 // In a jam starts come seconds late; attempts that still wait at full writers close admission before that.
-func TestWaitingAttemptsCloseAdmission(t *testing.T) {
+func TestWaitingAttemptsLimitAdmission(t *testing.T) {
 	refusedWith := func(memory float64) int {
 		b := newBench(t, testSettings(), fleet())
 		b.load = map[EngineID]Load{}
@@ -79,7 +79,7 @@
 			b.arrive(id, 1, 9*time.Second)
 			b.end(id, Read, false)
 		}
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		b.arrive(10, 0, 3*time.Second)
 		return b.finals(10)
 	}
@@ -90,15 +90,15 @@
 
 // A jam that is over must not be believed in for as long as it turns away whatever could disprove it: after a
 // crash whole seconds of requests were refused at idle writers.
-func TestJamIsForgottenOnceNothingWaits(t *testing.T) {
+func TestOverloadIsForgottenOnceNothingWaits(t *testing.T) {
 	refused := func(waiting bool) bool {
 		b := newBench(t, testSettings(), []Engine{fleet()[0], fleet()[2]})
 		if waiting {
 			b.arrive(1, 1, 9*time.Second)
 			b.end(1, Read, false)
 		}
-		b.s.pools[Writer].starts[1] = starts{3, b.now}
-		b.pass(1200 * ms)
+		b.s.pools[Writer].starts[1] = startTime{3, b.now}
+		b.advance(1200 * ms)
 		b.arrive(10, 0, 3*time.Second)
 		return b.finals(10) == 1
 	}
@@ -109,23 +109,23 @@
 
 // A cell with many readers and one writer jams alone: what is read there starts late while the writers of other cells
 // have room. That speaks against its readers, and refusals come only where no cell has room.
-func TestJamOfOneCell(t *testing.T) {
+func TestOverloadOfOneCell(t *testing.T) {
 	const reader, other = EngineID(13), EngineID(23)
 	engines := append(fleet(), Engine{ID: reader, Cell: 1, Weight: 1}, Engine{ID: other, Cell: 2, Kind: 1, Weight: 1})
 	b := newBench(t, testSettings(), engines)
 	for id := RequestID(1); id <= 2; id++ { // wait at the one writer of cell 1
-		b.give(Arrived{Request: id, Class: 1, Session: uint64(id), PromptTokens: 2000, MaxTokens: 300, Left: 9 * time.Second})
-		b.s.requests[id].at.leave(b.s.requests[id])
-		b.s.requests[id].at = nil
-		b.s.requests[id].state = b.s.engines[r1]
+		b.handle(Arrived{Request: id, Class: 1, Session: uint64(id), PromptTokens: 2000, MaxTokens: 300, Timeout: 9 * time.Second})
+		b.s.requests[id].current.remove(b.s.requests[id])
+		b.s.requests[id].current = nil
+		b.s.requests[id].holder = b.s.engines[r1]
 		b.s.send(b.s.requests[id], b.s.engines[w1])
 	}
-	b.s.pools[Writer].starts[1] = starts{2, b.now}
+	b.s.pools[Writer].starts[1] = startTime{2, b.now}
 	away, refused := 0, 0
 	for id := RequestID(10); id < 30; id++ {
 		b.arrive(id, 0, 3000*ms)
 		refused += b.finals(id)
-		away += one(b.sentTo(id) == r2)
+		away += toInt(b.sentTo(id) == r2)
 		b.end(id, Read, false)
 		b.start(id)
 		b.end(id, Served, false)
@@ -138,22 +138,22 @@
 // One read that waited behind what other routers sent must not rule a router's first half minute: on join+vast it made
 // 0.6 ms of a token, and 14 to 25 long prompts were refused in 2 s while readers were idle and had most of them kept. In a
 // small fleet, whose routers see enough, a pool's mean moves as before.
-func TestFirstSlowReadRefusesNobody(t *testing.T) {
+func TestFirstSlowPrefillCausesNoRefusal(t *testing.T) {
 	refused := func(routers, reads int, prompt float64) (n int) {
 		set := testSettings()
 		set.Routers = routers
 		for i := range 80 {
 			b := &bench{T: t, s: New(set, uint64(i)*7919), now: time.Second}
-			b.give(Listed{Kind: ListCached, Engines: fleet()})
+			b.handle(Listed{Kind: ListCached, Engines: fleet()})
 			for id, took := range []time.Duration{400 * ms, 30 * ms, 30 * ms, 30 * ms, 30 * ms, 30 * ms, 30 * ms, 30 * ms}[:reads] {
-				b.give(Arrived{Request: RequestID(id + 1), Class: 1, Session: uint64(id), Prefix: uint64(100 + id), PromptTokens: 800,
-					PrefixTokens: 600, MaxTokens: 300, Left: 6 * time.Second})
-				b.give(Ended{Request: RequestID(id + 1), Engine: b.sentTo(RequestID(id + 1)), Result: Read, Took: took, Kept: 700})
+				b.handle(Arrived{Request: RequestID(id + 1), Class: 1, Session: uint64(id), Prefix: uint64(100 + id), PromptTokens: 800,
+					PrefixTokens: 600, MaxTokens: 300, Timeout: 6 * time.Second})
+				b.handle(Ended{Request: RequestID(id + 1), Engine: b.sentTo(RequestID(id + 1)), Result: Read, Took: took, CachedTokens: 700})
 				b.start(RequestID(id + 1))
 				b.end(RequestID(id+1), Served, false)
-				b.pass(time.Second)
+				b.advance(time.Second)
 			}
-			b.give(Arrived{Request: 50, Class: 1, Session: 50, Prefix: 9, PromptTokens: prompt, PrefixTokens: prompt / 2, MaxTokens: 300, Left: 6 * time.Second})
+			b.handle(Arrived{Request: 50, Class: 1, Session: 50, Prefix: 9, PromptTokens: prompt, PrefixTokens: prompt / 2, MaxTokens: 300, Timeout: 6 * time.Second})
 			n += count(b.log, func(a Refuse) bool { return a.Request == 50 })
 		}
 		return n
@@ -169,17 +169,17 @@
 }
 
 // The plan's parts settle how keys are shared among engines, by class; an engine without a part gets nothing of it.
-func TestPlanPartsShareKeys(t *testing.T) {
+func TestClassWeightsScaleKeyShares(t *testing.T) {
 	set := testSettings()
 	set.Zone = -1
-	near, far := Engine{ID: 1, Zone: 0, Kind: 2, Parts: []float64{3, 0}}, Engine{ID: 2, Zone: 1, Kind: 2, Parts: []float64{1, 1}}
+	near, far := Engine{ID: 1, Zone: 0, Kind: 2, ClassWeights: []float64{3, 0}}, Engine{ID: 2, Zone: 1, Kind: 2, ClassWeights: []float64{1, 1}}
 	s := New(set, 7)
-	s.Handle(time.Second, Listed{Kind: ListWhole, Engines: []Engine{near, far}}, nil)
+	s.Handle(time.Second, Listed{Kind: ListComplete, Engines: []Engine{near, far}}, nil)
 	got := [2]map[EngineID]int{{}, {}}
 	for i := range 4000 {
 		for class := range 2 {
 			id := RequestID(10000*class + i + 1)
-			for _, a := range s.Handle(time.Second, Arrived{Request: id, Class: class, Session: uint64(id), Left: 3 * time.Second}, nil) {
+			for _, a := range s.Handle(time.Second, Arrived{Request: id, Class: class, Session: uint64(id), Timeout: 3 * time.Second}, nil) {
 				if send, ok := a.(Send); ok {
 					got[class][send.Engine]++
 					s.Handle(time.Second, Started{Request: id, Engine: send.Engine, Took: ms}, nil)
--- a/brain/requests.go
+++ b/brain/requests.go
@@ -5,132 +5,132 @@
 	"time"
 )
 
-func (s *Scheduler) arrive(ev Arrived) {
+func (s *Scheduler) onArrived(ev Arrived) {
 	if s.requests[ev.Request] != nil {
 		return
 	}
-	r := &request{Arrived: ev, arrived: s.now, class: &Class{Aim: ev.Left, Effect: Unsafe}, stake: lostCost}
-	aim := ev.Left
+	r := &request{Arrived: ev, arrived: s.now, class: &Class{Aim: ev.Timeout, Effect: Unsafe}, cost: lossCost}
+	aim := ev.Timeout
 	if ev.Class >= 0 && ev.Class < len(s.set.Classes) {
 		r.class = &s.set.Classes[ev.Class]
-		aim = min(aim, s.patience[ev.Class])
+		aim = min(aim, s.waitSeen[ev.Class])
 	}
 	if r.class.Effect == Safe {
-		r.stake = failCost
+		r.cost = failCost
 	}
-	r.aimAt = s.now + min(aim, r.class.Aim+share(ev.PromptTokens/1000, r.class.AimPer1kPrompt))
-	r.deadline = s.now + ev.Left - 2*s.set.Step
+	r.aimAt = s.now + min(aim, r.class.Aim+scale(ev.PromptTokens/1000, r.class.AimPer1kPrompt))
+	r.deadline = s.now + ev.Timeout - 2*s.set.Step
 	s.requests[ev.Request] = r
 	if k := ev.Class; k >= 0 && k < len(s.set.Admitted) && ev.Rank >= s.set.Admitted[k] {
-		s.giveUp(r, share((1+unit(s.seed, uint64(ev.Request)))/2, s.set.MaxHoldOff), NoShare) // no wave
+		s.giveUp(r, scale((1+unit(s.seed, uint64(ev.Request)))/2, s.set.MaxHoldOff), NotAdmitted) // no wave
 		return
 	}
 	s.seen++
-	s.do(SetTimer{At: r.deadline, Key: uint64(ev.Request)})
-	s.next(r)
+	s.emit(SetTimer{At: r.deadline, Key: uint64(ev.Request)})
+	s.advance(r)
 }
 
 // aim is the time within which the request's first token counts in full, and its client still waits.
 func (r *request) aim() time.Duration { return r.aimAt - r.arrived }
 
-// next takes a request that has no attempt out one step on.
-func (s *Scheduler) next(r *request) {
-	pinned := r.state != nil && s.now-r.stateAt > share(pinShare, s.set.PinLimit)
+// advance takes a request that has no attempt out one step on.
+func (s *Scheduler) advance(r *request) {
+	pinned := r.holder != nil && s.now-r.heldSince > scale(pinShare, s.set.PinLimit)
 	if s.now >= r.deadline || !s.mayRepeat(r) || pinned { // pinned: a new read would only add to the load
-		s.giveUp(r, s.set.MaxHoldOff, NothingTo)
-	} else if r.state != nil || r.PromptTokens < s.set.WholeTokens {
+		s.giveUp(r, s.set.MaxHoldOff, Exhausted)
+	} else if r.holder != nil || r.PromptTokens < s.set.MinPrefillTokens {
 		s.write(r)
 	} else {
 		s.read(r)
 	}
 }
 
-func (s *Scheduler) start(ev Started) {
+func (s *Scheduler) onStarted(ev Started) {
 	r := s.requests[ev.Request]
 	if e := s.engines[ev.Engine]; e != nil {
-		s.alive(e)
+		s.heartbeat(e)
 	}
-	if r == nil || r.started || r.at == nil || ev.Attempt != r.sends-1 {
+	if r == nil || r.started || r.current == nil || ev.Attempt != r.sends-1 {
 		return
 	}
-	e := r.at
+	e := r.current
 	if r.whole {
 		s.learnPace(e, r, ev.Took, r.work)
-		e.keep(r)
+		e.remember(r)
 	} else {
 		s.learnStart(e, r, ev.Took, gain)
 	}
-	s.note(e, r.Class, 0)
-	s.note(e, anyClass, 0)
+	s.addOutcome(e, r.Class, 0)
+	s.addOutcome(e, anyClass, 0)
 	s.countServed(e, r)
-	if r.Class >= 0 && r.Class < len(s.patience) {
-		s.patience[r.Class] += share(poolGain, r.class.Deadline-s.patience[r.Class])
+	if r.Class >= 0 && r.Class < len(s.waitSeen) {
+		s.waitSeen[r.Class] += scale(poolGain, r.class.Deadline-s.waitSeen[r.Class])
 	}
-	e.leave(r)
+	e.remove(r)
 	e.streams = append(e.streams, r)
-	r.started, r.state = true, nil
+	r.started, r.holder = true, nil
 }
 
-func (s *Scheduler) ended(ev Ended) {
+func (s *Scheduler) onEnded(ev Ended) {
 	r, e := s.requests[ev.Request], s.engines[ev.Engine]
 	if e != nil {
-		s.judge(e, r, ev)
+		s.assess(e, r, ev)
 	}
-	if r == nil || r.at == nil || ev.Attempt != r.sends-1 {
+	if r == nil || r.current == nil || ev.Attempt != r.sends-1 {
 		if ev.Result == Read {
-			s.do(Release{Request: ev.Request}) // a read that outlived its request still holds state
+			s.emit(Release{Request: ev.Request}) // a read that outlived its request still holds state
 		}
 		return
 	}
-	e = r.at
-	e.leave(r)
-	r.at = nil
-	if r.over || ev.Last || ev.Result == Served {
+	e = r.current
+	e.remove(r)
+	r.current = nil
+	if r.done || ev.Last || ev.Result == Served {
 		s.close(r)
 		return
 	}
 	if ev.Result == Rejected { // neither another engine nor another try would help
-		s.do(Fail{Request: r.Request, Why: AtFault})
+		s.emit(Fail{Request: r.Request, Reason: InvalidRequest})
 		s.close(r)
 		return
 	}
 	s.settle(r, e, ev)
-	s.next(r)
+	s.advance(r)
 }
 
-// gone ends a request whose client has left. One that left early shows how long its class waits: later ones
+// onClientGone ends a request whose client has left. One that left early shows how long its class waits: later ones
 // are held to that, or all that is read for them is read for nobody.
-func (s *Scheduler) gone(ev Gone) {
+func (s *Scheduler) onClientGone(ev ClientGone) {
 	r := s.requests[ev.Request]
 	if r == nil {
 		return
 	}
-	if waited := s.now - r.arrived; !r.over && !r.started && s.now < r.deadline && r.Class < len(s.patience) {
-		s.patience[r.Class] += share(gain, min(waited-s.patience[r.Class], 0))
+	if waited := s.now - r.arrived; !r.done && !r.started && s.now < r.deadline && r.Class < len(s.waitSeen) {
+		s.waitSeen[r.Class] += scale(gain, min(waited-s.waitSeen[r.Class], 0))
 	}
 	s.close(r)
 }
 
 func (s *Scheduler) send(r *request, e *engine) {
-	r.at, r.sentAt, r.called = e, s.now, false
-	r.whole = r.state == nil && e.role == Mixed
+	r.current, r.sentAt, r.cancelled = e, s.now, false
+	r.whole = r.holder == nil && e.role == Mixed
 	r.ahead, r.work = s.backlog(e), 0
 	p, size := &s.pools[e.role], r.PromptTokens
-	if r.state == nil {
-		r.work = s.toRead(e, r)
+	if r.holder == nil {
+		r.work = s.uncachedTokens(e, r)
 		size = r.work
 	}
-	p.reading = cmp.Or(p.reading, size)
-	p.reading += poolGain * (size - p.reading)
+	p.uncached = cmp.Or(p.uncached, size)
+	p.uncached += poolGain * (size - p.uncached)
 	r.sends++
-	r.lease = s.now + s.leaseOf(r)
-	e.out = append(e.out, r)
-	e.coldRoom -= r.size(e)
+	r.lease = s.now + s.requestLease(r)
+	e.pending = append(e.pending, r)
+	e.coldBudget -= r.size(e)
 	timeout := time.Duration(0)
 	if !s.set.Cancelling && e.role == Reader {
 		timeout = max((r.deadline-s.now)/2, s.set.Step) // what can't be called off has to end by itself
 	}
-	s.do(Send{Request: r.Request, Engine: e.ID, Timeout: timeout})
+	s.emit(Send{Request: r.Request, Engine: e.ID, Timeout: timeout})
 }
 
 // settle notes what the end of an attempt proves.
@@ -142,30 +142,30 @@
 	switch ev.Result {
 	case Read:
 		r.avoid = nil
-		s.learnPace(e, r, ev.Took, max(r.PromptTokens-ev.Kept, 1))
-		if e == r.home && e.keeps(r) == 0 && r.PromptTokens > 0 {
-			s.found += s.early() * (min(ev.Kept/r.PromptTokens, 1) - s.found)
+		s.learnPace(e, r, ev.Took, max(r.PromptTokens-ev.CachedTokens, 1))
+		if e == r.home && e.cachedTokens(r) == 0 && r.PromptTokens > 0 {
+			s.homeHit += s.poolWeight() * (min(ev.CachedTokens/r.PromptTokens, 1) - s.homeHit)
 		}
 		s.countServed(e, r)
-		e.keep(r)
-		r.state = e
+		e.remember(r)
+		r.holder = e
 	case Full:
 		if ev.NoState {
-			r.avoid, r.state = nil, nil
+			r.avoid, r.holder = nil, nil
 		}
-	case Errored, TimedOut, Broke, Cancelled, Mishap:
+	case Errored, TimedOut, Broke, Cancelled, NetworkFault:
 		if e.role == Reader {
-			r.state = nil
+			r.holder = nil
 		} else if r.ranAt == nil {
 			r.ranAt, r.ranSince = e, r.sentAt
 		}
 	}
-	r.stateAt = s.now
+	r.heldSince = s.now
 }
 
 // mayRepeat tells whether the class allows another attempt after those that may have run.
 func (s *Scheduler) mayRepeat(r *request) bool {
-	if s.set.MaxAttempts > 0 && r.Tried+r.sends >= s.set.MaxAttempts {
+	if s.set.MaxAttempts > 0 && r.PriorAttempts+r.sends >= s.set.MaxAttempts {
 		return false
 	}
 	if r.ranAt == nil || r.class.Effect == Safe {
@@ -184,44 +184,44 @@
 
 // mayRefuse tells whether the client may be told that trying again is harmless.
 func (r *request) mayRefuse() bool {
-	ran := r.ranAt != nil || r.at != nil // even a read proves nothing while it is out
+	ran := r.ranAt != nil || r.current != nil // even a read proves nothing while it is out
 	return !ran || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll)
 }
 
 // giveUp gives the final answer at once; a refusal tells when to come back.
-func (s *Scheduler) giveUp(r *request, holdOff time.Duration, why Why) {
+func (s *Scheduler) giveUp(r *request, holdOff time.Duration, reason Reason) {
 	if r.mayRefuse() {
-		s.do(Refuse{Request: r.Request, Why: why, HoldOff: min(holdOff, s.set.MaxHoldOff)})
+		s.emit(Refuse{Request: r.Request, Reason: reason, HoldOff: min(holdOff, s.set.MaxHoldOff)})
 	} else {
-		s.do(Fail{Request: r.Request, Why: why})
+		s.emit(Fail{Request: r.Request, Reason: reason})
 	}
 	s.close(r)
 }
 
 // close ends a request: nothing is owed any more, and what it holds is let go of once no attempt is out.
 func (s *Scheduler) close(r *request) {
-	if r.over = true; r.at == nil {
+	if r.done = true; r.current == nil {
 		s.forget(r)
 	} else {
-		s.callOff(r)
+		s.cancel(r)
 	}
 }
 
 func (s *Scheduler) forget(r *request) {
 	if !r.started && r.sends > 0 {
-		r.state = nil
-		s.do(Release{Request: r.Request})
+		r.holder = nil
+		s.emit(Release{Request: r.Request})
 	}
 	delete(s.requests, r.Request)
 }
 
-// usable lists the engines that may be sent to: ready, in scope, with room while cold, and not full a moment
+// eligible lists the engines that may be sent to: ready, in scope, with room while cold, and not full a moment
 // ago (else a state bounces between full writers and spends its attempts).
-func (s *Scheduler) usable(r *request, fits func(*engine) bool) []*engine {
+func (s *Scheduler) eligible(r *request, fits func(*engine) bool) []*engine {
 	var list []*engine
 	for _, e := range s.order {
-		open := e.Availability == Ready && s.now >= e.fullTill && e.part(r.Class) > 0
-		if open && r.inScope(e) && fits(e) && s.hasRoom(e, r) {
+		open := e.Availability == Ready && s.now >= e.fullUntil && e.classShare(r.Class) > 0
+		if open && r.inScope(e) && fits(e) && s.withinColdBudget(e, r) {
 			list = append(list, e)
 		}
 	}
--- a/brain/requests_test.go
+++ b/brain/requests_test.go
@@ -9,10 +9,10 @@
 	for class := range 3 {
 		b := newBench(t, testSettings(), fleet())
 		b.arrive(1, class, 3*time.Second)
-		b.pass(3*time.Second - ms)
+		b.advance(3*time.Second - ms)
 		b.must(b.finals(1) == 1, "class %d: %d final answers by the deadline", class, b.finals(1))
 		b.end(1, Read, false)
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		b.must(b.finals(1) == 1, "class %d: answered twice", class)
 		b.must(has[Release](b.log), "the late read's state was not let go")
 	}
@@ -21,7 +21,7 @@
 func TestNoEngineAtAll(t *testing.T) {
 	b := newBench(t, testSettings(), nil)
 	b.arrive(1, 0, 3*time.Second)
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.must(b.finals(1) == 1 && !has[Send](b.log), "want one answer and no send")
 }
 
@@ -29,9 +29,9 @@
 	b := newBench(t, testSettings(), fleet()[:2])
 	b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
-	b.pass(499 * ms)
+	b.advance(499 * ms)
 	b.must(has[Release](b.log), "state stayed pinned")
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestUnsafeMayBeReadAgain(t *testing.T) {
+func TestUnsafeMayBePrefilledAgain(t *testing.T) {
 	for _, result := range []Result{Errored, TimedOut, Broke, Cancelled, Full, ConnectFailed} {
 		b := newBench(t, testSettings(), fleet())
 		first := b.arrive(1, 1, 6*time.Second)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestProvenNotRunMovesStateOn(t *testing.T) {
+func TestStateMovesAfterAttemptThatDidNotRun(t *testing.T) {
 	for _, result := range []Result{Full, ConnectFailed} {
 		b := newBench(t, testSettings(), fleet())
 		b.arrive(1, 1, 6*time.Second)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestNoStateIsReadAgain(t *testing.T) {
+func TestMissingStateIsPrefilledAgain(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 1, 6*time.Second)
 	b.end(1, Read, false)
@@ -87,43 +87,43 @@
 	second := b.sentTo(1)
 	cell := map[EngineID]int{w1: 1, 23: 1, w2: 2, 24: 2}
 	b.must(second != first && cell[first] == cell[second], "it may have run at %d and went to %d", first, second)
-	b.pass(2100 * ms)
+	b.advance(2100 * ms)
 	got := b.end(1, Errored, false)
 	b.must(!has[Send](got) && !has[Refuse](got) && b.finals(1) == 1, "past the window: %+v", got)
 }
 
-func TestVanishedInReadAndInWait(t *testing.T) {
+func TestClientGoneDuringPrefillAndWait(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
-	b.must(has[Cancel](b.give(Gone{Request: 1})), "the read of a client that left goes on")
+	b.must(has[Cancel](b.handle(ClientGone{Request: 1})), "the read of a client that left goes on")
 	b.must(has[Release](b.end(1, Read, false)), "its state stays")
 	b.arrive(2, 0, 3*time.Second)
 	b.end(2, Read, false)
-	b.must(has[Cancel](b.give(Gone{Request: 2})), "the wait of a client that left goes on")
+	b.must(has[Cancel](b.handle(ClientGone{Request: 2})), "the wait of a client that left goes on")
 	b.must(has[Release](b.end(2, Cancelled, false)), "its state stays")
-	b.pass(5 * time.Second)
+	b.advance(5 * time.Second)
 	b.must(b.finals(1)+b.finals(2) == 0, "an answer to a client that left")
 }
 
 func TestStaleEventsAreIgnored(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
-	for _, ev := range []Event{Gone{Request: 9}, TimerFired{Key: 9}, Started{Request: 9, Engine: w1},
+	for _, ev := range []Event{ClientGone{Request: 9}, TimerFired{Key: 9}, Started{Request: 9, Engine: w1},
 		Ended{Request: 9, Engine: 99, Result: Errored}, Probed{Engine: 99}, Listed{Kind: ListFailed}} {
-		b.must(len(b.give(ev)) == 0, "%+v was answered", ev)
+		b.must(len(b.handle(ev)) == 0, "%+v was answered", ev)
 	}
-	got := b.give(Ended{Request: 9, Engine: 99, Result: Read})
+	got := b.handle(Ended{Request: 9, Engine: 99, Result: Read})
 	b.must(len(got) == 1 && has[Release](got), "a read of an unknown request: %+v", got)
 }
 
-func TestNothingForbiddenIsDone(t *testing.T) {
+func TestDisabledActionsAreNotTaken(t *testing.T) {
 	set := testSettings()
 	set.Probing, set.Cancelling, set.HoldOff = false, false, false
 	b := newBench(t, set, fleet())
 	for id := RequestID(1); id <= 6; id++ {
 		b.arrive(id, int(id)%2, 3*time.Second)
 	}
-	b.give(Gone{Request: 1})
-	b.pass(5 * time.Second)
+	b.handle(ClientGone{Request: 1})
+	b.advance(5 * time.Second)
 	b.must(!has[Cancel](b.log) && !has[Probe](b.log), "a forbidden action")
 	b.must(count(b.log, func(a Refuse) bool { return a.HoldOff != 0 }) == 0, "advice where none is carried")
 }
@@ -136,28 +136,28 @@
 		b.start(id)
 		b.end(id, Served, false)
 		b.log = b.log[:0]
-		b.pass(10 * ms)
+		b.advance(10 * ms)
 	}
 	if n := len(b.s.requests) + len(b.s.parked); n != 0 {
 		t.Fatalf("%d requests are remembered", n)
 	}
-	b.give(Listed{Kind: ListWhole})
+	b.handle(Listed{Kind: ListComplete})
 	if len(b.s.engines) != 0 || len(b.s.order) != 0 {
 		t.Fatal("engines that are gone are remembered")
 	}
 }
 
 // A refusal says that nothing ran; while a read is out even that is not proven.
-func TestUnsafeIsNotRefusedWhileAReadIsOut(t *testing.T) {
+func TestUnsafeIsNotRefusedDuringPrefill(t *testing.T) {
 	set := testSettings()
 	set.Cancelling, set.Probing = false, false
 	b := newBench(t, set, fleet())
 	b.arrive(1, 1, 6*time.Second)
-	b.pass(6 * time.Second)
+	b.advance(6 * time.Second)
 	b.must(!has[Refuse](b.log) && has[Fail](b.log), "want a failure and no refusal")
 }
 
-func TestOverloadRefusesTheLeastWorthFirst(t *testing.T) {
+func TestOverloadRefusesLowestWorthFirst(t *testing.T) {
 	b := newBench(t, testSettings(), fleet()[:3])
 	refused := map[int]int{}
 	for id := RequestID(1); id < 200; id++ {
@@ -173,20 +173,20 @@
 
 // With nobody to send to, a request was kept for its whole deadline, which is a minute for some clients. From its
 // aim on nothing is won by waiting here: the client is told to try elsewhere.
-func TestNoEngineByTheAimIsRefusedThen(t *testing.T) {
+func TestRefusedAtAimWithoutEngine(t *testing.T) {
 	b := newBench(t, testSettings(), nil)
 	b.arrive(1, 1, time.Minute) // its aim is 1.5 s
-	b.pass(1400 * ms)
+	b.advance(1400 * ms)
 	b.must(b.finals(1) == 0, "answered before its aim")
-	b.pass(400 * ms)
+	b.advance(400 * ms)
 	b.must(count(b.log, func(a Refuse) bool { return a.Request == 1 }) == 1, "not refused soon after its aim")
 	b.arrive(2, 1, time.Minute)
-	b.give(Listed{Kind: ListWhole, Engines: fleet()})
+	b.handle(Listed{Kind: ListComplete, Engines: fleet()})
 	b.must(b.sentTo(2) != 0, "not sent once an engine is listed")
 }
 
 // A request that an engine finds at fault fails at once, at its first attempt, and says nothing on the engine.
-func TestRequestAtFaultIsNoWordOnTheEngine(t *testing.T) {
+func TestInvalidRequestIsNoEvidenceOnEngine(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	for id := RequestID(1); id <= 10; id++ {
 		at := b.arrive(id, int(id)%2, 3000*ms)
@@ -205,13 +205,13 @@
 
 // A client that asks for the rest of a broken answer had its first token in time. After a restart dozens of them come
 // at once to the router that is left: those turned away for the aim of a first token lost all that they had.
-func TestRestOfAnAnswerIsAdmittedToItsDeadline(t *testing.T) {
+func TestResumedRequestIsAdmittedUpToDeadline(t *testing.T) {
 	refused := func(wait float64, resumed bool) bool {
 		b := newBench(t, testSettings(), fleet())
-		b.s.pools[Writer].starts[1] = starts{wait, b.now}
-		b.s.pools[Writer].starts[2] = starts{wait, b.now}
-		b.s.engines[w1].coldTill, b.s.engines[w2].coldTill = time.Hour, time.Hour
-		b.give(Arrived{Request: 1, PromptTokens: 2000, MaxTokens: 300, Left: 3 * time.Second, Resumed: resumed})
+		b.s.pools[Writer].starts[1] = startTime{wait, b.now}
+		b.s.pools[Writer].starts[2] = startTime{wait, b.now}
+		b.s.engines[w1].coldUntil, b.s.engines[w2].coldUntil = time.Hour, time.Hour
+		b.handle(Arrived{Request: 1, PromptTokens: 2000, MaxTokens: 300, Timeout: 3 * time.Second, Resumed: resumed})
 		return b.finals(1) == 1
 	}
 	if !refused(1, false) || refused(1, true) || !refused(3, true) {
@@ -221,13 +221,13 @@
 
 // Settings retuned while requests are under way: one under way keeps its class as it came (here, a safe one is
 // still tried again), and what comes after takes the new terms (the same class now unsafe, never repeated).
-func TestRetuneKeepsClassOfRequestsUnderWay(t *testing.T) {
+func TestUpdateSettingsKeepsClassOfOpenRequests(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
 	stricter := testSettings()
 	stricter.Classes[0].Effect = Unsafe
-	b.s.Retune(stricter)
+	b.s.UpdateSettings(stricter)
 	got := b.end(1, Errored, false)
 	b.must(has[Send](got), "the request under way lost its class: %+v", got)
 	b.arrive(2, 0, 3*time.Second)
@@ -238,7 +238,7 @@
 
 // What the fleet's plan leaves no room for is turned away as it arrives, by its rank, with advice that is spread; the
 // others, and classes that the plan does not name, are taken.
-func TestPlanTurnsAwayByRank(t *testing.T) {
+func TestPlanRefusesByRank(t *testing.T) {
 	set := testSettings()
 	set.Admitted = []float64{0.4, 1}
 	b := newBench(t, set, fleet())
@@ -247,9 +247,9 @@
 		for class := range 3 {
 			id := RequestID(100*class + i)
 			b.log = nil
-			b.give(Arrived{Request: id, Class: class, Session: uint64(id) + 1, Rank: float64(i) / 10, PromptTokens: 100, MaxTokens: 10, Left: 3 * time.Second})
+			b.handle(Arrived{Request: id, Class: class, Session: uint64(id) + 1, Rank: float64(i) / 10, PromptTokens: 100, MaxTokens: 10, Timeout: 3 * time.Second})
 			refused := count[Refuse](b.log, func(r Refuse) bool { advice[r.HoldOff] = true; return r.Request == id })
-			if want := one(class == 0 && i >= 4); refused != want || count[Send](b.log, func(s Send) bool { return s.Request == id }) != 1-want {
+			if want := toInt(class == 0 && i >= 4); refused != want || count[Send](b.log, func(s Send) bool { return s.Request == id }) != 1-want {
 				t.Errorf("class %d, rank 0.%d: refused %d times, want %d", class, i, refused, want)
 			}
 		}
--- a/brain/shared_test.go
+++ b/brain/shared_test.go
@@ -41,9 +41,9 @@
 func TestReportedWorkSendsPromptsElsewhere(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	home := b.arrive(1, 0, 3*time.Second)
-	b.pass(20 * ms)
+	b.advance(20 * ms)
 	b.end(1, Read, false)
-	b.give(Reported{Engine: home, Load: Load{Known: true, MemoryShare: -1, WaitTokens: 1e6}})
+	b.handle(Reported{Engine: home, Load: Load{Known: true, MemoryShare: -1, WaitTokens: 1e6}})
 	b.must(b.arrive(2, 0, 3*time.Second) != home, "sent to a reader that a million tokens wait at")
 }
 
@@ -52,8 +52,8 @@
 	b := newBench(t, testSettings(), fleet())
 	at := b.arrive(1, 0, 3*time.Second)
 	before := b.s.requests[1].lease
-	b.pass(50 * ms)
-	b.give(Reported{Engine: at, Load: Load{Known: true, MemoryShare: -1, WaitTokens: 10}})
+	b.advance(50 * ms)
+	b.handle(Reported{Engine: at, Load: Load{Known: true, MemoryShare: -1, WaitTokens: 10}})
 	b.must(b.s.requests[1].lease == before, "the lease moved from %v to %v", before, b.s.requests[1].lease)
 }
 
@@ -63,7 +63,7 @@
 		set := testSettings()
 		set.LateShare = lateShare
 		b := newBench(t, set, []Engine{fleet()[0], fleet()[2]})
-		b.s.pools[Writer].starts[1] = starts{1.2, b.now} // answers start after more than the aim
+		b.s.pools[Writer].starts[1] = startTime{1.2, b.now} // answers start after more than the aim
 		b.arrive(10, 0, 9*time.Second)
 		return b.finals(10) == 1
 	}
@@ -81,9 +81,9 @@
 			set.RereadWeight = weight
 			b := newBench(t, set, fleet())
 			home := b.arrive(1, 0, 3*time.Second)
-			b.pass(20 * ms)
+			b.advance(20 * ms)
 			b.end(1, Read, false)
-			b.give(Reported{Engine: home, Load: Load{Known: true, MemoryShare: -1, WaitTokens: waiting}})
+			b.handle(Reported{Engine: home, Load: Load{Known: true, MemoryShare: -1, WaitTokens: waiting}})
 			if b.arrive(2, 0, 3*time.Second) != home {
 				return waiting
 			}
@@ -97,12 +97,12 @@
 
 // What others say of a reader is no word of its own: that nothing waits there by their account does not prove a read lost
 // that takes its time.
-func TestHearsayProvesNoReadLost(t *testing.T) {
+func TestPeerReportsProveNoPrefillLost(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	at := b.arrive(1, 0, 3*time.Second)
 	for range 20 {
-		b.pass(50 * ms)
-		b.give(Reported{Engine: at, Load: Load{Known: true, MemoryShare: -1, Hearsay: true}})
+		b.advance(50 * ms)
+		b.handle(Reported{Engine: at, Load: Load{Known: true, MemoryShare: -1, FromPeers: true}})
 	}
 	b.must(!has[Cancel](b.log), "a read was given up on the word of others")
 }
@@ -110,14 +110,14 @@
 // A prompt that is shorter than the settings say goes whole to a writer; a longer one is read first.
 func TestShortPromptsGoWholeToWriters(t *testing.T) {
 	set := testSettings()
-	set.WholeTokens = 1000
+	set.MinPrefillTokens = 1000
 	b := newBench(t, set, fleet())
 	roles := map[EngineID]Role{}
 	for _, e := range fleet() {
 		roles[e.ID] = set.Kinds[e.Kind].Role
 	}
 	for id, tokens := range map[RequestID]float64{1: 0, 2: 999, 3: 1000} {
-		b.give(Arrived{Request: id, Class: 0, Session: uint64(id), PromptTokens: tokens, MaxTokens: 30, Left: 3 * time.Second})
+		b.handle(Arrived{Request: id, Class: 0, Session: uint64(id), PromptTokens: tokens, MaxTokens: 30, Timeout: 3 * time.Second})
 		b.must((roles[b.sentTo(id)] == Writer) == (tokens < 1000), "%.0f tokens went to a worker of role %d", tokens, roles[b.sentTo(id)])
 	}
 	b.end(1, Full, false)
--- a/brain/soak_test.go
+++ b/brain/soak_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// held counts what a scheduler remembers: the most that an engine has kept for prompts, and all else.
-func (s *Scheduler) held() (kept, other int) {
+// entryCounts counts what a scheduler remembers: the most that an engine has kept for prompts, and all else.
+func (s *Scheduler) entryCounts() (kept, other int) {
 	other = len(s.requests) + len(s.parked) + len(s.tallies) + len(s.engines) + len(s.order)
 	for _, e := range s.order {
-		kept = max(kept, len(e.kept))
-		other += len(e.out) + len(e.streams)
+		kept = max(kept, len(e.cached))
+		other += len(e.pending) + len(e.streams)
 	}
 	for i := range s.pools {
 		other += len(s.pools[i].starts) + len(s.pools[i].served) + len(s.pools[i].warm)
@@ -32,14 +32,14 @@
 	for i := range engines {
 		list = append(list, Engine{ID: EngineID(100 + i), Cell: i / 2, Kind: i % 2, Weight: 1})
 	}
-	w := newTown(set, 45, list, capacity)
+	w := newSimFleet(set, 45, list, capacity)
 	type part struct{ asked, served int }
 	classes, owners := [3]part{}, [tenants]part{}
 	tenant := map[RequestID]int{}
 	w.done = func(a Arrived, how string) {
 		for _, p := range []*part{&classes[a.Class], &owners[tenant[a.Request]]} {
 			p.asked++
-			p.served += one(how == "served")
+			p.served += toInt(how == "served")
 		}
 		delete(tenant, a.Request)
 	}
@@ -66,7 +66,7 @@
 				a.Class = []int{0, 0, 0, 1, 2}[w.random.IntN(5)]
 				a.Session = w.random.Uint64N(300000) + 1
 				a.Prefix, a.PrefixTokens = w.random.Uint64N(3000)+1, 100
-				a.Left = set.Classes[a.Class].Deadline
+				a.Timeout = set.Classes[a.Class].Deadline
 				tenant[a.Request] = []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[w.random.IntN(10)]
 			})
 			w.after(10*time.Second, func() { replace(1 + minute%(engines-1)) })
@@ -74,7 +74,7 @@
 		}
 		w.run(30 * time.Second) // the load has gone, and what it had open
 		for _, r := range w.routers {
-			k, other := r.s.held()
+			k, other := r.s.entryCounts()
 			kept[n], entries[n] = max(kept[n], k), entries[n]+other
 			if open := len(r.s.requests) + len(r.s.parked) + len(r.arrived); open > 0 {
 				t.Errorf("third %d: %d requests are remembered after the load", n+1, open)
@@ -97,7 +97,7 @@
 		}
 		t.Logf("third %d: classes %v, tenants %v, %.2f can be served; at most %d beginnings of an engine and %d entries, %d kB", n+1, classes, owners, share, kept[n], entries[n], bytes[n]>>10)
 	}
-	if slices.Max(kept[:]) > keptLimit+2 || entries[2] > entries[1]+entries[1]/20 {
+	if slices.Max(kept[:]) > cachedLimit+2 || entries[2] > entries[1]+entries[1]/20 {
 		t.Errorf("what is remembered grows: %v beginnings, %v entries", kept, entries)
 	}
 	if bytes[2] > bytes[1]+bytes[1]/10+200<<10 {
--- a/brain/state.go
+++ b/brain/state.go
@@ -11,44 +11,44 @@
 
 // Scheduler decides for one router. See the package comment for what it promises.
 type Scheduler struct {
-	set        Settings
-	seed       uint64
-	now        time.Duration
-	out        []Action
-	engines    map[EngineID]*engine
-	order      []*engine // by ID
-	requests   map[RequestID]*request
-	parked     []*request // no engine to send to, oldest first
-	tick       time.Duration
-	ticking    bool
-	askedAt    time.Duration
-	tallies    map[group]tally
-	seen       int // requests so far
-	began      time.Duration
-	patience   []time.Duration // by class: how long clients have been seen to wait
-	pools      [Mixed + 1]pool
-	answerTime time.Duration // of probes, mean
-	found      float64       // share of a prompt that a home has usually kept from other routers
-	most       float64       // worth of the class that is worth most
+	set       Settings
+	seed      uint64
+	now       time.Duration
+	actions   []Action
+	engines   map[EngineID]*engine
+	order     []*engine // by ID
+	requests  map[RequestID]*request
+	parked    []*request // no engine to send to, oldest first
+	tick      time.Duration
+	ticking   bool
+	askedAt   time.Duration
+	tallies   map[tallyKey]tally
+	seen      int // requests so far
+	began     time.Duration
+	waitSeen  []time.Duration // by class: how long clients have been seen to wait
+	pools     [Mixed + 1]pool
+	probeTime time.Duration // of probes, mean
+	homeHit   float64       // share of a prompt that a home has usually kept from other routers
+	maxWorth  float64       // worth of the class that is worth most
 }
 
 // pool is what a role's engines have in common.
 type pool struct {
-	time     float64         // mean seconds of a read
-	tokens   float64         // and mean tokens ahead of its end
-	reads    float64         // seen
-	pace     float64         // mean seconds for a token that were seen, waits that nobody told of among them
-	memory   float64         // mean reported share of memory
-	reading  float64         // mean tokens that a prompt leaves to be read
-	waiting  float64         // mean reported tokens that wait
-	starts   map[int]starts  // of states of the writer's own cell, by cell; far: of others
-	served   map[int]float64 // decayed sum of work served for us, by zone and for allZones
+	time     float64           // mean seconds of a read
+	tokens   float64           // and mean tokens ahead of its end
+	reads    float64           // seen
+	pace     float64           // mean seconds for a token that were seen, waits that nobody told of among them
+	memory   float64           // mean reported share of memory
+	uncached float64           // mean tokens that a prompt leaves to be read
+	backlog  float64           // mean reported tokens that wait
+	starts   map[int]startTime // of states of the writer's own cell, by cell; far: of others
+	served   map[int]float64   // decayed sum of work served for us, by zone and for allZones
 	servedAt time.Duration
 	warm     map[int]float64 // engines that are ready and past their warm-up, likewise
 }
 
-// starts is what is known of the time from a send to the start of an answer: mean seconds, as of a time.
-type starts struct {
+// startTime is what is known of the time from a send to the start of an answer: mean seconds, as of a time.
+type startTime struct {
 	mean float64
 	at   time.Duration
 }
@@ -60,9 +60,9 @@
 // allZones stands for the zones together.
 const allZones = math.MinInt
 
-// way is where the request's state comes from as seen from an engine: the cell that they share, or far.
-func (r *request) way(e *engine) int {
-	if r.state != nil && r.state.Cell != e.Cell {
+// origin is where the request's state comes from as seen from an engine: the cell that they share, or far.
+func (r *request) origin(e *engine) int {
+	if r.holder != nil && r.holder.Cell != e.Cell {
 		return far
 	}
 	return e.Cell
@@ -70,55 +70,55 @@
 
 type engine struct {
 	Engine
-	role     Role
-	memory   float64
-	out      []*request // attempts not yet started, oldest first
-	streams  []*request
-	lastLife time.Duration
-	passed   time.Duration // when the newest of the attempts that it has read or begun to answer was sent
-	probedAt time.Duration
-	probing  bool
-	fullTill time.Duration // rests until then, having turned an attempt away
-	away     int           // in the order of a request's readers: 0 own zone, 1 another, 2 last
-	coldTill time.Duration
-	coldRoom float64 // of our part of its budget, not yet used
-	coldAt   time.Duration
-	time     float64 // decayed sums of the reads: seconds, tokens
-	tokens   float64
-	pacedAt  time.Duration
-	share    float64            // weight in the rendezvous hash
-	kept     map[uint64]float64 // tokens of beginnings read here
-	load     Load
-	loadAt   time.Duration
+	role         Role
+	memory       float64
+	pending      []*request // attempts not yet started, oldest first
+	streams      []*request
+	lastAlive    time.Duration
+	newestServed time.Duration // when the newest of the attempts that it has read or begun to answer was sent
+	probedAt     time.Duration
+	probing      bool
+	fullUntil    time.Duration // rests until then, having turned an attempt away
+	tier         int           // in the order of a request's readers: 0 own zone, 1 another, 2 last
+	coldUntil    time.Duration
+	coldBudget   float64 // of our part of its budget, not yet used
+	budgetAt     time.Duration
+	time         float64 // decayed sums of the reads: seconds, tokens
+	tokens       float64
+	pacedAt      time.Duration
+	share        float64            // weight in the rendezvous hash
+	cached       map[uint64]float64 // tokens of beginnings read here
+	load         Load
+	loadAt       time.Duration
 }
 
 type request struct {
 	Arrived
-	class    *Class
-	stake    float64 // weight of a chance of failure
-	arrived  time.Duration
-	aimAt    time.Duration
-	deadline time.Duration
-	sends    int
-	at       *engine // of the attempt that is out; nil: none
-	whole    bool    // the attempt reads and answers
-	sentAt   time.Duration
-	work     float64 // prompt tokens that the attempt is thought to read
-	ahead    float64 // backlog that it found
-	lease    time.Duration
-	called   bool // the attempt was cancelled
-	started  bool
-	over     bool    // the final answer is given, or none is owed
-	home     *engine // the first of its readers in hash order
-	state    *engine // the reader that holds the state; nil: none
-	stateAt  time.Duration
-	avoid    *engine // of the last failure
-	ranAt    *engine // the first engine at which it may have run
-	ranSince time.Duration
+	class     *Class
+	cost      float64 // weight of a chance of failure
+	arrived   time.Duration
+	aimAt     time.Duration
+	deadline  time.Duration
+	sends     int
+	current   *engine // of the attempt that is out; nil: none
+	whole     bool    // the attempt reads and answers
+	sentAt    time.Duration
+	work      float64 // prompt tokens that the attempt is thought to read
+	ahead     float64 // backlog that it found
+	lease     time.Duration
+	cancelled bool // the attempt was cancelled
+	started   bool
+	done      bool    // the final answer is given, or none is owed
+	home      *engine // the first of its readers in hash order
+	holder    *engine // the reader that holds the state; nil: none
+	heldSince time.Duration
+	avoid     *engine // of the last failure
+	ranAt     *engine // the first engine at which it may have run
+	ranSince  time.Duration
 }
 
-// listed brings the list up to date.
-func (s *Scheduler) listed(ev Listed) {
+// onListed brings the list up to date.
+func (s *Scheduler) onListed(ev Listed) {
 	if ev.Kind == ListFailed {
 		s.askedAt = s.now
 		return
@@ -135,34 +135,34 @@
 		}
 	}
 	for _, entry := range ev.Engines {
-		s.list(entry)
+		s.updateEngine(entry)
 	}
-	s.order = slices.DeleteFunc(s.order, s.forgotten)
-	s.weigh()
+	s.order = slices.DeleteFunc(s.order, s.dropIfGone)
+	s.updateShares()
 	if ev.Kind == ListCached && s.set.AskForList {
 		s.askedAt = s.now
-		s.do(Subscribe{})
+		s.emit(Subscribe{})
 	}
 	if !s.ticking {
 		s.ticking, s.began = true, s.now
-		s.do(SetTimer{At: s.now + s.tick, Key: tickKey})
+		s.emit(SetTimer{At: s.now + s.tick, Key: tickKey})
 	}
-	s.unpark()
+	s.retryParked()
 }
 
-// forgotten drops an engine that is gone and has none of our attempts out.
-func (s *Scheduler) forgotten(e *engine) bool {
-	if e.Availability != Removed || len(e.out)+len(e.streams) > 0 {
+// dropIfGone drops an engine that is gone and has none of our attempts out.
+func (s *Scheduler) dropIfGone(e *engine) bool {
+	if e.Availability != Removed || len(e.pending)+len(e.streams) > 0 {
 		return false
 	}
 	for class := anyClass; class < len(s.set.Classes); class++ {
-		delete(s.tallies, group{byEngine, uint64(e.ID), class})
+		delete(s.tallies, tallyKey{byEngine, uint64(e.ID), class})
 	}
 	delete(s.engines, e.ID)
 	return true
 }
 
-func (s *Scheduler) list(entry Engine) {
+func (s *Scheduler) updateEngine(entry Engine) {
 	if entry.Kind < 0 || entry.Kind >= len(s.set.Kinds) {
 		return
 	}
@@ -171,7 +171,7 @@
 		if entry.Availability == Removed {
 			return
 		}
-		e = &engine{lastLife: s.now, kept: map[uint64]float64{}}
+		e = &engine{lastAlive: s.now, cached: map[uint64]float64{}}
 		s.engines[entry.ID] = e
 		e.ID = entry.ID
 		byID := func(o *engine, id EngineID) int { return cmp.Compare(o.ID, id) }
@@ -179,34 +179,34 @@
 		s.order = slices.Insert(s.order, at, e)
 	}
 	if entry.StartedAt != e.StartedAt {
-		e.restarted()
+		e.reset()
 	}
 	e.Engine, e.role, e.memory = entry, s.set.Kinds[entry.Kind].Role, s.set.Kinds[entry.Kind].MemoryTokens
 	if entry.StartedAt > 0 {
-		s.chill(e, entry.StartedAt)
+		s.startWarmup(e, entry.StartedAt)
 	}
 }
 
-// restarted forgets what an earlier process had kept and said.
-func (e *engine) restarted() {
-	clear(e.kept)
-	e.time, e.tokens, e.load, e.loadAt, e.passed = 0, 0, Load{}, 0, 0
+// reset forgets what an earlier process had kept and said.
+func (e *engine) reset() {
+	clear(e.cached)
+	e.time, e.tokens, e.load, e.loadAt, e.newestServed = 0, 0, Load{}, 0, 0
 }
 
-// sized is the engine's size against its peers', where the list tells it.
-func (e *engine) sized() float64 {
+// size is the engine's size against its peers', where the list tells it.
+func (e *engine) size() float64 {
 	if e.Weight > 0 && !math.IsInf(e.Weight, 0) {
 		return e.Weight
 	}
 	return 1
 }
 
-// part is the engine's weight in the rendezvous hash for a class: what the fleet's plan leaves it of its share.
-func (e *engine) part(class int) float64 {
-	if class < 0 || class >= len(e.Parts) {
+// classShare is the engine's weight in the rendezvous hash for a class: what the fleet's plan leaves it of its share.
+func (e *engine) classShare(class int) float64 {
+	if class < 0 || class >= len(e.ClassWeights) {
 		return e.share
 	}
-	return e.share * e.Parts[class]
+	return e.share * e.ClassWeights[class]
 }
 
 // unit hashes two numbers to one between 0 and 1 (splitmix64's finalizer).
@@ -220,20 +220,20 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// keep remembers what the engine has read.
-func (e *engine) keep(r *request) {
-	if len(e.kept) > keptLimit {
-		clear(e.kept)
+// remember remembers what the engine has read.
+func (e *engine) remember(r *request) {
+	if len(e.cached) > cachedLimit {
+		clear(e.cached)
 	}
 	if r.Prefix != 0 {
-		e.kept[r.Prefix] = r.PrefixTokens
+		e.cached[r.Prefix] = r.PrefixTokens
 	}
 	if r.Session != 0 {
-		e.kept[r.Session] = r.PromptTokens
+		e.cached[r.Session] = r.PromptTokens
 	}
 }
 
-type group struct {
+type tallyKey struct {
 	scope int
 	id    uint64
 	class int
@@ -244,41 +244,41 @@
 	at     time.Duration
 }
 
-func (e *engine) groups(class int) [3]group {
+func (e *engine) tallyKeys(class int) [3]tallyKey {
 	role := uint64(e.role)
-	return [...]group{{byZone, uint64(e.Zone)<<8 | role, class}, {byCell, uint64(e.Cell)<<8 | role, class},
+	return [...]tallyKey{{byZone, uint64(e.Zone)<<8 | role, class}, {byCell, uint64(e.Cell)<<8 | role, class},
 		{byEngine, uint64(e.ID), class}}
 }
 
-// fade is how much of something is left after a time.
-func fade(age, memory time.Duration) float64 {
+// decay is how much of something is left after a time.
+func decay(age, memory time.Duration) float64 {
 	return math.Exp(-max(age, 0).Seconds() / memory.Seconds())
 }
 
-func share(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
+func scale(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
 
-// leave ends the attempt's lease: it started or it is over.
-func (e *engine) leave(r *request) {
+// remove ends the attempt's lease: it started or it is over.
+func (e *engine) remove(r *request) {
 	is := func(o *request) bool { return o == r }
-	e.out, e.streams = slices.DeleteFunc(e.out, is), slices.DeleteFunc(e.streams, is)
+	e.pending, e.streams = slices.DeleteFunc(e.pending, is), slices.DeleteFunc(e.streams, is)
 }
 
-// keeps is how much of the prompt we know the engine to have read before.
-func (e *engine) keeps(r *request) float64 {
+// cachedTokens is how much of the prompt we know the engine to have read before.
+func (e *engine) cachedTokens(r *request) float64 {
 	kept := 0.0
 	if r.Prefix != 0 {
-		kept = e.kept[r.Prefix]
+		kept = e.cached[r.Prefix]
 	}
 	if r.Session != 0 {
-		kept = max(kept, e.kept[r.Session])
+		kept = max(kept, e.cached[r.Session])
 	}
 	return kept
 }
 
-// holds is 1 where the engine is thought to keep the request's beginning besides.
-func (r *request) holds(e *engine) int { return one(slices.Contains(r.Homes, e.ID)) }
+// holdsPrefix is 1 where the engine is thought to keep the request's beginning besides.
+func (r *request) holdsPrefix(e *engine) int { return toInt(slices.Contains(r.Homes, e.ID)) }
 
-func one(yes bool) int {
+func toInt(yes bool) int {
 	if yes {
 		return 1
 	}
--- a/brain/town_test.go
+++ b/brain/town_test.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// town is a fleet in virtual time: routers that share nothing, each with a Scheduler of its own, and engines with one
+// simFleet is a fleet in virtual time: routers that share nothing, each with a Scheduler of its own, and engines with one
 // queue each. Equal seeds give equal days.
-type town struct {
-	set     Settings
-	random  *rand.Rand
-	now     time.Duration
-	due     dues
-	seq     int
-	routers []*townRouter
-	busy    []float64 // of the routers: running sum of their parts of the traffic
-	engines map[EngineID]*townEngine
-	ids     RequestID
-	mute    bool // engines report nothing of their load
+type simFleet struct {
+	set         Settings
+	random      *rand.Rand
+	now         time.Duration
+	queue       eventQueue
+	seq         int
+	routers     []*simRouter
+	trafficSums []float64 // of the routers: running sum of their parts of the traffic
+	engines     map[EngineID]*simEngine
+	ids         RequestID
+	noReports   bool // engines report nothing of their load
 	// done is told how each request ended.
 	done func(a Arrived, end string)
 }
 
-// townEngine works off what it is sent, one after the other.
-type townEngine struct {
+// simEngine works off what it is sent, one after the other.
+type simEngine struct {
 	Engine
 	role     Role
 	capacity float64 // requests of mean work a second, warm
-	free     time.Duration
+	freeAt   time.Duration
 	streams  int
-	got      []townSend
+	received []simSend
 }
 
-type townSend struct {
+type simSend struct {
 	at   time.Duration
 	work float64 // in requests of mean work
 }
 
-type townRouter struct {
-	*town
-	s        *Scheduler
-	attempts map[RequestID][]*townAttempt
-	arrived  map[RequestID]Arrived
-	life     int
+type simRouter struct {
+	*simFleet
+	s          *Scheduler
+	attempts   map[RequestID][]*simAttempt
+	arrived    map[RequestID]Arrived
+	generation int
 }
 
-type townAttempt struct {
+type simAttempt struct {
 	engine EngineID
 	over   bool
 }
@@ -54,71 +54,71 @@
 const (
 	meanPrompt, maxAnswer = 2000.0, 300.0
 	streamTime            = 2 * time.Second
-	townQueue             = 2 * time.Second // longer waits are turned away
+	simQueueLimit         = 2 * time.Second // longer waits are turned away
 )
 
-type dueEvent struct {
+type queuedEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type dues []dueEvent
+type eventQueue []queuedEvent
 
-func (d dues) Len() int { return len(d) }
-func (d dues) Less(i, j int) bool {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
 }
-func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)   { *d = append(*d, x.(dueEvent)) }
-func (d *dues) Pop() any {
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(queuedEvent)) }
+func (d *eventQueue) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// newTown has the settings' number of routers, and engines that have been up for long.
-func newTown(set Settings, seed uint64, engines []Engine, capacity float64) *town {
-	w := &town{set: set, random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, engines: map[EngineID]*townEngine{}, done: func(Arrived, string) {}}
+// newSimFleet has the settings' number of routers, and engines that have been up for long.
+func newSimFleet(set Settings, seed uint64, engines []Engine, capacity float64) *simFleet {
+	w := &simFleet{set: set, random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, engines: map[EngineID]*simEngine{}, done: func(Arrived, string) {}}
 	for _, e := range engines {
 		w.start(e, capacity)
 	}
 	sum := 0.0
 	for range set.Routers {
-		r := &townRouter{town: w}
+		r := &simRouter{simFleet: w}
 		r.restart()
 		w.routers = append(w.routers, r)
 		sum += 0.2 + w.random.ExpFloat64() // some see several times the mean
-		w.busy = append(w.busy, sum)
+		w.trafficSums = append(w.trafficSums, sum)
 	}
 	return w
 }
 
-func (w *town) start(e Engine, capacity float64) {
-	w.engines[e.ID] = &townEngine{Engine: e, role: w.set.Kinds[e.Kind].Role, capacity: capacity}
+func (w *simFleet) start(e Engine, capacity float64) {
+	w.engines[e.ID] = &simEngine{Engine: e, role: w.set.Kinds[e.Kind].Role, capacity: capacity}
 }
 
 // restart gives the router a new process, which knows the list and nothing else.
-func (r *townRouter) restart() {
-	r.life++
-	r.s, r.attempts, r.arrived = New(r.set, r.random.Uint64()), map[RequestID][]*townAttempt{}, map[RequestID]Arrived{}
+func (r *simRouter) restart() {
+	r.generation++
+	r.s, r.attempts, r.arrived = New(r.set, r.random.Uint64()), map[RequestID][]*simAttempt{}, map[RequestID]Arrived{}
 	list := Listed{Kind: ListCached}
 	for _, e := range r.engines {
 		list.Engines = append(list.Engines, e.Engine)
 	}
-	r.give(list)
+	r.handle(list)
 }
 
-func (w *town) after(d time.Duration, do func()) {
+func (w *simFleet) after(d time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.due, dueEvent{w.now + d, w.seq, do})
+	heap.Push(&w.queue, queuedEvent{w.now + d, w.seq, do})
 }
 
 // run lets time go by.
-func (w *town) run(length time.Duration) {
+func (w *simFleet) run(length time.Duration) {
 	end := w.now + length
-	for len(w.due) > 0 && w.due[0].at <= end {
-		e := heap.Pop(&w.due).(dueEvent)
+	for len(w.queue) > 0 && w.queue[0].at <= end {
+		e := heap.Pop(&w.queue).(queuedEvent)
 		w.now = e.at
 		e.do()
 	}
@@ -126,70 +126,70 @@
 }
 
 // list tells every router of changes, each a little later than the others.
-func (w *town) list(changed ...Engine) {
+func (w *simFleet) list(changed ...Engine) {
 	for _, r := range w.routers {
-		w.after(time.Duration(w.random.IntN(800))*time.Millisecond, func() { r.give(Listed{Kind: ListDelta, Engines: changed}) })
+		w.after(time.Duration(w.random.IntN(800))*time.Millisecond, func() { r.handle(Listed{Kind: ListDelta, Engines: changed}) })
 	}
 }
 
 // load has so many requests a second arrive for so long; each is described by draw.
-func (w *town) load(rate float64, length time.Duration, draw func(*Arrived)) {
+func (w *simFleet) load(rate float64, length time.Duration, draw func(*Arrived)) {
 	for t := time.Duration(0); ; {
 		if t += time.Duration(w.random.ExpFloat64() / rate * float64(time.Second)); t > length {
 			return
 		}
 		w.ids++
-		at := w.random.Float64() * w.busy[len(w.busy)-1]
+		at := w.random.Float64() * w.trafficSums[len(w.trafficSums)-1]
 		i := 0
-		for w.busy[i] < at {
+		for w.trafficSums[i] < at {
 			i++
 		}
 		a := Arrived{Request: w.ids, Session: uint64(w.ids), MaxTokens: maxAnswer,
-			PromptTokens: 600 + w.random.ExpFloat64()*(meanPrompt-600), Left: 3 * time.Second}
+			PromptTokens: 600 + w.random.ExpFloat64()*(meanPrompt-600), Timeout: 3 * time.Second}
 		if draw != nil {
 			draw(&a)
 		}
 		r := w.routers[i]
 		w.after(t, func() {
 			r.arrived[a.Request] = a
-			r.give(a)
+			r.handle(a)
 		})
 	}
 }
 
-func (r *townRouter) later(d time.Duration, do func()) {
-	life := r.life
+func (r *simRouter) schedule(d time.Duration, do func()) {
+	life := r.generation
 	r.after(d, func() {
-		if r.life == life {
+		if r.generation == life {
 			do()
 		}
 	})
 }
 
-func (r *townRouter) give(ev Event) {
+func (r *simRouter) handle(ev Event) {
 	for _, action := range r.s.Handle(r.now, ev, nil) {
 		switch a := action.(type) {
 		case SetTimer:
-			r.later(max(a.At-r.now, 0), func() { r.give(TimerFired{Key: a.Key}) })
+			r.schedule(max(a.At-r.now, 0), func() { r.handle(TimerFired{Key: a.Key}) })
 		case Send:
 			r.send(a)
 		case Cancel:
 			if r.open(a.Request, a.Attempt) {
-				r.later(0, func() { r.end(a.Request, a.Attempt, Ended{Result: Cancelled}) })
+				r.schedule(0, func() { r.end(a.Request, a.Attempt, Ended{Result: Cancelled}) })
 			}
 		case Refuse:
 			r.finish(a.Request, "refused")
 		case Fail:
 			r.finish(a.Request, "failed")
 		case Probe:
-			r.later(5*time.Millisecond, func() {
-				r.give(Probed{Engine: a.Engine, Result: Served, Took: 5 * time.Millisecond, Load: r.report(a.Engine)})
+			r.schedule(5*time.Millisecond, func() {
+				r.handle(Probed{Engine: a.Engine, Result: Served, Took: 5 * time.Millisecond, Load: r.report(a.Engine)})
 			})
 		}
 	}
 }
 
-func (r *townRouter) finish(id RequestID, how string) {
+func (r *simRouter) finish(id RequestID, how string) {
 	if a, open := r.arrived[id]; open {
 		delete(r.arrived, id)
 		r.done(a, how)
@@ -197,12 +197,12 @@
 }
 
 // open tells whether the end of an attempt has not been told.
-func (r *townRouter) open(id RequestID, attempt int) bool {
+func (r *simRouter) open(id RequestID, attempt int) bool {
 	list := r.attempts[id]
 	return attempt < len(list) && !list[attempt].over
 }
 
-func (r *townRouter) end(id RequestID, attempt int, ev Ended) {
+func (r *simRouter) end(id RequestID, attempt int, ev Ended) {
 	if !r.open(id, attempt) {
 		return
 	}
@@ -211,16 +211,16 @@
 	ev.Request, ev.Attempt, ev.Engine, ev.Load = id, attempt, at.engine, r.report(at.engine)
 	open := 0
 	for _, other := range r.attempts[id] {
-		open += one(!other.over)
+		open += toInt(!other.over)
 	}
-	r.give(ev)
+	r.handle(ev)
 	if _, waits := r.arrived[id]; !waits && open == 0 {
 		delete(r.attempts, id)
 	}
 }
 
 // warm is the least that the settings let an engine do, by its age.
-func (w *town) warm(e *townEngine, at time.Duration) float64 {
+func (w *simFleet) warm(e *simEngine, at time.Duration) float64 {
 	age := at - e.StartedAt
 	if e.StartedAt == 0 || age >= w.set.WarmAfter {
 		return 1
@@ -228,42 +228,42 @@
 	return w.set.ColdShare + (1-w.set.ColdShare)*max(age, 0).Seconds()/w.set.WarmAfter.Seconds()
 }
 
-func (w *town) report(id EngineID) Load {
+func (w *simFleet) report(id EngineID) Load {
 	e := w.engines[id]
-	if e == nil || w.mute {
+	if e == nil || w.noReports {
 		return Load{}
 	}
 	memory := float64(e.streams) * (meanPrompt + maxAnswer) / w.set.Kinds[e.Kind].MemoryTokens
-	return Load{Known: true, MemoryShare: min(memory, 1), WaitTokens: max(e.free-w.now, 0).Seconds() * e.capacity * w.warm(e, w.now) * meanPrompt, Queue: -1}
+	return Load{Known: true, MemoryShare: min(memory, 1), WaitTokens: max(e.freeAt-w.now, 0).Seconds() * e.capacity * w.warm(e, w.now) * meanPrompt, Queue: -1}
 }
 
-func (r *townRouter) send(s Send) {
+func (r *simRouter) send(s Send) {
 	n, e, sent, a := len(r.attempts[s.Request]), r.engines[s.Engine], r.now, r.arrived[s.Request]
-	r.attempts[s.Request] = append(r.attempts[s.Request], &townAttempt{engine: s.Engine})
+	r.attempts[s.Request] = append(r.attempts[s.Request], &simAttempt{engine: s.Engine})
 	if e == nil {
-		r.later(time.Millisecond, func() { r.end(s.Request, n, Ended{Result: ConnectFailed}) })
+		r.schedule(time.Millisecond, func() { r.end(s.Request, n, Ended{Result: ConnectFailed}) })
 		return
 	}
 	work := a.PromptTokens / meanPrompt
-	e.got = append(e.got, townSend{r.now, work})
-	if e.free-r.now > townQueue {
-		r.later(time.Millisecond, func() { r.end(s.Request, n, Ended{Result: Full, Took: time.Millisecond}) })
+	e.received = append(e.received, simSend{r.now, work})
+	if e.freeAt-r.now > simQueueLimit {
+		r.schedule(time.Millisecond, func() { r.end(s.Request, n, Ended{Result: Full, Took: time.Millisecond}) })
 		return
 	}
-	e.free = max(e.free, r.now) + time.Duration(work/(e.capacity*r.warm(e, r.now))*float64(time.Second))
-	ready := max(e.free-r.now, 0) + 2*time.Millisecond
+	e.freeAt = max(e.freeAt, r.now) + time.Duration(work/(e.capacity*r.warm(e, r.now))*float64(time.Second))
+	ready := max(e.freeAt-r.now, 0) + 2*time.Millisecond
 	if e.role == Reader {
-		r.later(ready, func() { r.end(s.Request, n, Ended{Result: Read, Took: r.now - sent}) })
+		r.schedule(ready, func() { r.end(s.Request, n, Ended{Result: Read, Took: r.now - sent}) })
 		return
 	}
-	r.later(ready, func() {
+	r.schedule(ready, func() {
 		if !r.open(s.Request, n) {
 			return
 		}
 		r.finish(s.Request, "served")
 		e.streams++
 		r.after(streamTime, func() { e.streams-- })
-		r.give(Started{Request: s.Request, Attempt: n, Engine: s.Engine, Took: r.now - sent})
-		r.later(streamTime, func() { r.end(s.Request, n, Ended{Result: Served, Took: r.now - sent, Last: true}) })
+		r.handle(Started{Request: s.Request, Attempt: n, Engine: s.Engine, Took: r.now - sent})
+		r.schedule(streamTime, func() { r.end(s.Request, n, Ended{Result: Served, Took: r.now - sent, Last: true}) })
 	})
 }
--- a/brain/warming_test.go
+++ b/brain/warming_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-func TestColdEngineGetsItsPartOnly(t *testing.T) {
+func TestColdEngineGetsItsShareOnly(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
-	b.pass(10 * time.Second)
+	b.advance(10 * time.Second)
 	cold := fleet()
 	cold[3].StartedAt = b.now
-	b.give(Listed{Kind: ListDelta, Engines: cold[3:]})
+	b.handle(Listed{Kind: ListDelta, Engines: cold[3:]})
 	sends := map[EngineID]int{}
 	for id := RequestID(1); id < 60; id++ {
 		b.arrive(id, 0, 3*time.Second)
 		b.end(id, Read, false)
 		sends[b.sentTo(id)]++
-		b.pass(20 * ms)
+		b.advance(20 * ms)
 	}
 	// A warm peer stands for the capacity: over a window a cold engine gets 2.5 x 0.25 of what the peer gets.
 	b.must(sends[w2] > 0 && float64(sends[w2]) <= 0.7*float64(sends[w1]), "cold %d, warm %d", sends[w2], sends[w1])
@@ -59,7 +59,7 @@
 			}
 			b.end(id, Errored, false)
 		}
-		b.pass(400 * ms)
+		b.advance(400 * ms)
 	}
 	if served < 8 {
 		t.Errorf("%d of 12 requests were read where only the cold reader reads", served)
@@ -73,15 +73,15 @@
 		b := newBench(t, testSettings(), fleet())
 		b.now = 20 * time.Second
 		p := &b.s.pools[Writer]
-		p.reading, p.servedAt = 2000, b.now
+		p.uncached, p.servedAt = 2000, b.now
 		p.served, p.warm = map[int]float64{0: 20000, allZones: 20000}, map[int]float64{0: 1, allZones: 1}
-		b.s.engines[w2].coldTill, b.s.engines[w2].coldAt = b.now-age+testSettings().WarmAfter, b.now
+		b.s.engines[w2].coldUntil, b.s.engines[w2].budgetAt = b.now-age+testSettings().WarmAfter, b.now
 		r := &request{Arrived: Arrived{PromptTokens: 2000, MaxTokens: 300}}
 		for range 200 {
 			b.now += 10 * ms
 			b.s.now, p.servedAt = b.now, b.now
-			if b.s.hasRoom(b.s.engines[w2], r) {
-				b.s.engines[w2].coldRoom -= r.size(b.s.engines[w2])
+			if b.s.withinColdBudget(b.s.engines[w2], r) {
+				b.s.engines[w2].coldBudget -= r.size(b.s.engines[w2])
 				n++
 			}
 		}
@@ -124,7 +124,7 @@
 // When a zone comes back all cold, its routers must not read all of their prompts there while the other zones have
 // room: on zone+vast the cold readers took 31 reads in 2 s with a p50 of 2.5 s, the warm ones 33 with one of 0.08 s. The
 // routers agree on what goes elsewhere, and it comes back as the zone warms up.
-func TestZoneThatReturnsColdIsSpared(t *testing.T) {
+func TestColdZoneSendsPrefillsElsewhere(t *testing.T) {
 	var engines []Engine
 	for i := range 12 {
 		engines = append(engines, Engine{ID: EngineID(100 + i), Cell: i / 2, Kind: i % 2, Zone: i / 4, Weight: 1})
@@ -138,11 +138,11 @@
 		home := map[uint64]EngineID{}
 		for i := range 40 {
 			b := &bench{T: t, s: New(set, uint64(i)*7919), now: back + after}
-			b.give(Listed{Kind: ListCached, Engines: engines})
+			b.handle(Listed{Kind: ListCached, Engines: engines})
 			id, prefix := RequestID(i+1), 1+uint64(i)%20
-			b.give(Arrived{Request: id, Session: uint64(i), Prefix: prefix, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 300, Left: 3 * time.Second})
-			sends += one(b.sentTo(id) < 104)
-			agreed += one(home[prefix] == b.sentTo(id))
+			b.handle(Arrived{Request: id, Session: uint64(i), Prefix: prefix, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 300, Timeout: 3 * time.Second})
+			sends += toInt(b.sentTo(id) < 104)
+			agreed += toInt(home[prefix] == b.sentTo(id))
 			home[prefix] = b.sentTo(id)
 		}
 		return sends, agreed
--- a/brain/writers.go
+++ b/brain/writers.go
@@ -10,41 +10,41 @@
 // write sends the waiting state's request, or a short prompt's, to the writer with the lowest projected
 // memory; near equals rank by the reader's cell, then its zone, then by a draw. The first at ease is taken.
 func (s *Scheduler) write(r *request) {
-	list := s.usable(r, func(e *engine) bool { return e.role == Writer })
+	list := s.eligible(r, func(e *engine) bool { return e.role == Writer })
 	if len(list) == 0 {
-		list = s.usable(r, func(e *engine) bool { return e.role == Mixed })
+		list = s.eligible(r, func(e *engine) bool { return e.role == Mixed })
 	}
 	if len(list) == 0 {
 		s.parked = append(s.parked, r)
 		return
 	}
-	away := func(e *engine) int {
-		from := cmp.Or(r.state, e) // a prompt that the writer reads itself comes from nowhere
-		return 3*one(e == r.avoid) + one(e.Cell != from.Cell) + one(e.Zone != from.Zone)
+	distance := func(e *engine) int {
+		from := cmp.Or(r.holder, e) // a prompt that the writer reads itself comes from nowhere
+		return 3*toInt(e == r.avoid) + toInt(e.Cell != from.Cell) + toInt(e.Zone != from.Zone)
 	}
 	// a beginning that a writer reads itself is kept there: it has one home, the same for all routers
-	key := cmp.Or(r.Prefix*uint64(one(r.state == nil)), s.seed^uint64(r.Request))
+	key := cmp.Or(r.Prefix*uint64(toInt(r.holder == nil)), s.seed^uint64(r.Request))
 	draw := func(e *engine) float64 { return unit(key, uint64(e.ID)) }
 	slices.SortStableFunc(list, func(a, b *engine) int {
-		return cmp.Or(away(a)-away(b), cmp.Compare(draw(a), draw(b)))
+		return cmp.Or(distance(a)-distance(b), cmp.Compare(draw(a), draw(b)))
 	})
 	var best *engine
 	bestRank := math.Inf(1)
 	for _, e := range list {
-		rank := s.projectedMemory(e) + nearBand*float64(away(e)) + r.stake*s.risk(e, r.Class)
-		if r.way(e) == far { // a slow link holds the state, and the reader's memory, for longer
-			longer := (s.startWait(Writer, far) - s.startWait(Writer, r.state.Cell)) / r.aim().Seconds()
-			rank += min(farCost*max(longer-farShare, 0), 1)
+		rank := s.projectedMemory(e) + nearBand*float64(distance(e)) + r.cost*s.risk(e, r.Class)
+		if r.origin(e) == far { // a slow link holds the state, and the reader's memory, for extra
+			extra := (s.startWait(Writer, far) - s.startWait(Writer, r.holder.Cell)) / r.aim().Seconds()
+			rank += min(farCost*max(extra-farShare, 0), 1)
 		}
-		if len(e.out) > 0 { // what waits shows a full memory, also where others filled it and no report tells
-			longer := max((s.now-e.out[0].sentAt).Seconds()-s.startWait(Writer, e.out[0].way(e)), 0)
-			rank += min(waitCost*longer/r.aim().Seconds(), 1)
+		if len(e.pending) > 0 { // what waits shows a full memory, also where others filled it and no report tells
+			extra := max((s.now-e.pending[0].sentAt).Seconds()-s.startWait(Writer, e.pending[0].origin(e)), 0)
+			rank += min(waitCost*extra/r.aim().Seconds(), 1)
 		}
-		rank += float64(one(e == r.avoid || s.mute(e, r)))
+		rank += float64(toInt(e == r.avoid || s.unresponsive(e, r)))
 		if rank < bestRank {
 			best, bestRank = e, rank
 		}
-		if rank <= min(s.pools[e.role].memory+nearBand, crowdShare) {
+		if rank <= min(s.pools[e.role].memory+nearBand, highMemory) {
 			break
 		}
 	}
@@ -64,12 +64,12 @@
 func (s *Scheduler) projectedMemory(e *engine) float64 {
 	memory := s.pools[e.role].memory
 	if e.load.Known && e.load.MemoryShare >= 0 {
-		memory += (e.load.MemoryShare - memory) * fade(s.now-e.loadAt, streamMemory)
+		memory += (e.load.MemoryShare - memory) * decay(s.now-e.loadAt, streamDecay)
 	}
-	tokens := s.reportedWait(e) * fade(s.now-e.loadAt, waitMemory)
-	for _, list := range [][]*request{e.out, e.streams} {
+	tokens := s.reportedBacklog(e) * decay(s.now-e.loadAt, waitDecay)
+	for _, list := range [][]*request{e.pending, e.streams} {
 		for _, r := range list {
-			if r.sentAt > e.loadAt-waitMemory/2 {
+			if r.sentAt > e.loadAt-waitDecay/2 {
 				tokens += r.footprint()
 			}
 		}
@@ -77,26 +77,26 @@
 	return memory + tokens/max(e.memory, 1)
 }
 
-func (s *Scheduler) leaseFor(patience time.Duration) time.Duration {
-	return min(leaseMax, share(leaseShare, patience))
+func (s *Scheduler) leaseFor(timeout time.Duration) time.Duration {
+	return min(leaseMax, scale(leaseShare, timeout))
 }
 
-// leaseOf is a request's lease: no shorter than the signs of life take that renew it, however little its
+// requestLease is a request's lease: no shorter than the signs of life take that renew it, however little its
 // client waits, or a slow engine's work would be called off and begun anew all over.
-func (s *Scheduler) leaseOf(r *request) time.Duration {
-	return max(s.leaseFor(r.Left), s.tick*leaseChecks)
+func (s *Scheduler) requestLease(r *request) time.Duration {
+	return max(s.leaseFor(r.Timeout), s.tick*leaseChecks)
 }
 
-// alive is a sign of life: it renews all leases at the engine, and never shortens one. An attempt whose wait
+// heartbeat is a sign of life: it renews all leases at the engine, and never shortens one. An attempt whose wait
 // the engine's own report does not explain is not renewed: it was lost, though the engine lives.
-func (s *Scheduler) alive(e *engine) {
-	if s.now-e.lastLife > leaseMax && s.risk(e, anyClass) > 0.5 { // long enough away to have restarted
-		s.chill(e, s.now)
+func (s *Scheduler) heartbeat(e *engine) {
+	if s.now-e.lastAlive > leaseMax && s.risk(e, anyClass) > 0.5 { // long enough away to have restarted
+		s.startWarmup(e, s.now)
 	}
-	e.lastLife = s.now
-	for _, r := range e.out {
+	e.lastAlive = s.now
+	for _, r := range e.pending {
 		if !s.overdue(e, r) {
-			r.lease = max(r.lease, s.now+share(leaseExtend, s.leaseOf(r)))
+			r.lease = max(r.lease, s.now+scale(leaseExtend, s.requestLease(r)))
 		}
 	}
 }
@@ -104,39 +104,39 @@
 // overdue tells whether an attempt is out for much longer than the engine's report explains, or than what was
 // sent there later took: one that serves others shows life all the time, whatever a connection has lost.
 func (s *Scheduler) overdue(e *engine, r *request) bool {
-	expected := s.startWait(Writer, r.way(e))
+	expected := s.startWait(Writer, r.origin(e))
 	if e.role != Writer {
 		pace := max(s.paceOf(e), s.pools[e.role].pace)
-		expected = pace * (max(s.reportedWait(e), r.ahead) + r.work + stepTokens)
-	} else if e.load.WaitTokens > 0 || e.load.MemoryShare > crowdShare {
+		expected = pace * (max(s.reportedBacklog(e), r.ahead) + r.work + overheadTokens)
+	} else if e.load.WaitTokens > 0 || e.load.MemoryShare > highMemory {
 		return false
 	}
-	least, age := share(lostShare, r.aim()), s.now-r.sentAt
-	late := max(least, share(passedTimes*expected, time.Second))
-	passed := age > late && e.passed-r.sentAt > late/2 && (e.role == Reader || r.class.Effect == Safe)
-	known := e.load.WaitTokens >= 0 && !e.load.Hearsay && e.loadAt > r.sentAt
-	return passed || (known && age > max(least, share(lostTimes*expected, time.Second)))
+	least, age := scale(lostShare, r.aim()), s.now-r.sentAt
+	late := max(least, scale(overtakenFactor*expected, time.Second))
+	passed := age > late && e.newestServed-r.sentAt > late/2 && (e.role == Reader || r.class.Effect == Safe)
+	known := e.load.WaitTokens >= 0 && !e.load.FromPeers && e.loadAt > r.sentAt
+	return passed || (known && age > max(least, scale(lostFactor*expected, time.Second)))
 }
 
 func (s *Scheduler) checkLeases(e *engine) {
-	for _, r := range slices.Clone(e.out) {
-		passed := e.passed > r.sentAt && s.overdue(e, r)
-		if r.called || (s.now < r.lease && !passed) {
+	for _, r := range slices.Clone(e.pending) {
+		passed := e.newestServed > r.sentAt && s.overdue(e, r)
+		if r.cancelled || (s.now < r.lease && !passed) {
 			continue
 		}
-		if e.lastLife > r.sentAt {
-			s.note(e, r.Class, 1)
+		if e.lastAlive > r.sentAt {
+			s.addOutcome(e, r.Class, 1)
 		} else {
-			s.note(e, anyClass, 1)
+			s.addOutcome(e, anyClass, 1)
 		}
-		s.callOff(r)
+		s.cancel(r)
 	}
 }
 
-// callOff cancels the attempt that is out; its end decides what comes next.
-func (s *Scheduler) callOff(r *request) {
-	if s.set.Cancelling && !r.called && !r.started {
-		r.called = true
-		s.do(Cancel{Request: r.Request, Attempt: r.sends - 1})
+// cancel cancels the attempt that is out; its end decides what comes next.
+func (s *Scheduler) cancel(r *request) {
+	if s.set.Cancelling && !r.cancelled && !r.started {
+		r.cancelled = true
+		s.emit(Cancel{Request: r.Request, Attempt: r.sends - 1})
 	}
 }
--- a/brain/writers_test.go
+++ b/brain/writers_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func TestSilentReaderLapsesAndIsReadElsewhere(t *testing.T) {
+func TestSilentReaderLapsesAndPrefillMoves(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 1, 6*time.Second)
-	b.silence(2*time.Second, reader)
+	b.advanceSilent(2*time.Second, reader)
 	b.must(has[Cancel](b.log), "nothing was called off")
 	b.end(1, Cancelled, false)
 	b.must(b.sentTo(1) != reader, "read again at the silent reader")
@@ -21,7 +21,7 @@
 		b.arrive(1, class, 6*time.Second)
 		b.end(1, Read, false)
 		writer := b.sentTo(1)
-		b.silence(4*time.Second, writer)
+		b.advanceSilent(4*time.Second, writer)
 		b.must(has[Cancel](b.log), "class %d: the lease did not lapse", class)
 		got := b.end(1, Cancelled, false)
 		b.must(want == "send" && has[Send](got) || want == "fail" && has[Fail](got) && has[Release](got),
@@ -37,11 +37,11 @@
 		b.arrive(id, 1, 6*time.Second)
 		b.end(id, Read, false)
 	}
-	b.pass(1200 * ms)
+	b.advance(1200 * ms)
 	b.start(4) // three wait on; this start renews them
-	b.pass(700 * ms)
+	b.advance(700 * ms)
 	b.must(!has[Cancel](b.log), "a renewed lease lapsed")
-	b.pass(1500 * ms)
+	b.advance(1500 * ms)
 	n := count(b.log, func(a Cancel) bool { return a.Request <= 3 })
 	b.must(n == 3, "%d of 3 leases lapsed once the signs of life stopped", n)
 	b.must(count(b.log, func(a Cancel) bool { return a.Request == 4 }) == 0, "a started stream was called off")
@@ -56,7 +56,7 @@
 		b.end(id, Read, false)
 	}
 	b.start(2) // now plus two thirds lies before the end of a lease just granted
-	b.pass(1450 * ms)
+	b.advance(1450 * ms)
 	b.must(!has[Cancel](b.log), "a sign of life shortened a lease")
 }
 
@@ -67,19 +67,19 @@
 	b.end(1, Read, false)
 	b.end(1, Full, false)
 	b.must(!has[Send](b.end(1, Full, false)), "sent to a writer that was full a moment ago")
-	b.must(has[Send](b.pass(400*ms)), "not tried again within the pin limit")
+	b.must(has[Send](b.advance(400*ms)), "not tried again within the pin limit")
 }
 
 // An engine that serves other classes and leaves one unanswered shows life all the time; its report of nothing
 // waiting proves the read lost, long before its lease could lapse.
-func TestLostReadIsCalledOffOnAnIdleReport(t *testing.T) {
+func TestLostPrefillIsCancelledOnIdleReport(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.load = map[EngineID]Load{}
 	for _, e := range fleet() {
 		b.load[e.ID] = Load{Known: true, MemoryShare: 0.1, Queue: -1}
 	}
 	reader := b.arrive(1, 1, 6*time.Second)
-	b.pass(700 * ms)
+	b.advance(700 * ms)
 	b.must(has[Cancel](b.log), "a read that the idle reader lost is waited for")
 	b.end(1, Cancelled, false)
 	b.must(b.sentTo(1) != reader, "read again at the engine that lost it")
@@ -95,7 +95,7 @@
 	chosen := map[EngineID]int{}
 	for seed := range uint64(100) {
 		b := &bench{T: t, s: New(testSettings(), seed), now: time.Second}
-		b.give(Listed{Kind: ListCached, Engines: engines})
+		b.handle(Listed{Kind: ListCached, Engines: engines})
 		b.arrive(1, 0, 3*time.Second)
 		b.end(1, Read, false)
 		chosen[b.sentTo(1)]++
@@ -122,7 +122,7 @@
 		if !waits {
 			b.start(1)
 		}
-		b.pass(1200 * ms)
+		b.advance(1200 * ms)
 		for id := RequestID(2); ; id++ { // one that is read at the same reader
 			if b.arrive(id, 1, 9*time.Second) != first && id < 20 {
 				continue
@@ -148,13 +148,13 @@
 			if writer := b.sentTo(id); (reader == r1) != (writer == w1) {
 				took, away = 1500*ms, away+1
 			}
-			b.give(Started{Request: id, Attempt: 1, Engine: b.sentTo(id), Took: took})
+			b.handle(Started{Request: id, Attempt: 1, Engine: b.sentTo(id), Took: took})
 			served++
 		}
 		if id > 15 { // so many stream at once that the writers of other cells look emptier
 			b.end(id-15, Served, false)
 		}
-		b.pass(30 * ms)
+		b.advance(30 * ms)
 	}
 	if served < 60 || away == 0 || away > 6 { // away 10 where the rank does not see the link
 		t.Errorf("%d of 60 served, %d of them over the slow link", served, away)
@@ -163,13 +163,13 @@
 
 // Where clients wait for a second a quarter of that was the lease, over before any sign of life could renew it: slow
 // reads were called off and begun anew until the time was up, and filings called off at their writer failed.
-func TestImpatientClientsLeaseIsRenewed(t *testing.T) {
+func TestShortTimeoutLeaseIsRenewed(t *testing.T) {
 	for _, class := range []int{0, 1} {
 		b := newBench(t, testSettings(), fleet())
 		b.arrive(1, class, 900*ms)
-		b.pass(400 * ms) // a slow read, of an engine that answers probes
+		b.advance(400 * ms) // a slow read, of an engine that answers probes
 		b.end(1, Read, false)
-		b.pass(400 * ms)
+		b.advance(400 * ms)
 		b.start(1)
 		if n := count[Send](b.log, func(Send) bool { return true }); n != 2 || count[Cancel](b.log, func(Cancel) bool { return true }) != 0 {
 			t.Errorf("class %d: %d attempts in %v, want one read and one write", class, n, b.log)
@@ -180,7 +180,7 @@
 // A connection that falls silent shows nothing, and the engine's other answers are signs of life: reads waited so for
 // the whole patience of their clients. What was sent well after them and has been served tells that they are lost; a
 // filing at a writer may still start and is left alone.
-func TestPassedAttemptIsLost(t *testing.T) {
+func TestOvertakenAttemptIsLost(t *testing.T) {
 	for _, c := range []struct {
 		class    int
 		at       EngineID
@@ -193,7 +193,7 @@
 			b.end(1, Read, false)
 		}
 		for id := RequestID(2); id < 12; id++ {
-			b.pass(100 * ms)
+			b.advance(100 * ms)
 			b.arrive(id, 1, 6*time.Second)
 			if c.at == w1 || c.answered {
 				b.end(id, Read, false)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -40,7 +40,7 @@
 func TestArrivalFlags(t *testing.T) {
 	in := &instance{tokenAimMs: []float64{50}}
 	for flags, want := range map[uint16]brain.Arrived{
-		0: {}, flagHint: {HintTokens: 20}, flagAgain: {Resumed: true}, flagHint | flagAgain: {HintTokens: 20, Resumed: true},
+		0: {}, flagHint: {HintTokens: 20}, flagResumed: {Resumed: true}, flagHint | flagResumed: {HintTokens: 20, Resumed: true},
 	} {
 		got := in.translate(&wire.Event{Code: wire.EvAccept, EstimateMs: 1000, Flags: flags})
 		if !reflect.DeepEqual(got, want) {
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -25,17 +25,17 @@
 }
 
 var (
-	listKinds = [...]brain.ListKind{brain.ListFailed, brain.ListWhole, brain.ListCached, brain.ListDelta}
+	listKinds = [...]brain.ListKind{brain.ListFailed, brain.ListComplete, brain.ListCached, brain.ListDelta}
 	results   = map[uint16]brain.Result{
 		wire.OutcomeOK: brain.Served, wire.OutcomeMiss: brain.Read, wire.OutcomeError: brain.Errored,
 		wire.OutcomeFull: brain.Full, wire.OutcomeTimeout: brain.TimedOut,
 		wire.OutcomeConnectFailed: brain.ConnectFailed, wire.OutcomeReset: brain.Broke,
-		wire.OutcomeCancelled: brain.Cancelled, wire.OutcomeMoot: brain.Moot,
+		wire.OutcomeCancelled: brain.Cancelled, wire.OutcomeMoot: brain.NotSent,
 	}
 )
 
 // The bits of an Accept's bitmap: its estimate is valid; its client came again after a break.
-const flagHint, flagAgain = 1, 16
+const flagHint, flagResumed = 1, 16
 
 // translate returns nil for what the scheduler has no use for.
 func (in *instance) translate(ev *wire.Event) brain.Event {
@@ -53,11 +53,11 @@
 		if e.Result == brain.Full {
 			e.NoState = ev.Note == 1
 		} else {
-			e.Kept = float64(ev.Note)
+			e.CachedTokens = float64(ev.Note)
 		}
 		return e
 	case wire.EvVanished:
-		return brain.Gone{Request: call}
+		return brain.ClientGone{Request: call}
 	case wire.EvElapsed:
 		return brain.TimerFired{Key: ev.Token}
 	case wire.EvProbeDone:
@@ -69,8 +69,8 @@
 
 func (in *instance) arrived(ev *wire.Event) brain.Event {
 	a := brain.Arrived{Request: brain.RequestID(ev.Call), Class: ev.Class, Session: ev.Session, Prefix: ev.Prefix,
-		PromptTokens: ev.Prompt, PrefixTokens: ev.PrefixLen, MaxTokens: ev.MaxTokens, Left: config.Millis(ev.GraceMs),
-		Resumed: ev.Flags&flagAgain != 0}
+		PromptTokens: ev.Prompt, PrefixTokens: ev.PrefixLen, MaxTokens: ev.MaxTokens, Timeout: config.Millis(ev.GraceMs),
+		Resumed: ev.Flags&flagResumed != 0}
 	if aim := in.tokenAim(ev.Class); ev.Flags&flagHint != 0 && aim > 0 {
 		a.HintTokens = ev.EstimateMs / aim
 	}
--- a/cmd/sumacloft/main.go
+++ b/cmd/sumacloft/main.go
@@ -147,7 +147,7 @@
 	tell := func(l discovery.List) {
 		kind := brain.ListDelta
 		if l.Complete {
-			kind = brain.ListWhole
+			kind = brain.ListComplete
 		}
 		if r.desk != nil {
 			r.desk.list(kind, l)
@@ -236,7 +236,7 @@
 			if err != nil { // checked above: a class of an earlier file is one that was taken
 				return nil, err
 			}
-			r.core.Retune(set)
+			r.core.UpdateSettings(set)
 			r.longest.Store(int64(next.Settings.Longest()))
 			cfg.Settings = next.Settings
 			log.WithField("classes", len(next.Settings.Classes)).Info("settings retuned for new requests")
@@ -320,11 +320,11 @@
 	r.guard.Shed(true)
 	if longest := time.Duration(r.longest.Load()); longest > 0 {
 		cut := time.AfterFunc(ops.LastCall(longest), func() {
-			ended := r.core.LastCall()
+			ended := r.core.EndUndecided()
 			log.WithField("ended", ended).Warn("the last call before the kill: what has no answer fails, its holds are released")
 		})
 		defer cut.Stop()
-		shut := time.AfterFunc(owes, r.core.Shut)
+		shut := time.AfterFunc(owes, r.core.RefuseNew)
 		defer shut.Stop()
 	}
 	time.Sleep(lingers)
@@ -336,7 +336,7 @@
 	r.guard.Emptied()
 	settling, done := context.WithTimeout(background, settles)
 	defer done()
-	r.core.Settle(settling)
+	r.core.WaitIdle(settling)
 	log.Info("drained")
 	return nil
 }
--- a/cmd/sumacloft/operator.go
+++ b/cmd/sumacloft/operator.go
@@ -40,7 +40,7 @@
 		seed = rand.Uint64()
 	}
 	r.core = core.New(cfg.Chat.Brain(), seed, servers, log)
-	r.core.Listed(brain.ListWhole, cfg.Chat.Workers())
+	r.core.Listed(brain.ListComplete, cfg.Chat.Workers())
 	r.names = cfg.Chat.Names()
 	r.source = operators(cfg, log)
 	r.front = chat.New(r.core, servers, cfg.Chat)
@@ -59,7 +59,7 @@
 		front.Guard(fleet.guard)
 		r.front, r.listed = front, fleet.roster.Listed
 		fleet.outage.Bind(duck(r, front))
-		fleet.roster.Listed(brain.ListWhole, cfg.Chat.Workers())
+		fleet.roster.Listed(brain.ListComplete, cfg.Chat.Workers())
 		fleet.start()
 		if cfg.Work.HandOverDrain {
 			r.handOver = fleet.handover.HandOver
@@ -105,7 +105,7 @@
 		if r.handOver != nil {
 			r.handOver()
 		}
-		had := r.core.Emptied()
+		had := r.core.TrackOpen()
 		left.Store(&had)
 	}}
 }
--- a/cmd/sumacloft/policy.go
+++ b/cmd/sumacloft/policy.go
@@ -56,9 +56,9 @@
 	}
 	var agent *policy.Agent[*chat.Terms]
 	fence := func() ([]*pb.Compare, bool) { return agent.Fence() }
-	f.roster = roster.New(roster.Options{Zones: cfg.Chat.Zones, Listed: c.Listed, Retune: c.Retune, Probe: servers.Probe})
+	f.roster = roster.New(roster.Options{Zones: cfg.Chat.Zones, Listed: c.Listed, Retune: c.UpdateSettings, Probe: servers.Probe})
 	if f.outage, err = outage.Open(outage.Options{Name: me.Name, Boot: me.Boot, Label: cfg.Policy.Label, Endpoints: cfg.Policy.Endpoints,
-		Roster: f.roster, Fence: fence, Applied: applied, Copies: func() bool { return f.reuse != nil && f.reuse.On() }, Busy: c.Busy, Open: c.Open, Log: log, Broken: outage.Injected()}); err != nil {
+		Roster: f.roster, Fence: fence, Applied: applied, Copies: func() bool { return f.reuse != nil && f.reuse.On() }, Busy: c.OpenAttempts, Open: c.Open, Log: log, Broken: outage.Injected()}); err != nil {
 		return nil, errors.Join(err, kv.Close(), closeSpans())
 	}
 	if f.sites, err = siting.Open(siting.Options{Name: me.Name, Boot: me.Boot, Endpoints: cfg.Policy.Endpoints, Zone: cfg.Chat.Zone,
@@ -72,7 +72,7 @@
 	f.handover.Samples = f.samples
 	known := reuse.NewOpenings()
 	if f.reuse, err = reuse.Open(reuse.Options{Name: me.Name, Region: cfg.Chat.Zone, Endpoints: cfg.Policy.Endpoints, Copier: warmer(known, servers, c, func() error { return f.guard() }), Openings: known,
-		Servers: reuse.NewServers(f.roster).List, Conditions: func() map[string]decide.Condition { return conditions(f.sites) }, Leaving: f.outage.Leaving, Busy: c.Busy, ReadTokens: reuse.ReadTokens, Fence: fence,
+		Servers: reuse.NewServers(f.roster).List, Conditions: func() map[string]decide.Condition { return conditions(f.sites) }, Leaving: f.outage.Leaving, Busy: c.OpenAttempts, ReadTokens: reuse.ReadTokens, Fence: fence,
 		Log: log, Broken: reuse.Injected()}); err != nil {
 		return nil, errors.Join(err, kv.Close(), closeSpans(), f.outage.Close(), f.sites.Close(), f.samples.Close())
 	}
--- a/internal/chat/flight.go
+++ b/internal/chat/flight.go
@@ -102,7 +102,7 @@
 		return nil
 	}
 	fl.abandon(err)
-	return &core.AttemptError{Stage: core.NotConnected, Err: core.ErrCalledOff}
+	return &core.AttemptError{Stage: core.NotConnected, Err: core.ErrCancelled}
 }
 
 // abandon gives the request up here, unsent: it is another's, or it can't be written down.
@@ -133,7 +133,7 @@
 		work.Pause()
 		if fl.entry.Clear() != nil {
 			fl.abandon(ledger.ErrNotOwner)
-			return core.ErrCalledOff
+			return core.ErrCancelled
 		}
 		return nil
 	}
@@ -142,7 +142,7 @@
 // tried is told how an attempt ended that brought no answer.
 func (fl *flight) tried(err error) {
 	var e *core.AttemptError
-	if errors.As(err, &e) && (e.Stage < core.Written && e.Verdict == core.NoVerdict || e.Verdict == core.TurnedAway) {
+	if errors.As(err, &e) && (e.Stage < core.Written && e.Verdict == core.NoVerdict || e.Verdict == core.NotStarted) {
 		fl.entry.NeverRan()
 	}
 }
--- a/internal/chat/flight_test.go
+++ b/internal/chat/flight_test.go
@@ -30,7 +30,7 @@
 	pool := upstream.NewPool(upstream.NewBudget(1024), config.Millis(set.ConnectTimeoutMs), config.Millis(set.ConnIdleMs))
 	servers := NewServers(pool, set.HealthPath)
 	c := core.New(set.Brain(), 7, servers, standin.Log())
-	c.Listed(brain.ListWhole, set.Workers())
+	c.Listed(brain.ListComplete, set.Workers())
 	f, h := New(c, servers, set), &Handover{Serve: serve, Log: standin.Log()}
 	session := new(int)
 	var err error
--- a/internal/chat/front.go
+++ b/internal/chat/front.go
@@ -179,7 +179,7 @@
 		return
 	}
 	j.free = free
-	j.arrival.Left -= time.Since(came) // it may have waited for a change of policy
+	j.arrival.Timeout -= time.Since(came) // it may have waited for a change of policy
 	if f.meter != nil && j.class < len(t.set.Classes) {
 		k := t.set.Classes[j.class]
 		j.meter, j.className, j.aim, j.came = f.meter, k.Name, config.Millis(k.AimMs), came
@@ -274,7 +274,7 @@
 func (f *Front) job(t *Terms, a asked, limit float64, class int, body []byte) *job {
 	safe := class < len(t.set.Classes) && t.set.Classes[class].Effect == "safe"
 	return &job{servers: f.servers, body: body, model: *a.Model, stream: a.Stream, class: class, safe: safe, guard: f.guard,
-		arrival: brain.Arrived{Class: t.places[class], MaxTokens: limit, Left: t.patience(class, a.Stream)}}
+		arrival: brain.Arrived{Class: t.places[class], MaxTokens: limit, Timeout: t.patience(class, a.Stream)}}
 }
 
 // patience is how long the answer may take to begin. One that does not stream begins when it is whole.
--- a/internal/chat/gate_test.go
+++ b/internal/chat/gate_test.go
@@ -58,7 +58,7 @@
 	var classes config.ChatCatalog
 	first, places := classes.Take(set)
 	c := core.New(first, 7, servers, standin.Log())
-	c.Listed(brain.ListWhole, set.Workers())
+	c.Listed(brain.ListComplete, set.Workers())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go c.Run(ctx)
@@ -98,7 +98,7 @@
 	next := set
 	next.Classes = []config.ChatClass{{Name: "other", Models: []string{"other"}, Effect: "safe", AimMs: 300, DeadlineMs: 700, WholeMs: 700, Worth: 1}}
 	brain, places := classes.Take(next)
-	c.Retune(brain)
+	c.UpdateSettings(brain)
 	d.terms.Store(NewTerms(next, places, 5))
 	if status, version, _ := ask("query", "x"); status != 404 || version != "5" {
 		t.Errorf("a model that is gone: %d, %q", status, version)
--- a/internal/chat/guard_test.go
+++ b/internal/chat/guard_test.go
@@ -40,7 +40,7 @@
 	pool := upstream.NewPool(upstream.NewBudget(1024), config.Millis(set.ConnectTimeoutMs), config.Millis(set.ConnIdleMs))
 	servers := NewServers(pool, set.HealthPath)
 	c := core.New(set.Brain(), 7, servers, standin.Log())
-	c.Listed(brain.ListWhole, set.Workers())
+	c.Listed(brain.ListComplete, set.Workers())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go c.Run(ctx)
--- a/internal/chat/handover.go
+++ b/internal/chat/handover.go
@@ -49,7 +49,7 @@
 	}
 	given := req.Header.Get(keyHeader)
 	rec := ledger.Record{Key: work.Anonymous(), Class: class.Name, Version: t.version, Effect: effects[class.Effect], Window: int64(class.WindowMs), Stream: j.stream,
-		TakenMs: work.Wall().UnixMilli(), Deadline: work.Wall().Add(j.arrival.Left).UnixMilli(), Digest: h.Book.Digest([]byte("body"), j.body),
+		TakenMs: work.Wall().UnixMilli(), Deadline: work.Wall().Add(j.arrival.Timeout).UnixMilli(), Digest: h.Book.Digest([]byte("body"), j.body),
 		Request: ledger.Request{Body: j.body, Type: j.contentType, Auth: j.auth, Session: req.Header.Get(t.set.SessionHeader), Key: given}}
 	if given != "" {
 		rec.Key = h.Book.ClientKey(j.auth, given)
@@ -159,10 +159,10 @@
 	}
 	j.auth, j.contentType, j.free = rec.Request.Auth, rec.Request.Type, func() {}
 	j.idempotency = rec.Request.Key
-	j.arrival.Left = time.UnixMilli(rec.Deadline).Sub(work.Wall())
-	j.arrival.Tried = rec.Attempts
+	j.arrival.Timeout = time.UnixMilli(rec.Deadline).Sub(work.Wall())
+	j.arrival.PriorAttempts = rec.Attempts
 	if rec.Effect == ledger.Keyed && t.set.MaxAttempts > 0 { // the window began elsewhere: one attempt, while it is open
-		j.arrival.Tried = max(rec.Attempts, t.set.MaxAttempts-1)
+		j.arrival.PriorAttempts = max(rec.Attempts, t.set.MaxAttempts-1)
 	}
 	if rec.Request.Session != "" {
 		j.arrival.Session = hash([]byte(rec.Request.Session))
--- a/internal/chat/openings.go
+++ b/internal/chat/openings.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return c.Aside(ctx, id, func(ctx context.Context, w core.Worker, clear func() error) error {
+	return c.CallReady(ctx, id, func(ctx context.Context, w core.Worker, clear func() error) error {
 		asks := clear
 		if guard != nil {
 			asks = func() error { return errors.Join(guard(), clear()) }
--- a/internal/chat/openings_test.go
+++ b/internal/chat/openings_test.go
@@ -65,7 +65,7 @@
 	pool := upstream.NewPool(upstream.NewBudget(64), config.Millis(cfg.ConnectTimeoutMs), config.Millis(cfg.ConnIdleMs))
 	servers := NewServers(pool, cfg.HealthPath)
 	c := core.New(cfg.Brain(), 7, servers, standin.Log())
-	c.Listed(brain.ListWhole, cfg.Workers())
+	c.Listed(brain.ListComplete, cfg.Workers())
 	go c.Run(t.Context())
 	front, k := New(c, servers, cfg), &kept{}
 	front.Hold(k)
--- a/internal/chat/proof_test.go
+++ b/internal/chat/proof_test.go
@@ -145,7 +145,7 @@
 	pool := upstream.NewPool(upstream.NewBudget(1024), config.Millis(set.ConnectTimeoutMs), config.Millis(set.ConnIdleMs))
 	servers := NewServers(pool, set.HealthPath)
 	c := core.New(set.Brain(), 7, servers, standin.Log())
-	c.Listed(brain.ListWhole, set.Workers())
+	c.Listed(brain.ListComplete, set.Workers())
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.Run(ctx)
@@ -340,7 +340,7 @@
 	}
 	day(counts[0], addr, 200)
 	s.Servers[0].Phase = "DRAINING"
-	c.Listed(brain.ListWhole, s.Workers())
+	c.Listed(brain.ListComplete, s.Workers())
 	before, other := total(counts[0]), total(counts[1])
 	if _, served := day(counts[1], addr, 200); served < 150 {
 		t.Errorf("%d of 200 served by the server that is left", served)
--- a/internal/chat/servers.go
+++ b/internal/chat/servers.go
@@ -89,8 +89,8 @@
 // Release serves core.Job: chat servers hold nothing between calls.
 func (j *job) Release(context.Context, core.Worker) error { return nil }
 
-// Over serves core.Job.
-func (j *job) Over() { j.free() }
+// Done serves core.Job.
+func (j *job) Done() { j.free() }
 
 // Try serves core.Job.
 func (j *job) Try(ctx context.Context, w core.Worker, clear func() error) (core.Reply, error) {
@@ -118,7 +118,7 @@
 		var e *core.AttemptError
 		heard := err == nil || errors.As(err, &e) && e.Verdict != core.NoVerdict
 		j.meter.Tried(Attempt{Worker: w, Class: j.className, Session: j.arrival.Session, Heard: heard, InTime: err == nil && time.Since(j.came) <= j.aim,
-			Failed: err != nil && (e == nil || e.Verdict != core.TurnedAway), First: time.Since(sent)})
+			Failed: err != nil && (e == nil || e.Verdict != core.NotStarted), First: time.Since(sent)})
 	}
 	return reply, err
 }
@@ -132,7 +132,7 @@
 	return func() error {
 		if j.guard() != nil {
 			j.shut.Store(true)
-			return core.ErrShut
+			return core.ErrSendingForbidden
 		}
 		return clear()
 	}
@@ -184,7 +184,7 @@
 	}
 	e := &core.AttemptError{Stage: core.Head, Verdict: core.Faulted, Err: err}
 	if a.Header.Get("Not-Started") == "1" {
-		e.Verdict = core.TurnedAway
+		e.Verdict = core.NotStarted
 	}
 	return e
 }
--- a/internal/core/aside.go
+++ b/internal/core/aside.go
@@ -6,11 +6,11 @@
 	"sumacloft/brain"
 )
 
-// Aside makes a call to a worker that is no request's: it goes to a worker that is ready only, which is looked at again as it is
+// CallReady makes a call to a worker that is no request's: it goes to a worker that is ready only, which is looked at again as it is
 // written, and the module knows nothing of it. do is given what to ask just before it writes, as a Job is.
-func (c *Core) Aside(ctx context.Context, id brain.EngineID, do func(ctx context.Context, w Worker, clear func() error) error) error {
+func (c *Core) CallReady(ctx context.Context, id brain.EngineID, do func(ctx context.Context, w Worker, clear func() error) error) error {
 	c.mu.Lock()
-	w, last := c.workers[id], c.last
+	w, last := c.workers[id], c.refusing
 	c.mu.Unlock()
 	if w == nil || w.Availability != brain.Ready || last {
 		return &AttemptError{Stage: NotConnected, Err: ErrNotReady}
@@ -21,20 +21,20 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if w := c.workers[id]; w == nil || w.Availability != brain.Ready || c.last {
+		if w := c.workers[id]; w == nil || w.Availability != brain.Ready || c.refusing {
 			return ErrNotReady
 		}
 		return nil
 	})
 }
 
-// Busy is how many requests are out at each worker that has any, by its name.
-func (c *Core) Busy() map[string]int {
+// OpenAttempts is how many requests are out at each worker that has any, by its name.
+func (c *Core) OpenAttempts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
 	for id, w := range c.workers {
-		if n := c.sched.Out(id); n > 0 {
+		if n := c.sched.OpenAttempts(id); n > 0 {
 			out[w.Name] = n
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -30,12 +30,12 @@
 
 // The verdicts.
 const (
-	NoVerdict  Verdict = iota // the attempt broke, or the answer says nothing certain
-	TurnedAway                // and never started
-	StateGone                 // never started: there was no state to fetch
-	Faulted                   // an error; it may have run
-	Rejected                  // the request itself is at fault, whichever worker gets it
-	Mishap                    // none of the worker's, as far as can be told: the answer or the connection was spoilt
+	NoVerdict    Verdict = iota // the attempt broke, or the answer says nothing certain
+	NotStarted                  // and never started
+	StateGone                   // never started: there was no state to fetch
+	Faulted                     // an error; it may have run
+	Rejected                    // the request itself is at fault, whichever worker gets it
+	NetworkFault                // none of the worker's, as far as can be told: the answer or the connection was spoilt
 )
 
 // AttemptError is how an attempt failed. It is a value to be judged, not only to be shown.
@@ -52,18 +52,18 @@
 
 // Why an attempt was given up by this router.
 var (
-	ErrCalledOff = errors.New("called off")
+	ErrCancelled = errors.New("called off")
 	ErrNotReady  = errors.New("the worker drains or is gone")
 	ErrExpired   = errors.New("time is up")
 	ErrNoSocket  = errors.New("no socket is left")
-	// ErrShut says that this router may send nothing at all now; the request ends with it.
-	ErrShut = errors.New("this router may send nothing now")
+	// ErrSendingForbidden says that this router may send nothing at all now; the request ends with it.
+	ErrSendingForbidden = errors.New("this router may send nothing now")
 )
 
 // Withdrawn tells whether an attempt was given up by this router: that is no word on the worker.
 func Withdrawn(err error) bool {
-	for _, why := range [...]error{ErrNoSocket, ErrCalledOff, ErrNotReady, ErrShut, context.Canceled} {
-		if errors.Is(err, why) {
+	for _, cause := range [...]error{ErrNoSocket, ErrCancelled, ErrNotReady, ErrSendingForbidden, context.Canceled} {
+		if errors.Is(err, cause) {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 	withdrawn := Withdrawn(e.Err)
 	late := errors.Is(e.Err, ErrExpired) || errors.Is(e.Err, context.DeadlineExceeded)
 	switch {
-	case e.Verdict == TurnedAway:
+	case e.Verdict == NotStarted:
 		return brain.Full, false
 	case e.Verdict == StateGone:
 		return brain.Full, true
@@ -89,15 +89,15 @@
 	case e.Verdict == Rejected:
 		return brain.Rejected, false
 	case e.Stage < Written && withdrawn:
-		return brain.Moot, false // our doing: no word on the worker
+		return brain.NotSent, false // our doing: no word on the worker
 	case e.Stage < Written:
 		return brain.ConnectFailed, false
 	case withdrawn:
 		return brain.Cancelled, false
 	case late:
 		return brain.TimedOut, false
-	case e.Verdict == Mishap:
-		return brain.Mishap, false
+	case e.Verdict == NetworkFault:
+		return brain.NetworkFault, false
 	}
 	return brain.Broke, false
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -33,8 +33,8 @@
 
 // Reply is what a worker answered: a Stream, or the word that the prompt has been read.
 type Reply struct {
-	Stream Stream
-	Kept   float64 // prompt tokens that the reader found kept; where Stream is nil
+	Stream       Stream
+	CachedTokens float64 // prompt tokens that the reader found kept; where Stream is nil
 }
 
 // Job is one request as its front took it: what the module must know, and how it is sent to a worker.
@@ -46,8 +46,8 @@
 	Try(ctx context.Context, w Worker, clear func() error) (Reply, error)
 	// Release lets go, at whatever worker, of all that is held for the request.
 	Release(ctx context.Context, w Worker) error
-	// Over is told last: the request has its answer, no attempt is out and no release under way.
-	Over()
+	// Done is told last: the request has its answer, no attempt is out and no release under way.
+	Done()
 }
 
 // Client is the receiving end of one request. It gets exactly one of Refuse, Fail, Finish and Break, unless it
@@ -74,20 +74,20 @@
 type Core struct {
 	log    logrus.FieldLogger
 	prober Prober
-	zero   time.Time
+	start  time.Time
 	unix   time.Duration // of zero
 
-	mu       sync.Mutex
-	sched    *brain.Scheduler
-	actions  []brain.Action
-	workers  map[brain.EngineID]*Worker
-	requests map[brain.RequestID]*request
-	lastID   brain.RequestID
-	timers   timerHeap
-	sooner   chan struct{} // the first timer has changed
-	heard    time.Duration // when the module was last told anything
-	paused   time.Duration // for how long in all this process was not running
-	last     bool          // nothing new is taken any more
+	mu           sync.Mutex
+	sched        *brain.Scheduler
+	actions      []brain.Action
+	workers      map[brain.EngineID]*Worker
+	requests     map[brain.RequestID]*request
+	lastID       brain.RequestID
+	timers       timerHeap
+	timerChanged chan struct{} // the first timer has changed
+	lastEvent    time.Duration // when the module was last told anything
+	paused       time.Duration // for how long in all this process was not running
+	refusing     bool          // nothing new is taken any more
 
 	decisions Decisions
 }
@@ -95,54 +95,54 @@
 // New makes a core. The seed settles the module's draws.
 func New(set brain.Settings, seed uint64, prober Prober, log logrus.FieldLogger) *Core {
 	now := time.Now()
-	return &Core{log: log, prober: prober, zero: now, unix: time.Duration(now.UnixNano()),
+	return &Core{log: log, prober: prober, start: now, unix: time.Duration(now.UnixNano()),
 		sched: brain.New(set, seed), workers: map[brain.EngineID]*Worker{},
-		requests:  map[brain.RequestID]*request{},
-		decisions: Decisions{Refused: map[brain.Why]uint64{}, Failed: map[brain.Why]uint64{}},
-		lastID:    brain.RequestID(now.UnixMicro()), // ids of an earlier start do not come again
-		sooner:    make(chan struct{}, 1)}
+		requests:     map[brain.RequestID]*request{},
+		decisions:    Decisions{Refused: map[brain.Reason]uint64{}, Failed: map[brain.Reason]uint64{}},
+		lastID:       brain.RequestID(now.UnixMicro()), // ids of an earlier start do not come again
+		timerChanged: make(chan struct{}, 1)}
 }
 
-// Retune has the module take new settings for requests that come from now on.
-func (c *Core) Retune(set brain.Settings) {
+// UpdateSettings has the module take new settings for requests that come from now on.
+func (c *Core) UpdateSettings(set brain.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sched.Retune(set)
+	c.sched.UpdateSettings(set)
 }
 
 // now is the time by the monotonic clock, counted like Unix time so that discovery's times compare with it.
-func (c *Core) now() time.Duration { return c.unix + time.Since(c.zero) }
+func (c *Core) now() time.Duration { return c.unix + time.Since(c.start) }
 
 // Listed brings news of the workers.
 func (c *Core) Listed(kind brain.ListKind, list []Worker) {
-	for _, w := range c.list(kind, list) {
+	for _, w := range c.updateWorkers(kind, list) {
 		c.prober.Forget(w)
 	}
 }
 
-// list takes the news and gives the workers that get nothing new by it.
-func (c *Core) list(kind brain.ListKind, list []Worker) (shut []Worker) {
+// updateWorkers takes the news and gives the workers that get nothing new by it.
+func (c *Core) updateWorkers(kind brain.ListKind, list []Worker) (retired []Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	engines := make([]brain.Engine, len(list))
-	named := make(map[brain.EngineID]bool, len(list))
+	listed := make(map[brain.EngineID]bool, len(list))
 	for i, w := range list {
-		engines[i], named[w.ID] = w.Engine, true
+		engines[i], listed[w.ID] = w.Engine, true
 		if old := c.workers[w.ID]; old != nil && old.Availability == brain.Ready && (w.Availability != brain.Ready || old.Addr != w.Addr) {
-			shut = append(shut, *old)
+			retired = append(retired, *old)
 		}
 		c.workers[w.ID] = &w
 	}
 	for id, w := range c.workers {
-		if unnamed := kind != brain.ListDelta && !named[id]; w.Availability == brain.Removed || unnamed {
-			if unnamed && w.Availability == brain.Ready {
-				shut = append(shut, *w)
+		if unlisted := kind != brain.ListDelta && !listed[id]; w.Availability == brain.Removed || unlisted {
+			if unlisted && w.Availability == brain.Ready {
+				retired = append(retired, *w)
 			}
 			delete(c.workers, id)
 		}
 	}
 	c.handle(brain.Listed{Kind: kind, Engines: engines})
-	return shut
+	return retired
 }
 
 // handle hands one event to the module and carries out what comes back. The lock is held. A panic of the
@@ -154,30 +154,30 @@
 		}
 	}()
 	now := c.now()
-	c.ran(now)
+	c.notePause(now)
 	c.actions = c.sched.Handle(now, ev, c.actions[:0])
 	for _, action := range c.actions {
 		c.dispatch(action)
 	}
 }
 
-// pauseLeast is the time without an event from which the process counts as not having run: the module's own timer
+// minPause is the time without an event from which the process counts as not having run: the module's own timer
 // comes several times as often.
-const pauseLeast = time.Second
+const minPause = time.Second
 
-// ran notes at an event whether the process was paused before it. The lock is held.
-func (c *Core) ran(now time.Duration) {
-	if gap := now - c.heard; c.heard > 0 && gap > pauseLeast {
+// notePause notes at an event whether the process was paused before it. The lock is held.
+func (c *Core) notePause(now time.Duration) {
+	if gap := now - c.lastEvent; c.lastEvent > 0 && gap > minPause {
 		c.paused += gap
 		c.log.WithField("for", gap).Warn("the process was paused")
 	}
-	c.heard = now
+	c.lastEvent = now
 }
 
 // took is how long a worker took for what was sent: a pause of ours is not its time. Were it taken for that, the
 // module would turn all away for what the worker is thought to take, and send nothing that could disprove it.
 func (c *Core) took(sent time.Time, pausedThen time.Duration) time.Duration {
-	c.ran(c.now())
+	c.notePause(c.now())
 	return max(time.Since(sent)-(c.paused-pausedThen), 0)
 }
 
@@ -189,7 +189,7 @@
 		}
 	case brain.Cancel:
 		if r := c.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].callOff()
+			r.attempts[a.Attempt].abort()
 		}
 	case brain.Refuse:
 		if r := c.requests[a.Request]; r != nil {
@@ -197,7 +197,7 @@
 		}
 	case brain.Fail:
 		if r := c.requests[a.Request]; r != nil {
-			r.fail(a.Why)
+			r.fail(a.Reason)
 		}
 	case brain.Release:
 		if r := c.requests[a.Request]; r != nil {
@@ -211,13 +211,13 @@
 		if w := c.workers[a.Engine]; w != nil {
 			go c.probe(*w)
 		} else {
-			go c.tell(brain.Probed{Engine: a.Engine, Result: brain.ConnectFailed})
+			go c.deliver(brain.Probed{Engine: a.Engine, Result: brain.ConnectFailed})
 		}
 	case brain.SetTimer:
 		heap.Push(&c.timers, a)
 		if c.timers[0] == a {
 			select {
-			case c.sooner <- struct{}{}:
+			case c.timerChanged <- struct{}{}:
 			default:
 			}
 		}
@@ -226,8 +226,8 @@
 	}
 }
 
-// tell is handle for those who do not hold the lock.
-func (c *Core) tell(ev brain.Event) {
+// deliver is handle for those who do not hold the lock.
+func (c *Core) deliver(ev brain.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handle(ev)
@@ -235,26 +235,26 @@
 
 // Run fires the module's timers until ctx ends.
 func (c *Core) Run(ctx context.Context) {
-	wait := time.NewTimer(time.Hour)
-	defer wait.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
-		wait.Reset(c.fire())
+		timer.Reset(c.fire())
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait.C:
-		case <-c.sooner:
+		case <-timer.C:
+		case <-c.timerChanged:
 		}
 	}
 }
 
-// settled is how often Settle looks.
-const settled = 5 * time.Millisecond
+// idlePoll is how often Settle looks.
+const idlePoll = 5 * time.Millisecond
 
-// Settle waits until nothing is out for any request, no attempt and no release of what is held, or until ctx ends. A
+// WaitIdle waits until nothing is out for any request, no attempt and no release of what is held, or until ctx ends. A
 // process that ended before would leave its states pinned: the client has its answer sooner than its state is let go.
-func (c *Core) Settle(ctx context.Context) {
-	every := time.NewTicker(settled)
+func (c *Core) WaitIdle(ctx context.Context) {
+	every := time.NewTicker(idlePoll)
 	defer every.Stop()
 	for c.Open() > 0 {
 		select {
@@ -273,8 +273,8 @@
 	return len(c.requests)
 }
 
-// Emptied has the requests that are open by now counted until they have ended: those that come later are not.
-func (c *Core) Emptied() (left func() int) {
+// TrackOpen has the requests that are open by now counted until they have ended: those that come later are not.
+func (c *Core) TrackOpen() (remaining func() int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.lastID
@@ -303,11 +303,11 @@
 	return time.Hour
 }
 
-// probeLimit is how long a probe is waited for.
-const probeLimit = 250 * time.Millisecond
+// probeTimeout is how long a probe is waited for.
+const probeTimeout = 250 * time.Millisecond
 
 func (c *Core) probe(w Worker) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	began := time.Now()
 	out := brain.Probed{Engine: w.ID}
@@ -315,7 +315,7 @@
 		out.Result, _ = result(err)
 	}
 	out.Took = time.Since(began)
-	c.tell(out)
+	c.deliver(out)
 }
 
 // Timers of one time fire in the order in which they were set only by chance; the module does not depend on it.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,32 +23,32 @@
 	released  []string
 	refuses   func(w Worker) bool // a worker that does not take a release
 	answers   []string
-	overs     []string
+	dones     []string
 	forgotten []string
 	calls     []string
 }
 
-func (f *fake) note(to *[]string, format string, args ...any) {
+func (f *fake) record(to *[]string, format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-func (f *fake) seen(of *[]string) string {
+func (f *fake) joined(of *[]string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return strings.Join(*of, " ")
 }
 
 func (f *fake) Arrival(id brain.RequestID) brain.Arrived {
-	return brain.Arrived{Request: id, Class: f.class, Session: 1, PromptTokens: 100, MaxTokens: 10, Left: f.left}
+	return brain.Arrived{Request: id, Class: f.class, Session: 1, PromptTokens: 100, MaxTokens: 10, Timeout: f.left}
 }
 
 func (f *fake) Try(ctx context.Context, w Worker, clear func() error) (Reply, error) {
 	if err := clear(); err != nil {
 		return Reply{}, &AttemptError{Stage: NotConnected, Err: err}
 	}
-	f.note(&f.calls, "%s", w.Name)
+	f.record(&f.calls, "%s", w.Name)
 	return f.try(ctx, w, clear)
 }
 
@@ -56,29 +56,29 @@
 	if f.refuses != nil && f.refuses(w) {
 		return errors.New("down")
 	}
-	f.note(&f.released, "%s", w.Name)
+	f.record(&f.released, "%s", w.Name)
 	return nil
 }
 
-func (f *fake) Over() { f.note(&f.overs, "over") }
+func (f *fake) Done() { f.record(&f.dones, "over") }
 
-func (f *fake) Refuse(time.Duration) { f.note(&f.answers, "refused") }
-func (f *fake) Fail()                { f.note(&f.answers, "failed") }
-func (f *fake) Finish()              { f.note(&f.answers, "finished") }
-func (f *fake) Break()               { f.note(&f.answers, "broke") }
-func (f *fake) Pass(b []byte) error  { f.note(&f.answers, "%s", b); return nil }
+func (f *fake) Refuse(time.Duration) { f.record(&f.answers, "refused") }
+func (f *fake) Fail()                { f.record(&f.answers, "failed") }
+func (f *fake) Finish()              { f.record(&f.answers, "finished") }
+func (f *fake) Break()               { f.record(&f.answers, "broke") }
+func (f *fake) Pass(b []byte) error  { f.record(&f.answers, "%s", b); return nil }
 
 func (f *fake) Probe(context.Context, Worker) error { return nil }
-func (f *fake) Forget(w Worker)                     { f.note(&f.forgotten, "%s", w.Name) }
+func (f *fake) Forget(w Worker)                     { f.record(&f.forgotten, "%s", w.Name) }
 
-// lines is a stream of prepared pieces; its end is err.
-type lines struct {
+// stub is a stream of prepared pieces; its end is err.
+type stub struct {
 	pieces []string
 	err    error
 	closed bool
 }
 
-func (l *lines) Next() ([]byte, error) {
+func (l *stub) Next() ([]byte, error) {
 	if len(l.pieces) == 0 {
 		return nil, l.err
 	}
@@ -87,15 +87,15 @@
 	return []byte(p), nil
 }
 
-func (l *lines) Close() { l.closed = true }
+func (l *stub) Close() { l.closed = true }
 
 const (
 	safe, unsafe = 0, 1
 	limit        = 300 * time.Millisecond
 )
 
-// begin starts a core with workers named r1, r2, w1, w2 by role; names says which.
-func begin(t *testing.T, names ...string) (*Core, []Worker) {
+// startCore starts a core with workers named r1, r2, w1, w2 by role; names says which.
+func startCore(t *testing.T, names ...string) (*Core, []Worker) {
 	class := brain.Class{Aim: time.Second, Deadline: time.Second, Worth: 1}
 	set := brain.Settings{Classes: []brain.Class{class, class}, Cancelling: true, Step: 4 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxAttempts: 6,
 		Kinds: []brain.Kind{{Role: brain.Reader, MemoryTokens: 1e5}, {Role: brain.Writer, MemoryTokens: 1e5}}}
@@ -105,7 +105,7 @@
 	for i, name := range names {
 		list = append(list, Worker{Name: name, Engine: brain.Engine{ID: brain.EngineID(i + 1), Kind: strings.Index("rw", name[:1])}})
 	}
-	c.Listed(brain.ListWhole, list)
+	c.Listed(brain.ListComplete, list)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.Run(ctx)
@@ -118,7 +118,7 @@
 func answersByRole(answer func(w Worker) (Reply, error)) func(context.Context, Worker, func() error) (Reply, error) {
 	return func(_ context.Context, w Worker, _ func() error) (Reply, error) {
 		if w.Name[0] == 'r' {
-			return Reply{Kept: 3}, nil
+			return Reply{CachedTokens: 3}, nil
 		}
 		return answer(w)
 	}
@@ -140,7 +140,7 @@
 		return answersByRole(func(Worker) (Reply, error) { return Reply{}, err })
 	}
 	streams := func(err error) func(context.Context, Worker, func() error) (Reply, error) {
-		return answersByRole(func(Worker) (Reply, error) { return Reply{Stream: &lines{pieces: []string{"a", "b"}, err: err}}, nil })
+		return answersByRole(func(Worker) (Reply, error) { return Reply{Stream: &stub{pieces: []string{"a", "b"}, err: err}}, nil })
 	}
 	for name, c := range map[string]struct {
 		workers string
@@ -155,7 +155,7 @@
 		"filing never ran":          {"r1 w1", unsafe, fails(broken(PartlyWritten)), "refused", 6},
 		"filing may have run":       {"r1 w1 w2", unsafe, fails(broken(Written)), "failed", 1},
 		"query may have run":        {"r1 w1 w2", safe, fails(broken(Written)), "refused", 6},
-		"filing turned away":        {"r1 w1", unsafe, fails(&AttemptError{Stage: Head, Verdict: TurnedAway, Err: io.EOF}), "refused", 6},
+		"filing turned away":        {"r1 w1", unsafe, fails(&AttemptError{Stage: Head, Verdict: NotStarted, Err: io.EOF}), "refused", 6},
 		"filing, silent writer":     {"r1 w1", unsafe, deadline(nil), "failed", 1},
 		"query, silent writer":      {"r1 w1", safe, deadline(nil), "refused", 6},
 		"a panic may have run":      {"r1 w1", unsafe, answersByRole(func(Worker) (Reply, error) { panic("x") }), "failed", 1},
@@ -165,17 +165,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			core, _ := begin(t, strings.Fields(c.workers)...)
+			core, _ := startCore(t, strings.Fields(c.workers)...)
 			f := &fake{left: limit, class: c.class, try: c.try}
 			began := time.Now()
 			core.Do(context.Background(), f, f)
 			if took := time.Since(began); took > limit+100*time.Millisecond {
 				t.Errorf("took %v", took)
 			}
-			if got := f.seen(&f.answers); got != c.answers {
+			if got := f.joined(&f.answers); got != c.answers {
 				t.Errorf("answers %q, want %q", got, c.answers)
 			}
-			if n := strings.Count(f.seen(&f.calls), "w"); n > c.writes {
+			if n := strings.Count(f.joined(&f.calls), "w"); n > c.writes {
 				t.Errorf("%d sends to writers", n)
 			}
 			standin.Eventually(t, time.Second, "nothing is remembered of the request", func() bool {
@@ -183,7 +183,7 @@
 				defer core.mu.Unlock()
 				return len(core.requests) == 0
 			})
-			if got := f.seen(&f.overs); got != "over" { // or its id and the memory of its body are never given back
+			if got := f.joined(&f.dones); got != "over" { // or its id and the memory of its body are never given back
 				t.Errorf("over told: %q", got)
 			}
 		})
@@ -191,8 +191,8 @@
 }
 
 // The list may change while a connection comes up: at the moment of writing the worker must still be ready.
-func TestNotClearToWrite(t *testing.T) {
-	c, list := begin(t, "r1", "w1", "w2")
+func TestNoWriteToDrainedWorker(t *testing.T) {
+	c, list := startCore(t, "r1", "w1", "w2")
 	f := &fake{left: limit}
 	drained := ""
 	f.try = func(_ context.Context, w Worker, clear func() error) (Reply, error) {
@@ -206,10 +206,10 @@
 			c.Listed(brain.ListDelta, gone)
 			return Reply{}, &AttemptError{Stage: NotConnected, Err: clear()}
 		}
-		return Reply{Stream: &lines{pieces: []string{w.Name}, err: io.EOF}}, nil
+		return Reply{Stream: &stub{pieces: []string{w.Name}, err: io.EOF}}, nil
 	}
 	c.Do(context.Background(), f, f)
-	if got := f.seen(&f.answers); !strings.HasSuffix(got, " finished") || strings.HasPrefix(got, drained) {
+	if got := f.joined(&f.answers); !strings.HasSuffix(got, " finished") || strings.HasPrefix(got, drained) {
 		t.Errorf("answers %q, %s had been drained", got, drained)
 	}
 }
@@ -217,11 +217,11 @@
 // A state that nobody will take must be let go at some worker, though others do not hear; also when the client
 // leaves while the attempt is out.
 func TestRelease(t *testing.T) {
-	c, _ := begin(t, "r1", "w1")
+	c, _ := startCore(t, "r1", "w1")
 	f := &fake{left: limit, refuses: func(w Worker) bool { return w.Name == "w1" }}
 	f.try = answersByRole(func(Worker) (Reply, error) { return Reply{}, broken(NotConnected) })
 	c.Do(context.Background(), f, f)
-	standin.Eventually(t, time.Second, "the state is released", func() bool { return f.seen(&f.released) == "r1" })
+	standin.Eventually(t, time.Second, "the state is released", func() bool { return f.joined(&f.released) == "r1" })
 
 	left, waiting := &fake{left: time.Minute}, make(chan struct{})
 	left.try = func(ctx context.Context, _ Worker, _ func() error) (Reply, error) {
@@ -232,16 +232,16 @@
 	ctx, leave := context.WithCancel(context.Background())
 	go func() { <-waiting; leave() }()
 	c.Do(ctx, left, left)
-	standin.Eventually(t, time.Second, "what a client left behind is released", func() bool { return left.seen(&left.released) != "" })
-	if got := left.seen(&left.answers); got != "" {
+	standin.Eventually(t, time.Second, "what a client left behind is released", func() bool { return left.joined(&left.released) != "" })
+	if got := left.joined(&left.answers); got != "" {
 		t.Errorf("a client that has left was answered %q", got)
 	}
 }
 
 // An answer that begins after the request was decided goes nowhere: nobody gets two answers.
-func TestTooLateToBegin(t *testing.T) {
-	c, _ := begin(t, "r1", "w1")
-	f, late := &fake{left: limit, class: unsafe}, &lines{pieces: []string{"late"}, err: io.EOF}
+func TestLateAnswerIsDropped(t *testing.T) {
+	c, _ := startCore(t, "r1", "w1")
+	f, late := &fake{left: limit, class: unsafe}, &stub{pieces: []string{"late"}, err: io.EOF}
 	ended := make(chan struct{})
 	f.try = func(ctx context.Context, w Worker, _ func() error) (Reply, error) {
 		if w.Name[0] == 'r' {
@@ -258,41 +258,41 @@
 		defer c.mu.Unlock()
 		return len(c.requests) == 0 && late.closed
 	})
-	if got := f.seen(&f.answers); got != "failed" {
+	if got := f.joined(&f.answers); got != "failed" {
 		t.Errorf("answers %q", got)
 	}
 }
 
 // What is kept for a worker goes with it: its connections would else pile up where workers are replaced all day.
 func TestWorkersForgotten(t *testing.T) {
-	c, list := begin(t, "r1", "w1", "w2", "w3")
+	c, list := startCore(t, "r1", "w1", "w2", "w3")
 	prober := c.prober.(*fake)
 	drained, removed := list[1], list[2]
 	drained.Availability, removed.Availability = brain.Draining, brain.Removed
 	c.Listed(brain.ListDelta, []Worker{drained})
 	c.Listed(brain.ListDelta, []Worker{removed})
-	c.Listed(brain.ListWhole, list[:1])
-	if got := prober.seen(&prober.forgotten); got != "w1 w2 w3" || len(c.workers) != 1 {
+	c.Listed(brain.ListComplete, list[:1])
+	if got := prober.joined(&prober.forgotten); got != "w1 w2 w3" || len(c.workers) != 1 {
 		t.Errorf("forgotten %q, %d known", got, len(c.workers))
 	}
 }
 
 // Should the module panic, the request still gets its answer in time; it was never sent on.
-func TestModulePanics(t *testing.T) {
-	c, _ := begin(t, "r1", "w1")
+func TestSchedulerPanics(t *testing.T) {
+	c, _ := startCore(t, "r1", "w1")
 	c.sched = nil
 	f := &fake{left: 50 * time.Millisecond}
 	c.Do(context.Background(), f, f)
-	if got := f.seen(&f.answers); got != "refused" {
+	if got := f.joined(&f.answers); got != "refused" {
 		t.Errorf("answers %q", got)
 	}
 }
 
 // A router that drains answers a client before what is held for the request is let go; it must not end in between. A
 // release that no worker takes does not keep it for ever.
-func TestSettleWaitsForReleases(t *testing.T) {
+func TestWaitIdleWaitsForReleases(t *testing.T) {
 	for taken, wait := range map[bool]time.Duration{true: 5 * time.Second, false: 50 * time.Millisecond} {
-		c, _ := begin(t, "r1", "w1")
+		c, _ := startCore(t, "r1", "w1")
 		may := make(chan struct{})
 		f := &fake{left: limit, class: unsafe}
 		f.refuses = func(Worker) bool {
@@ -310,18 +310,18 @@
 			return Reply{}, broken(Written)
 		})
 		c.Do(context.Background(), f, f)
-		if got := f.seen(&f.answers); got != "failed" || f.seen(&f.released) != "" {
-			t.Fatalf("answered %q, released at %q: the release must still be out", got, f.seen(&f.released))
+		if got := f.joined(&f.answers); got != "failed" || f.joined(&f.released) != "" {
+			t.Fatalf("answered %q, released at %q: the release must still be out", got, f.joined(&f.released))
 		}
 		if taken {
 			time.AfterFunc(60*time.Millisecond, func() { close(may) })
 		}
 		ctx, stop := context.WithTimeout(context.Background(), wait)
-		c.Settle(ctx)
+		c.WaitIdle(ctx)
 		if ended := ctx.Err() != nil; ended == taken {
 			t.Errorf("taken %v: settled by its limit %v", taken, ended)
 		}
-		if got := f.seen(&f.released); (got != "") != taken {
+		if got := f.joined(&f.released); (got != "") != taken {
 			t.Errorf("taken %v: released at %q when settled", taken, got)
 		}
 		stop()
@@ -333,19 +333,19 @@
 
 // A process that was paused does not take its own pause for its workers' slowness: the answers that came meanwhile were
 // there at once, and whoever comes after is served. Without that all were turned away, for ever.
-func TestPauseIsNotTheWorkers(t *testing.T) {
+func TestProcessPauseIsNotWorkerTime(t *testing.T) {
 	class := brain.Class{Aim: 500 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1}
 	set := brain.Settings{Classes: []brain.Class{class}, Cancelling: true, Step: time.Millisecond, MaxAttempts: 3,
 		Kinds: []brain.Kind{{Role: brain.Mixed, MemoryTokens: 1e5}}}
 	c := New(set, 1, &fake{}, standin.Log())
-	c.Listed(brain.ListWhole, []Worker{{Name: "m1", Engine: brain.Engine{ID: 1}}})
+	c.Listed(brain.ListComplete, []Worker{{Name: "m1", Engine: brain.Engine{ID: 1}}})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go c.Run(ctx)
 	serve := func(wait <-chan struct{}) *fake {
 		return &fake{left: 20 * time.Second, try: func(context.Context, Worker, func() error) (Reply, error) {
 			<-wait
-			return Reply{Stream: &lines{pieces: []string{"x"}, err: io.EOF}}, nil
+			return Reply{Stream: &stub{pieces: []string{"x"}, err: io.EOF}}, nil
 		}}
 	}
 	answered := make(chan struct{})
@@ -371,7 +371,7 @@
 	all.Wait()
 	f := serve(answered)
 	c.Do(t.Context(), f, f)
-	if got := f.seen(&f.answers); got != "x finished" {
+	if got := f.joined(&f.answers); got != "x finished" {
 		t.Errorf("after the pause: %q", got)
 	}
 }
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -6,13 +6,13 @@
 	"sumacloft/brain"
 )
 
-// whyUndecided is of requests that end without a decision of the module.
-const whyUndecided brain.Why = "the router ended it: a fault, its last call, or no further attempt was allowed"
+// reasonUndecided is of requests that end without a decision of the module.
+const reasonUndecided brain.Reason = "the router ended it: a fault, its last call, or no further attempt was allowed"
 
 // Decisions counts the final answers that were no success, by reason, as clients get them.
 type Decisions struct {
-	Refused map[brain.Why]uint64 // trying again is harmless
-	Failed  map[brain.Why]uint64 // nothing is promised
+	Refused map[brain.Reason]uint64 // trying again is harmless
+	Failed  map[brain.Reason]uint64 // nothing is promised
 }
 
 // Decisions are the counts since the core was made.
@@ -26,8 +26,8 @@
 func (d *Decisions) count(answer brain.Action) {
 	switch a := answer.(type) {
 	case brain.Refuse:
-		d.Refused[a.Why]++
+		d.Refused[a.Reason]++
 	case brain.Fail:
-		d.Failed[a.Why]++
+		d.Failed[a.Reason]++
 	}
 }
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -9,7 +9,7 @@
 // Final answers are counted as the client gets them, once each, whoever ends the request: one that the module fails but that was
 // never sent on is refused.
 func TestFinalAnswersAreCountedAsClientsGetThem(t *testing.T) {
-	decisions := &Decisions{Refused: map[brain.Why]uint64{}, Failed: map[brain.Why]uint64{}}
+	decisions := &Decisions{Refused: map[brain.Reason]uint64{}, Failed: map[brain.Reason]uint64{}}
 	request := func(cleared bool) *request {
 		return &request{
 			wake:      make(chan struct{}, 1),
@@ -17,17 +17,17 @@
 			decisions: decisions,
 		}
 	}
-	request(false).fail(brain.NothingTo)
+	request(false).fail(brain.Exhausted)
 	sent := request(true)
-	sent.fail(brain.AtFault)
-	sent.fail(whyUndecided) // it has its answer
+	sent.fail(brain.InvalidRequest)
+	sent.fail(reasonUndecided) // it has its answer
 	refused := request(true)
-	refused.end(brain.Refuse{Why: brain.TooLong})
-	refused.end(brain.Refuse{Why: brain.TooLong})
-	if len(decisions.Refused) != 2 || decisions.Refused[brain.NothingTo] != 1 || decisions.Refused[brain.TooLong] != 1 {
+	refused.end(brain.Refuse{Reason: brain.WaitTooLong})
+	refused.end(brain.Refuse{Reason: brain.WaitTooLong})
+	if len(decisions.Refused) != 2 || decisions.Refused[brain.Exhausted] != 1 || decisions.Refused[brain.WaitTooLong] != 1 {
 		t.Errorf("refused: %v", decisions.Refused)
 	}
-	if len(decisions.Failed) != 1 || decisions.Failed[brain.AtFault] != 1 {
+	if len(decisions.Failed) != 1 || decisions.Failed[brain.InvalidRequest] != 1 {
 		t.Errorf("failed: %v", decisions.Failed)
 	}
 }
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -2,9 +2,9 @@
 
 import "sumacloft/brain"
 
-// Waiting is how many prompt tokens wait for this router's attempts at each engine of a role, as the list words it;
+// PendingTokens is how many prompt tokens wait for this router's attempts at each engine of a role, as the list words it;
 // engines with none are left out.
-func (c *Core) Waiting(role string) map[brain.EngineID]float64 {
+func (c *Core) PendingTokens(role string) map[brain.EngineID]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waiting := map[brain.EngineID]float64{}
@@ -12,7 +12,7 @@
 		if w.Role != role {
 			continue
 		}
-		if tokens := c.sched.Waiting(id); tokens > 0 {
+		if tokens := c.sched.PendingTokens(id); tokens > 0 {
 			waiting[id] = tokens
 		}
 	}
@@ -20,10 +20,10 @@
 }
 
 // Candidates are the engines that a job's prompt would first be considered for, most of them at most.
-func (c *Core) Candidates(job Job, most int) []brain.EngineID {
+func (c *Core) Candidates(job Job, limit int) []brain.EngineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sched.Candidates(job.Arrival(0), most)
+	return c.sched.Candidates(job.Arrival(0), limit)
 }
 
 // Reported tells the module what prompt tokens wait at engines for all routers together.
@@ -32,7 +32,7 @@
 	defer c.mu.Unlock()
 	for id, tokens := range waiting {
 		if c.workers[id] != nil {
-			load := brain.Load{Known: true, MemoryShare: -1, WaitTokens: tokens, Hearsay: true}
+			load := brain.Load{Known: true, MemoryShare: -1, WaitTokens: tokens, FromPeers: true}
 			c.handle(brain.Reported{Engine: id, Load: load})
 		}
 	}
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// releaseTry is how long one worker is given to take a release, releaseLimit how long it is tried at all:
+	// releaseTryTimeout is how long one worker is given to take a release, releaseLimit how long it is tried at all:
 	// what is held must be let go within 500 ms, and while connections fail to come up that time runs on.
-	releaseTry   = 120 * time.Millisecond
-	releaseLimit = 5 * time.Second
-	releasePause = 5 * time.Millisecond
-	// releaseNext is after how long the next worker is asked beside one that has not answered. Where a zone is cut off most
+	releaseTryTimeout = 120 * time.Millisecond
+	releaseTimeout    = 5 * time.Second
+	releaseRetryDelay = 5 * time.Millisecond
+	// releaseHedgeDelay is after how long the next worker is asked beside one that has not answered. Where a zone is cut off most
 	// of those asked may be silent, and one after the other they would use up all the time that there is.
-	releaseNext = 30 * time.Millisecond
+	releaseHedgeDelay = 30 * time.Millisecond
 )
 
 // release lets go of what is held for a job: any worker may be told, so it asks one after the other until one
 // has taken it, not waiting long for any.
 func (c *Core) release(job Job) {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel() // also calls off the others that were asked
 	taken := make(chan error)
 	ask := func(w Worker) {
 		began := time.Now()
-		try, done := context.WithTimeout(ctx, releaseTry)
+		try, done := context.WithTimeout(ctx, releaseTryTimeout)
 		defer done()
 		err := job.Release(try, w)
 		if err != nil && ctx.Err() == nil {
 			c.log.WithField("worker", w.Name).WithError(err).Debug("release not taken")
 		}
-		if err != nil && time.Since(began) >= releaseNext { // the next one was asked meanwhile
+		if err != nil && time.Since(began) >= releaseHedgeDelay { // the next one was asked meanwhile
 			return
 		}
 		select {
@@ -40,8 +40,8 @@
 	}
 	next := time.NewTimer(0)
 	defer next.Stop()
-	wait := func(most time.Duration) (done bool) { // until one has answered
-		next.Reset(most)
+	wait := func(limit time.Duration) (done bool) { // until one has answered
+		next.Reset(limit)
 		select {
 		case <-ctx.Done():
 			return false
@@ -54,11 +54,11 @@
 	for ctx.Err() == nil {
 		for _, w := range c.ready() {
 			go ask(w)
-			if wait(releaseNext) {
+			if wait(releaseHedgeDelay) {
 				return
 			}
 		}
-		if wait(releasePause) {
+		if wait(releaseRetryDelay) {
 			return
 		}
 	}
--- a/internal/core/release_test.go
+++ b/internal/core/release_test.go
@@ -12,19 +12,19 @@
 	"sumacloft/internal/standin"
 )
 
-// hushed is a job whose releases only one worker answers: the others are behind a cut.
-type hushed struct {
+// mostlySilentJob is a job whose releases only one worker answers: the others are behind a cut.
+type mostlySilentJob struct {
 	*fake
-	answers brain.EngineID
-	asked   atomic.Int64
-	most    atomic.Int64
+	answering brain.EngineID
+	asked     atomic.Int64
+	most      atomic.Int64
 }
 
 // Release serves Job.
-func (f *hushed) Release(ctx context.Context, w Worker) error {
+func (f *mostlySilentJob) Release(ctx context.Context, w Worker) error {
 	f.most.Store(max(f.most.Load(), f.asked.Add(1)))
 	defer f.asked.Add(-1)
-	if w.ID == f.answers {
+	if w.ID == f.answering {
 		time.Sleep(2 * time.Millisecond)
 		return nil
 	}
@@ -41,7 +41,7 @@
 			c.workers[i] = &Worker{Engine: brain.Engine{ID: i}}
 		}
 		for i := range 200 {
-			job := &hushed{answers: brain.EngineID(i % 9)}
+			job := &mostlySilentJob{answering: brain.EngineID(i % 9)}
 			began := time.Now()
 			c.release(job)
 			if took := time.Since(began); took > 300*time.Millisecond {
@@ -56,8 +56,8 @@
 }
 
 // A call aside goes to a worker that is ready only, which is looked at again as it is written; what is out at workers is told.
-func TestAside(t *testing.T) {
-	c, list := begin(t, "r1", "w1")
+func TestCallReady(t *testing.T) {
+	c, list := startCore(t, "r1", "w1")
 	ctx := t.Context()
 	asked := 0
 	call := func(_ context.Context, w Worker, clear func() error) error {
@@ -67,18 +67,18 @@
 		}
 		return clear()
 	}
-	if err := c.Aside(ctx, list[0].ID, call); err != nil || asked != 1 {
+	if err := c.CallReady(ctx, list[0].ID, call); err != nil || asked != 1 {
 		t.Errorf("a worker that is ready: %v, asked %d times", err, asked)
 	}
 	drains := list[0]
 	drains.Availability = brain.Draining
-	if err := c.Aside(ctx, list[0].ID, func(ctx context.Context, w Worker, clear func() error) error {
+	if err := c.CallReady(ctx, list[0].ID, func(ctx context.Context, w Worker, clear func() error) error {
 		c.Listed(brain.ListDelta, []Worker{drains}) // while it is dialled
 		return call(ctx, w, clear)
 	}); !errors.Is(err, ErrNotReady) {
 		t.Errorf("one that drains meanwhile: %v", err)
 	}
-	if err := c.Aside(ctx, list[0].ID, call); !errors.Is(err, ErrNotReady) || asked != 2 {
+	if err := c.CallReady(ctx, list[0].ID, call); !errors.Is(err, ErrNotReady) || asked != 2 {
 		t.Errorf("one that drains: %v, asked %d times", err, asked)
 	}
 	hold := make(chan struct{})
@@ -89,15 +89,15 @@
 	c.Listed(brain.ListDelta, list[:1])
 	done := make(chan struct{})
 	go func() { defer close(done); c.Do(ctx, job, job) }()
-	standin.Eventually(t, time.Second, "one is out", func() bool { return c.Busy()["r1"] == 1 })
+	standin.Eventually(t, time.Second, "one is out", func() bool { return c.OpenAttempts()["r1"] == 1 })
 	close(hold)
 	<-done
-	standin.Eventually(t, time.Second, "none is out", func() bool { return len(c.Busy()) == 0 })
+	standin.Eventually(t, time.Second, "none is out", func() bool { return len(c.OpenAttempts()) == 0 })
 }
 
 // What is let out is empty once what it had has ended, whoever still comes.
-func TestEmptiedOfWhatItHad(t *testing.T) {
-	c, _ := begin(t, "r1", "w1")
+func TestTrackOpen(t *testing.T) {
+	c, _ := startCore(t, "r1", "w1")
 	ask := func() (end func()) {
 		hold, done := make(chan struct{}), make(chan struct{})
 		job := &fake{left: 5 * time.Second, try: func(context.Context, Worker, func() error) (Reply, error) {
@@ -109,11 +109,11 @@
 		standin.Eventually(t, time.Second, "it is taken", func() bool { return c.Open() == open+1 })
 		return func() { close(hold); <-done }
 	}
-	if left := c.Emptied(); left() != 0 {
+	if left := c.TrackOpen(); left() != 0 {
 		t.Error("one that has nothing is not empty")
 	}
 	before := ask()
-	left := c.Emptied()
+	left := c.TrackOpen()
 	after := ask()
 	if left() != 1 {
 		t.Errorf("%d left", left())
