--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,31 +17,31 @@
 	id       brain.RequestID
 	job      Job
 	deadline time.Time
-	mail     []any // *attempt to start, *begun, brain.Refuse or brain.Fail, in order
+	inbox    []any // *attempt to start, *begun, brain.Refuse or brain.Fail, in order
 	wake     chan struct{}
 	attempts []*attempt
 	out      int // attempts whose end the module has not been told, and releases under way
 	decided  bool
-	left     bool // its task has ended: nothing reads the mail
+	detached bool // its task has ended: nothing reads the mail
 
 	decisions *Decisions // of the core
 }
 
 // attempt is one sending of a request to a worker.
 type attempt struct {
-	number  int
-	worker  Worker
-	sent    time.Time
-	paused  time.Duration // of the core, when it was sent
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	off     bool // called off, or never to be started
-	cleared bool // to be written: from here on the worker may have it
-	started bool
+	number    int
+	worker    Worker
+	sent      time.Time
+	paused    time.Duration // of the core, when it was sent
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	cancelled bool // called off, or never to be started
+	cleared   bool // to be written: from here on the worker may have it
+	started   bool
 }
 
-// begun is an attempt whose answer has begun.
-type begun struct {
+// startedAttempt is an attempt whose answer has startedAttempt.
+type startedAttempt struct {
 	*attempt
 	stream Stream
 }
@@ -50,12 +50,12 @@
 // does it. ctx ends when the client has left.
 func (c *Core) Do(ctx context.Context, job Job, client Client) {
 	r := c.arrive(job)
-	defer c.leave(r)
+	defer c.detach(r)
 	for {
 		switch m := c.next(ctx, r).(type) {
 		case *attempt: // the module has chosen a worker; what comes of it is told by the attempt itself
 			go c.try(r, m)
-		case *begun: // from here on the request belongs to this attempt
+		case *startedAttempt: // from here on the request belongs to this attempt
 			c.relay(ctx, r, m, client)
 			return
 		case brain.Refuse:
@@ -65,7 +65,7 @@
 			client.Fail()
 			return
 		case nil:
-			c.tell(brain.Gone{Request: r.id})
+			c.deliver(brain.ClientGone{Request: r.id})
 			return
 		}
 	}
@@ -76,10 +76,10 @@
 	defer c.mu.Unlock()
 	c.lastID++
 	arrived := job.Arrival(c.lastID)
-	r := &request{id: c.lastID, job: job, deadline: time.Now().Add(arrived.Left), wake: make(chan struct{}, 1), decisions: &c.decisions}
+	r := &request{id: c.lastID, job: job, deadline: time.Now().Add(arrived.Timeout), wake: make(chan struct{}, 1), decisions: &c.decisions}
 	c.requests[r.id] = r
-	if c.last {
-		r.fail(whyUndecided)
+	if c.refusing {
+		r.fail(reasonUndecided)
 		return r
 	}
 	c.handle(arrived)
@@ -97,9 +97,9 @@
 	defer overdue.Stop()
 	for {
 		c.mu.Lock()
-		if len(r.mail) > 0 {
-			m := r.mail[0]
-			r.mail = r.mail[1:]
+		if len(r.inbox) > 0 {
+			m := r.inbox[0]
+			r.inbox = r.inbox[1:]
 			c.mu.Unlock()
 			return m
 		}
@@ -119,32 +119,32 @@
 	defer c.mu.Unlock()
 	if !r.decided {
 		c.log.WithField("request", r.id).Error("the module did not decide in time")
-		r.fail(whyUndecided)
-		c.handle(brain.Gone{Request: r.id})
+		r.fail(reasonUndecided)
+		c.handle(brain.ClientGone{Request: r.id})
 	}
 }
 
-// Shut has every request that comes from now on refused as it comes: nothing of it is sent, and the client may ask
+// RefuseNew has every request that comes from now on refused as it comes: nothing of it is sent, and the client may ask
 // elsewhere at once. What was taken before goes on.
-func (c *Core) Shut() {
+func (c *Core) RefuseNew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = true
+	c.refusing = true
 }
 
-// LastCall ends every request that has no answer yet, as one that the module did not decide in time: the process
+// EndUndecided ends every request that has no answer yet, as one that the module did not decide in time: the process
 // is about to be killed, and then what is held for them would stay held. Each fails, which promises nothing, or is
 // refused if it was never sent on, and the module is told that it is gone, so that it calls its attempts off and
 // releases what they hold. Streams that have begun are left to run: their state is taken. Who comes later, on a
 // connection that is still open, is refused at once: there is no time left to serve it.
-func (c *Core) LastCall() (ended int) {
+func (c *Core) EndUndecided() (ended int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = true
+	c.refusing = true
 	for _, r := range c.requests {
-		if !r.decided && !r.left {
-			r.fail(whyUndecided)
-			c.handle(brain.Gone{Request: r.id})
+		if !r.decided && !r.detached {
+			r.fail(reasonUndecided)
+			c.handle(brain.ClientGone{Request: r.id})
 			ended++
 		}
 	}
@@ -153,7 +153,7 @@
 
 // post puts something into the mailbox. The lock is held.
 func (r *request) post(m any) {
-	r.mail = append(r.mail, m)
+	r.inbox = append(r.inbox, m)
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -171,18 +171,18 @@
 
 // fail ends a request as one that may have run. Of one that was never sent on it is known better: what is still to be
 // written never will be, and the client is told that trying again is harmless.
-func (r *request) fail(why brain.Why) {
+func (r *request) fail(reason brain.Reason) {
 	if r.decided {
 		return
 	}
 	if slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.cleared }) {
-		r.end(brain.Fail{Request: r.id, Why: why})
+		r.end(brain.Fail{Request: r.id, Reason: reason})
 		return
 	}
 	for _, a := range r.attempts {
-		a.callOff()
+		a.abort()
 	}
-	r.end(brain.Refuse{Request: r.id, Why: why})
+	r.end(brain.Refuse{Request: r.id, Reason: reason})
 }
 
 // send opens the next attempt. One that can no longer be made is reported as never sent, since each Send has
@@ -200,18 +200,18 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	w := c.workers[s.Engine]
-	if w == nil || r.left || r.decided {
-		go c.ended(r, a, brain.Ended{Result: brain.Moot})
+	if w == nil || r.detached || r.decided {
+		go c.ended(r, a, brain.Ended{Result: brain.NotSent})
 		return
 	}
 	a.worker = *w
 	r.post(a)
 }
 
-func (a *attempt) callOff() {
+func (a *attempt) abort() {
 	if !a.started {
-		a.off = true
-		a.cancel(ErrCalledOff)
+		a.cancelled = true
+		a.cancel(ErrCancelled)
 	}
 }
 
@@ -229,12 +229,12 @@
 	case err != nil:
 		e := brain.Ended{}
 		e.Result, e.NoState = result(err)
-		e.Last = errors.Is(err, ErrShut) // another worker would get it no more than this one
+		e.Last = errors.Is(err, ErrSendingForbidden) // another worker would get it no more than this one
 		c.log.WithFields(logFields(r, a)).WithError(err).Debug("attempt ended")
 		c.ended(r, a, e)
 	case reply.Stream == nil:
-		c.ended(r, a, brain.Ended{Result: brain.Read, Kept: reply.Kept})
-	case !c.begin(r, a, reply.Stream):
+		c.ended(r, a, brain.Ended{Result: brain.Read, CachedTokens: reply.CachedTokens})
+	case !c.claim(r, a, reply.Stream):
 		reply.Stream.Close()
 		c.ended(r, a, brain.Ended{Result: brain.Cancelled})
 	}
@@ -249,8 +249,8 @@
 func (c *Core) clear(a *attempt) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.off {
-		return ErrCalledOff
+	if a.cancelled {
+		return ErrCancelled
 	}
 	if w := c.workers[a.worker.ID]; w == nil || w.Availability != brain.Ready {
 		return ErrNotReady
@@ -259,22 +259,22 @@
 	return nil
 }
 
-// begin gives the request to the attempt whose answer has begun, unless it is over or the attempt was called
+// claim gives the request to the attempt whose answer has begun, unless it is over or the attempt was called
 // off: both are settled under the lock, so no client gets two answers.
-func (c *Core) begin(r *request, a *attempt, s Stream) bool {
+func (c *Core) claim(r *request, a *attempt, s Stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.off || r.decided || r.left {
+	if a.cancelled || r.decided || r.detached {
 		return false
 	}
 	a.started, r.decided = true, true
-	r.post(&begun{a, s})
+	r.post(&startedAttempt{a, s})
 	c.handle(brain.Started{Request: r.id, Attempt: a.number, Engine: a.worker.ID, Took: c.took(a.sent, a.paused)})
 	return true
 }
 
 // relay passes the stream on to its end. No deadline runs, and nothing further is sent for the request.
-func (c *Core) relay(ctx context.Context, r *request, b *begun, client Client) {
+func (c *Core) relay(ctx context.Context, r *request, b *startedAttempt, client Client) {
 	if opener, ok := client.(Opener); ok {
 		opener.Open(b.stream)
 	}
@@ -293,7 +293,7 @@
 			client.Finish()
 			return
 		case ctx.Err() != nil || errors.Is(err, context.Canceled):
-			c.tell(brain.Gone{Request: r.id})
+			c.deliver(brain.ClientGone{Request: r.id})
 			c.ended(r, b.attempt, brain.Ended{Result: brain.Cancelled, Last: true})
 			client.Break()
 			return
@@ -316,35 +316,35 @@
 	e.Request, e.Attempt, e.Engine, e.Took = r.id, a.number, a.worker.ID, c.took(a.sent, a.paused)
 	r.out--
 	if e.Last {
-		r.fail(whyUndecided) // unless it has its answer
+		r.fail(reasonUndecided) // unless it has its answer
 	}
 	c.handle(e)
 	c.forget(r)
 }
 
-// leave ends the request's task. Attempts that it did not start never will be.
-func (c *Core) leave(r *request) {
+// detach ends the request's task. Attempts that it did not start never will be.
+func (c *Core) detach(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.left = true
-	for _, m := range r.mail {
+	r.detached = true
+	for _, m := range r.inbox {
 		switch m := m.(type) {
 		case *attempt:
-			go c.ended(r, m, brain.Ended{Result: brain.Moot})
-		case *begun: // it began as the client left
+			go c.ended(r, m, brain.Ended{Result: brain.NotSent})
+		case *startedAttempt: // it began as the client left
 			m.stream.Close()
 			go c.ended(r, m.attempt, brain.Ended{Result: brain.Cancelled, Last: true})
 		}
 	}
-	r.mail = nil
+	r.inbox = nil
 	c.forget(r)
 }
 
 // forget drops a request that has its answer and nothing out.
 func (c *Core) forget(r *request) {
-	if r.left && r.out == 0 {
+	if r.detached && r.out == 0 {
 		delete(c.requests, r.id)
-		r.job.Over()
+		r.job.Done()
 	}
 }
 
--- a/internal/core/unsent_test.go
+++ b/internal/core/unsent_test.go
@@ -13,30 +13,30 @@
 	"sumacloft/brain"
 )
 
-// fated is a job whose connections come up late or never, whose worker may be out by then, and whose attempts end in
+// randomJob is a job whose connections come up late or never, whose worker may be out by then, and whose attempts end in
 // every way there is. It knows whether anything of it was written to a worker.
-type fated struct {
+type randomJob struct {
 	*fake
 	mu     sync.Mutex
 	random *rand.Rand
-	sentOn bool
-	fates  []string
+	sent   bool
+	steps  []string
 }
 
-func (f *fated) roll(n int) int {
+func (f *randomJob) roll(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
-func (f *fated) did(fate string, sent bool) {
+func (f *randomJob) addStep(fate string, sent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fates, f.sentOn = append(f.fates, fate), f.sentOn || sent
+	f.steps, f.sent = append(f.steps, fate), f.sent || sent
 }
 
 // Try serves Job.
-func (f *fated) Try(ctx context.Context, w Worker, clear func() error) (Reply, error) {
+func (f *randomJob) Try(ctx context.Context, w Worker, clear func() error) (Reply, error) {
 	fail := func(stage Stage, verdict Verdict, err error) (Reply, error) {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
@@ -45,28 +45,28 @@
 	}
 	select { // the connection comes up
 	case <-ctx.Done():
-		f.did("no connection in time", false)
+		f.addStep("no connection in time", false)
 		return fail(NotConnected, NoVerdict, nil)
 	case <-time.After(time.Duration(f.roll(250)) * time.Millisecond):
 	}
 	switch f.roll(6) {
 	case 0:
-		f.did("no connection", false)
+		f.addStep("no connection", false)
 		return fail(NotConnected, NoVerdict, errors.New("refused"))
 	case 1:
-		f.did("no socket", false)
+		f.addStep("no socket", false)
 		return fail(NotConnected, NoVerdict, ErrNoSocket)
 	}
 	if err := clear(); err != nil {
-		f.did("not clear", false)
+		f.addStep("not clear", false)
 		return fail(NotConnected, NoVerdict, err)
 	}
-	f.did("written", true)
+	f.addStep("written", true)
 	switch f.roll(6) {
 	case 0:
 		return fail(PartlyWritten, NoVerdict, errors.New("broke"))
 	case 1:
-		return fail(Head, TurnedAway, errors.New("full"))
+		return fail(Head, NotStarted, errors.New("full"))
 	case 2:
 		return fail(Head, Faulted, errors.New("500"))
 	case 3:
@@ -76,7 +76,7 @@
 	if w.Name[0] == 'r' {
 		return Reply{}, nil
 	}
-	return Reply{Stream: &lines{pieces: []string{"a"}, err: errors.New("broke")}}, nil
+	return Reply{Stream: &stub{pieces: []string{"a"}, err: errors.New("broke")}}, nil
 }
 
 // A request that was never sent on is answered as refused: as failed it would count as refused all the same, and its
@@ -93,27 +93,27 @@
 			if random.IntN(4) == 0 {
 				names = nil // nobody to send to
 			}
-			c, list := begin(t, names...)
+			c, list := startCore(t, names...)
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			var all sync.WaitGroup
 			for i := range requests {
-				f := &fated{fake: &fake{class: i % 2, left: time.Duration(20+random.IntN(600)) * time.Millisecond}, random: rand.New(rand.NewPCG(seed, uint64(i)))}
+				f := &randomJob{fake: &fake{class: i % 2, left: time.Duration(20+random.IntN(600)) * time.Millisecond}, random: rand.New(rand.NewPCG(seed, uint64(i)))}
 				all.Go(func() {
 					time.Sleep(time.Duration(f.roll(400)) * time.Millisecond)
 					c.Do(ctx, f, f)
-					answer := f.seen(&f.answers)
+					answer := f.joined(&f.answers)
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					count.Lock()
 					defer count.Unlock()
-					if !f.sentOn {
+					if !f.sent {
 						unsent++
 					}
 					if answer == "failed" {
 						failed++
-						if !f.sentOn {
-							t.Errorf("seed %d, request %d: failed, and was never sent on: %q", seed, i, f.fates)
+						if !f.sent {
+							t.Errorf("seed %d, request %d: failed, and was never sent on: %q", seed, i, f.steps)
 						}
 					}
 				})
@@ -124,7 +124,7 @@
 				c.Listed(brain.ListDelta, list[:1])
 			}
 			time.Sleep(100 * time.Millisecond)
-			c.LastCall()
+			c.EndUndecided()
 			all.Wait()
 			time.Sleep(10 * time.Second) // releases end
 		})
@@ -140,19 +140,19 @@
 func TestRefusedIsNotSentLater(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			c, _ := begin(t, "r1", "w1")
-			f := &late{fake: &fake{left: time.Minute, class: unsafe}}
+			c, _ := startCore(t, "r1", "w1")
+			f := &slowJob{fake: &fake{left: time.Minute, class: unsafe}}
 			go c.Do(t.Context(), f, f)
 			synctest.Wait()
 			if c.mu.Lock(); dead {
 				c.sched = nil
 			}
 			c.mu.Unlock()
-			if c.LastCall() != 1 {
+			if c.EndUndecided() != 1 {
 				t.Error("not ended by the last call")
 			}
 			time.Sleep(10 * time.Second)
-			if got := f.seen(&f.answers); got != "refused" || f.asked == nil {
+			if got := f.joined(&f.answers); got != "refused" || f.asked == nil {
 				t.Errorf("module dead %v: answered %q, and then its connection was let write: %v", dead, got, f.asked == nil)
 			}
 		})
@@ -160,16 +160,16 @@
 }
 
 // Clients go on sending up to the kill. What comes after the last call is answered at once: nobody would answer it else.
-func TestAfterTheLastCall(t *testing.T) {
+func TestRequestAfterEndUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _ := begin(t, "r1", "w1")
-		c.LastCall()
+		c, _ := startCore(t, "r1", "w1")
+		c.EndUndecided()
 		began := time.Now()
 		for range 3 {
 			f := &fake{left: limit, class: unsafe, try: answersByRole(func(Worker) (Reply, error) { return Reply{}, broken(Written) })}
 			c.Do(t.Context(), f, f)
-			if got := f.seen(&f.answers); got != "refused" || f.seen(&f.calls) != "" || f.seen(&f.overs) != "over" {
-				t.Errorf("answered %q, sent to %q, over %q", got, f.seen(&f.calls), f.seen(&f.overs))
+			if got := f.joined(&f.answers); got != "refused" || f.joined(&f.calls) != "" || f.joined(&f.dones) != "over" {
+				t.Errorf("answered %q, sent to %q, over %q", got, f.joined(&f.calls), f.joined(&f.dones))
 			}
 		}
 		if took := time.Since(began); took > 0 {
@@ -178,14 +178,14 @@
 	})
 }
 
-// late is a job whose connections come up after 2 s, whatever has become of it.
-type late struct {
+// slowJob is a job whose connections come up after 2 s, whatever has become of it.
+type slowJob struct {
 	*fake
 	asked error
 }
 
 // Try serves Job.
-func (l *late) Try(_ context.Context, _ Worker, clear func() error) (Reply, error) {
+func (l *slowJob) Try(_ context.Context, _ Worker, clear func() error) (Reply, error) {
 	time.Sleep(2 * time.Second)
 	l.asked = clear()
 	return Reply{}, &AttemptError{Stage: NotConnected, Err: l.asked}
--- a/internal/fleet/outage/agent_test.go
+++ b/internal/fleet/outage/agent_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	keeper.Listed(brain.ListWhole, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}})
+	keeper.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}})
 	if err := a.Enter(t.Context()); err != nil || told["s1"] != brain.Ready {
 		t.Errorf("without a budget: %v, %v", err, told)
 	}
--- a/internal/fleet/outage/leaving_test.go
+++ b/internal/fleet/outage/leaving_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	out.Took(outage.Model{Workers: 2, ReportMs: 50, CopyWaitMs: 60_000}, 0)
-	keeper.Listed(brain.ListWhole, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}, {Engine: brain.Engine{ID: 3}, Name: "s3"}})
+	keeper.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}, {Engine: brain.Engine{ID: 3}, Name: "s3"}})
 	ctx, end := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
 	for _, run := range []func(context.Context){out.Run, copies.Run} {
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -81,7 +81,7 @@
 func (r *Roster) Forget(f func(listed func(name string) bool)) { r.forgets = append(r.forgets, f) }
 
 // Scale multiplies the share of a class that a worker gets.
-func Scale(w *core.Worker, place int, by float64) { w.Parts = scaled(w.Parts, place, by) }
+func Scale(w *core.Worker, place int, by float64) { w.ClassWeights = scaled(w.ClassWeights, place, by) }
 
 // Admit multiplies the part of a class that is taken.
 func Admit(set *brain.Settings, place int, by float64) {
@@ -154,7 +154,7 @@
 func (r *Roster) keep(kind brain.ListKind, list []core.Worker) (names map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if kind == brain.ListWhole || kind == brain.ListCached {
+	if kind == brain.ListComplete || kind == brain.ListCached {
 		r.workers = make(map[brain.EngineID]core.Worker, len(list))
 	}
 	for _, w := range list {
@@ -198,7 +198,7 @@
 		f(&t.Settings, t.Places)
 	}
 	for i := range list {
-		list[i].Parts = slices.Clone(list[i].Parts)
+		list[i].ClassWeights = slices.Clone(list[i].ClassWeights)
 	}
 	for _, f := range r.shapes {
 		f(t, list)
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -31,7 +31,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
-	if kind == brain.ListWhole || kind == brain.ListCached {
+	if kind == brain.ListComplete || kind == brain.ListCached {
 		m.workers = map[brain.EngineID]core.Worker{}
 	}
 	if kind == brain.ListDelta {
@@ -111,19 +111,19 @@
 			id := rapid.IntRange(0, 5).Draw(t, "id")
 			w := core.Worker{Name: fmt.Sprint("s", id), Addr: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"), Engine: brain.Engine{ID: brain.EngineID(id + 1), Zone: id % 3}}
 			if rapid.Bool().Draw(t, "scaled") {
-				w.Parts = parts
+				w.ClassWeights = parts
 			}
 			w.Availability = rapid.SampledFrom([]brain.Availability{brain.Ready, brain.Ready, brain.Draining, brain.Removed}).Draw(t, "availability")
 			return w
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"news": func(t *rapid.T) {
-				kind := rapid.SampledFrom([]brain.ListKind{brain.ListWhole, brain.ListCached, brain.ListDelta, brain.ListDelta, brain.ListFailed}).Draw(t, "kind")
+				kind := rapid.SampledFrom([]brain.ListKind{brain.ListComplete, brain.ListCached, brain.ListDelta, brain.ListDelta, brain.ListFailed}).Draw(t, "kind")
 				var news []core.Worker
 				if kind != brain.ListFailed {
 					news = rapid.SliceOfN(rapid.Custom(func(*rapid.T) core.Worker { return draw() }), 0, 5).Draw(t, "news")
 				}
-				if kind == brain.ListWhole || kind == brain.ListCached {
+				if kind == brain.ListComplete || kind == brain.ListCached {
 					clear(list)
 				}
 				for _, w := range news {
@@ -152,7 +152,7 @@
 			"": func(t *rapid.T) {
 				want := slices.Collect(maps.Values(list))
 				for i := range want {
-					want[i].Parts = slices.Clone(want[i].Parts)
+					want[i].ClassWeights = slices.Clone(want[i].ClassWeights)
 					a.shape(&want[i])
 				}
 				share(Terms{}, want)
@@ -195,9 +195,9 @@
 	for i := range 5 {
 		all = append(all, core.Worker{Name: fmt.Sprint("s", i), Engine: brain.Engine{ID: brain.EngineID(i)}})
 	}
-	r.Listed(brain.ListWhole, all)
+	r.Listed(brain.ListComplete, all)
 	a.out["s3"] = true
-	if r.Again(); len(m.deltas) != 1 || m.deltas[0].Name != "s3" || m.deltas[0].Availability != brain.Draining || m.workers[3].Parts[1] != 0.5 {
+	if r.Again(); len(m.deltas) != 1 || m.deltas[0].Name != "s3" || m.deltas[0].Availability != brain.Draining || m.workers[3].ClassWeights[1] != 0.5 {
 		t.Fatalf("told %+v", m.deltas)
 	}
 	var both sync.WaitGroup
@@ -236,7 +236,7 @@
 		case "s1":
 			return &core.AttemptError{Stage: core.NotConnected, Err: errSilent}
 		case "s2":
-			return &core.AttemptError{Verdict: core.TurnedAway, Err: errSilent}
+			return &core.AttemptError{Verdict: core.NotStarted, Err: errSilent}
 		}
 		return nil
 	}})
@@ -252,7 +252,7 @@
 				}
 			}})
 	}
-	r.Listed(brain.ListWhole, []core.Worker{{Name: "s2", Engine: brain.Engine{ID: 3}}, {Name: "s0", Engine: brain.Engine{ID: 1}}, {Name: "s1", Engine: brain.Engine{ID: 2}}})
+	r.Listed(brain.ListComplete, []core.Worker{{Name: "s2", Engine: brain.Engine{ID: 3}}, {Name: "s0", Engine: brain.Engine{ID: 1}}, {Name: "s1", Engine: brain.Engine{ID: 2}}})
 	ctx, end := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); r.Probes(ctx) }()
--- a/internal/fleet/samples/ended_test.go
+++ b/internal/fleet/samples/ended_test.go
@@ -59,7 +59,7 @@
 	var wanted []outage.Reload
 	r := roster.New(roster.Options{Zones: []string{"x"}, Retune: func(s brain.Settings) { set = s }, Listed: func(_ brain.ListKind, list []core.Worker) {
 		for _, w := range list {
-			told[w.Name] = w.Parts
+			told[w.Name] = w.ClassWeights
 		}
 	}})
 	r.Tune(func(set *brain.Settings, _ map[string]int) { roster.Admit(set, 1, 0.5) })
@@ -70,7 +70,7 @@
 	}
 	defer a.Close()
 	places := map[string]int{"query": 0, "rollout": 1}
-	r.Listed(brain.ListWhole, []core.Worker{{Engine: brain.Engine{ID: 1, Parts: []float64{1, 0.5, 0}}, Name: "w1", Label: "v2-w7"}, {Engine: brain.Engine{ID: 2}, Name: "w2", Label: "none"}})
+	r.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1, ClassWeights: []float64{1, 0.5, 0}}, Name: "w1", Label: "v2-w7"}, {Engine: brain.Engine{ID: 2}, Name: "w2", Label: "none"}})
 	r.Took(brain.Settings{Classes: make([]brain.Class, 3)}, places, 1)
 	if len(told["w2"]) != 0 || set.Admitted[1] != 0.5 || a.Arrived("rollout") != 0 {
 		t.Fatalf("without a table: %+v %+v", told, set)
--- a/internal/fleet/samples/samples_test.go
+++ b/internal/fleet/samples/samples_test.go
@@ -29,7 +29,7 @@
 	for i, w := range workers {
 		list = append(list, core.Worker{Engine: brain.Engine{ID: brain.EngineID(i + 1), Zone: i / 2, StartedAt: time.Millisecond}, Name: w.Name, Label: fmt.Sprint(w.Label), Role: w.Kind})
 	}
-	a.o.Roster.Listed(brain.ListWhole, list)
+	a.o.Roster.Listed(brain.ListComplete, list)
 }
 
 // fleet is a store, routers and what a tuner and workers need.
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		if dead[site] {
-			w.Parts = make([]float64, len(t.Settings.Classes))
+			w.ClassWeights = make([]float64, len(t.Settings.Classes))
 			continue
 		}
 		for class, at := range t.Places {
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -33,7 +33,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range list {
-		m.parts[w.Name] = w.Parts
+		m.parts[w.Name] = w.ClassWeights
 	}
 }
 
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Listed(brain.ListWhole, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
+		r.Listed(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
 		a.Took(Terms{Model: model, Version: 1})
 		r.Took(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 		ctx, end := context.WithCancel(t.Context())
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -127,7 +127,7 @@
 		return nil, errors.New("Request-Class: missing or unknown")
 	}
 	var err error
-	if a.Left, err = timeout(req.Header.Get("Request-Timeout")); err != nil {
+	if a.Timeout, err = timeout(req.Header.Get("Request-Timeout")); err != nil {
 		return nil, err
 	}
 	if err := info(req.Header.Get("Request-Info"), a); err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -71,7 +71,7 @@
 	set.Classes[1].Effect = brain.Unsafe
 	workers := NewWorkers(upstream.NewPool(upstream.NewBudget(256), 250*time.Millisecond, time.Minute))
 	c := core.New(set, 1, workers, standin.Log())
-	c.Listed(brain.ListWhole, []core.Worker{
+	c.Listed(brain.ListComplete, []core.Worker{
 		{Name: "r", Addr: standin.HTTP(t, r), Engine: brain.Engine{ID: 1}},
 		{Name: "w", Addr: standin.HTTP(t, w), Engine: brain.Engine{ID: 2, Kind: 1}}})
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -58,8 +58,8 @@
 	fault       int    // the status by which a worker found the request at fault; 0: none did
 }
 
-// Over serves core.Job.
-func (j *job) Over() {
+// Done serves core.Job.
+func (j *job) Done() {
 	j.free()
 	j.over()
 }
@@ -88,7 +88,7 @@
 			Kept float64 `json:"cached_tokens"`
 		}
 		_ = json.Unmarshal(body, &read) // without a count the prompt has been read all the same
-		return core.Reply{Kept: read.Kept}, nil
+		return core.Reply{CachedTokens: read.Kept}, nil
 	}
 	if err != nil && answer.Header.Get(notStarted) != "1" {
 		return core.Reply{}, err
@@ -106,7 +106,7 @@
 	proof, status := answer.Header.Get(notStarted) == "1", answer.StatusCode
 	switch {
 	case proof && (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout):
-		e.Verdict = core.TurnedAway
+		e.Verdict = core.NotStarted
 	case proof && status == http.StatusGone:
 		e.Verdict = core.StateGone
 	case status >= 400 && status < 500 && status != http.StatusGone:
--- a/internal/proxy/calls/answer.go
+++ b/internal/proxy/calls/answer.go
@@ -19,7 +19,7 @@
 
 // spent ends a request for which nothing more may be sent.
 func spent() *core.AttemptError {
-	return &core.AttemptError{Stage: core.NotConnected, Err: fmt.Errorf("%w: %w", errSpent, core.ErrShut)}
+	return &core.AttemptError{Stage: core.NotConnected, Err: fmt.Errorf("%w: %w", errSpent, core.ErrSendingForbidden)}
 }
 
 // notRun tells whether the worker promised that it has not run the request.
@@ -32,7 +32,7 @@
 	e := &core.AttemptError{Stage: core.Head, Verdict: core.Faulted, Err: fmt.Errorf("status %d", answer.StatusCode)}
 	switch {
 	case notRun(answer):
-		e.Verdict = core.TurnedAway
+		e.Verdict = core.NotStarted
 	case answer.StatusCode >= 400 && answer.StatusCode < 500:
 		e.Verdict = core.Rejected
 	}
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -95,7 +95,7 @@
 	}
 	if answer.Header.Get(headerRequestID) != "" { // a surplus one to a request: calls of this kind have no id
 		answer.Close()
-		return nil, &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errForeign}
+		return nil, &core.AttemptError{Stage: core.Written, Verdict: core.NetworkFault, Err: errForeign}
 	}
 	if _, err := answer.Small(); err != nil {
 		return nil, err
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -61,8 +61,8 @@
 // Arrival serves core.Job.
 func (j *Job) Arrival(id brain.RequestID) brain.Arrived { return j.request.arrival(id) }
 
-// Over serves core.Job.
-func (j *Job) Over() {}
+// Done serves core.Job.
+func (j *Job) Done() {}
 
 // Close bars all that was not written yet. mayHaveRun tells whether a worker may have run the request, or may still.
 func (j *Job) Close() (mayHaveRun bool, failure *Failure) {
@@ -221,7 +221,7 @@
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		if j.closed {
-			return nil, core.ErrCalledOff
+			return nil, core.ErrCancelled
 		}
 		count()
 		j.paid = false
@@ -253,7 +253,7 @@
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	if success && answer.Header.Get(headerSeal) == "" {
 		answer.Close()
-		return core.Reply{}, &core.AttemptError{Stage: core.Head, Verdict: core.Mishap, Err: errUnsealed}
+		return core.Reply{}, &core.AttemptError{Stage: core.Head, Verdict: core.NetworkFault, Err: errUnsealed}
 	}
 	if success && j.request.Terms.Flowing {
 		if err := answer.First(); err != nil {
@@ -298,7 +298,7 @@
 	held.misses++
 	switch {
 	case j.lost && held.misses >= mostMisses:
-		e.Err = fmt.Errorf("%w: %w", e.Err, core.ErrShut)
+		e.Err = fmt.Errorf("%w: %w", e.Err, core.ErrSendingForbidden)
 	case !j.lost && held.misses > 1:
 		j.lost = true
 		j.held = nil
@@ -358,7 +358,7 @@
 		return nil
 	}
 	answer.Close()
-	return &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errForeign}
+	return &core.AttemptError{Stage: core.Written, Verdict: core.NetworkFault, Err: errForeign}
 }
 
 // deadlineOf is when the worker's work is of no more use.
--- a/internal/proxy/calls/request.go
+++ b/internal/proxy/calls/request.go
@@ -96,7 +96,7 @@
 		PromptTokens: r.Prompt.Tokens,
 		PrefixTokens: r.Prompt.SharedSize,
 		MaxTokens:    r.Prompt.MaxOut,
-		Left:         time.Until(r.Deadline),
+		Timeout:      time.Until(r.Deadline),
 		Resumed:      r.Header.Get(headerLastEvent) != "",
 	}
 }
--- a/internal/proxy/calls/rest_test.go
+++ b/internal/proxy/calls/rest_test.go
@@ -60,12 +60,12 @@
 	for range mostAvoided {
 		err := try("broke")
 		c.Assert(core.Withdrawn(err), qt.IsTrue)
-		c.Assert(errors.Is(err, core.ErrShut), qt.IsFalse)
+		c.Assert(errors.Is(err, core.ErrSendingForbidden), qt.IsFalse)
 	}
 	c.Assert(allowance.taken, qt.Equals, 0)
 	// another is tried,
 	c.Assert(core.Withdrawn(try("other")), qt.IsFalse)
 	c.Assert(allowance.taken, qt.Equals, 1)
 	// and chosen yet again, the request ends.
-	c.Assert(errors.Is(try("broke"), core.ErrShut), qt.IsTrue)
+	c.Assert(errors.Is(try("broke"), core.ErrSendingForbidden), qt.IsTrue)
 }
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -234,7 +234,7 @@
 	defer f.mu.Unlock()
 	all := hints.Waiting{}
 	for _, served := range f.lanes {
-		for engine, tokens := range served.Core().Waiting(calls.RoleReading) {
+		for engine, tokens := range served.Core().PendingTokens(calls.RoleReading) {
 			all[uint64(engine)] = tokens
 		}
 	}
--- a/internal/proxy/lane/lane.go
+++ b/internal/proxy/lane/lane.go
@@ -126,7 +126,7 @@
 		settings.Classes[place] = classOf(&routes[i], lowest)
 	}
 	l.settings = settings
-	l.core.Retune(settings)
+	l.core.UpdateSettings(settings)
 }
 
 // classOf is a route as the module sees it. The operators give ranks, not worths: each rank counts one more.
@@ -190,7 +190,7 @@
 		settings.Zone = noZone // a prompt's beginning is read once for all zones
 		memory = float64(service.Runner.MemoryTokens)
 		settings.PinLimit = service.Runner.TicketHold
-		settings.WholeTokens = wholeTokens
+		settings.MinPrefillTokens = wholeTokens
 	}
 	l.switchOff(&settings)
 	settings.Kinds = []brain.Kind{
@@ -208,7 +208,7 @@
 	settings.Cancelling = !off.Has(trial.CallOff)
 	settings.HoldOff = !off.Has(trial.HoldOff)
 	if off.Has(trial.ShortPrompts) {
-		settings.WholeTokens = 1 // what says nothing of its prompt must not be read apart
+		settings.MinPrefillTokens = 1 // what says nothing of its prompt must not be read apart
 	}
 	if off.Has(trial.RereadWeight) {
 		settings.RereadWeight = 0
@@ -241,7 +241,7 @@
 		}
 		list = append(list, listed)
 	}
-	l.core.Listed(brain.ListWhole, list)
+	l.core.Listed(brain.ListComplete, list)
 }
 
 // worker is a worker as the core sees it. One that changes its phase is another engine to the module.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -234,7 +234,7 @@
 func verdict(err error) core.Verdict {
 	for _, mishap := range []error{errHead, errChunk, errOpening, errStale} {
 		if errors.Is(err, mishap) {
-			return core.Mishap
+			return core.NetworkFault
 		}
 	}
 	return core.NoVerdict
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -117,7 +117,7 @@
 			if !errors.As(err, &e) || e.Stage != want {
 				rt.Fatalf("error %v, want one at the stage %v", err, want)
 			}
-			if spoilt := lives[mode]; mode != "unheard" && spoilt != (e.Verdict == core.Mishap) { // a kept one may have died unseen
+			if spoilt := lives[mode]; mode != "unheard" && spoilt != (e.Verdict == core.NetworkFault) { // a kept one may have died unseen
 				rt.Fatalf("%s: verdict %v of %v", mode, e.Verdict, err)
 			}
 		}
--- a/internal/upstream/stages_test.go
+++ b/internal/upstream/stages_test.go
@@ -186,7 +186,7 @@
 		}
 		failed++
 		var e *core.AttemptError
-		if !errors.As(err, &e) || e.Stage != core.Written || e.Verdict != core.Mishap {
+		if !errors.As(err, &e) || e.Stage != core.Written || e.Verdict != core.NetworkFault {
 			t.Errorf("%v, want one that may have run by a mishap", err)
 		}
 	}
--- a/internal/world/plan.go
+++ b/internal/world/plan.go
@@ -90,6 +90,6 @@
 	for _, c := range Classes {
 		set.Admitted = append(set.Admitted, p.Taken(c.Name, siteName(r.site)))
 	}
-	r.brain.Retune(set)
+	r.brain.UpdateSettings(set)
 	r.handle(brain.Listed{Kind: brain.ListDelta, Engines: r.engines()})
 }
--- a/internal/world/router.go
+++ b/internal/world/router.go
@@ -62,7 +62,7 @@
 	}
 	r.brain, r.open, r.meter, r.posture = brain.New(r.set, r.w.set.Seed<<16+uint64(r.n)+uint64(r.life)<<40), map[brain.RequestID]*request{}, siting.NewMeter(), nil
 	r.decider = &sites.Decider{Me: r.name, Broken: r.w.set.Broken}
-	r.handle(brain.Listed{Kind: brain.ListWhole, Engines: r.engines()})
+	r.handle(brain.Listed{Kind: brain.ListComplete, Engines: r.engines()})
 	r.follow() // as a router does that starts: it reads what is agreed on before it takes anything
 	if r.w.set.Plan {
 		life := r.life
@@ -82,7 +82,7 @@
 		e := brain.Engine{ID: brain.EngineID(s.id + 1), Zone: s.site, Weight: 1}
 		if p := r.posture; p != nil && len(p.Parts) > 0 {
 			for _, c := range Classes {
-				e.Parts = append(e.Parts, p.Parts[c.Name][siteName(r.site)][siteName(s.site)]/per)
+				e.ClassWeights = append(e.ClassWeights, p.Parts[c.Name][siteName(r.site)][siteName(s.site)]/per)
 			}
 		}
 		out = append(out, e)
@@ -113,7 +113,7 @@
 	if w.set.Plan {
 		q.rank = r.meter.Arrived(Classes[c.class].Name, c.session)
 	}
-	r.handle(brain.Arrived{Request: q.id, Class: c.class, Session: c.session, PromptTokens: 200, MaxTokens: 100, Left: Classes[c.class].Deadline, Rank: q.rank})
+	r.handle(brain.Arrived{Request: q.id, Class: c.class, Session: c.session, PromptTokens: 200, MaxTokens: 100, Timeout: Classes[c.class].Deadline, Rank: q.rank})
 }
 
 // handle hands the module an event and carries out what it answers.
