--- a/brain/api.go
+++ b/brain/api.go
@@ -1,26 +1,23 @@
-// Package brain decides, for one router, where prompts are read and answers are written across pools of
-// model servers. State that has been read and waits for its writer is held under a short lease, renewed in
-// batch by the writer's signs of life.
+// Package brain decides, for one router, which engines of a model server fleet prefill prompts and decode answers. KV
+// state that waits for its writer is held under a short lease, which the writer's signs of life renew in batch.
 //
-// A router makes one Scheduler with New, hands it every Event in the order of arrival by Handle, and carries
-// out the Actions that come back, in order. Handle never blocks, does no I/O, reads no clock and starts no
-// goroutine; equal settings, seed and events give equal actions. A Scheduler is not safe for concurrent use:
-// call it from one goroutine, or guard it with a mutex. Its memory grows with the open requests and the listed
-// engines only; what has ended is forgotten.
+// A router makes one Scheduler with New, passes it every Event in the order of arrival by Handle, and carries out the
+// returned Actions in order. Handle never blocks, does no I/O, reads no clock and starts no goroutine. Equal
+// settings, seed and events give equal actions. A Scheduler is not safe for concurrent use. Its memory grows with the
+// open requests and the listed engines only.
 //
-// Where things stand: the interface stands in api.go, what is remembered in state.go. A request's life, its retries and endings
-// are in requests.go: a reader is chosen by rendezvous hashing, or it is refused (readers.go); once it is
-// read a writer is chosen, and the state waits for its pull under a lease that the writer's signs of life
-// renew (writers.go). Outcomes and reports say how fast engines are (learn.go) and how well (health.go);
-// cold.go holds what one that starts may be sent. Constants, timers and the tick are here.
+// The interface is in api.go and the data in state.go. A request's life cycle, retries and final answers are in
+// requests.go. readers.go chooses a reader by rendezvous hashing or refuses the request, writers.go chooses a writer
+// and keeps the leases. learn.go learns the speed of engines and health.go their chance of failure. cold.go limits
+// what a starting engine is sent. brain.go holds constants and timers.
 package brain
 
 import "time"
 
-// RequestID names one try of a client. A repeat by the client has a new one.
+// RequestID identifies one try of a client. A retry by the client has a new one.
 type RequestID uint64
 
-// EngineID names a model server; the scheduler only compares and hashes it.
+// EngineID identifies a model server. The scheduler only compares and hashes it.
 type EngineID uint64
 
 // Role is what a kind of engine can do.
@@ -28,17 +25,17 @@
 
 // The roles of engines.
 const (
-	Reader Role = iota // reads prompts (prefill)
-	Writer             // writes answers (decode)
+	Reader Role = iota // prefills prompts
+	Writer             // decodes answers
 	Mixed              // does both
 )
 
-// Effect is what a repeat of a request does.
+// Effect is what repeating a request does.
 type Effect uint8
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated at will
+	Safe   Effect = iota // may be repeated freely
 	Keyed                // repeats are dropped within a Scope, for a window of time
 	Unsafe               // must never run twice
 )
@@ -53,72 +50,72 @@
 	ScopeCell
 )
 
-// Class holds what the operator promises for a class of requests.
+// Class holds what the operator configures for a class of requests.
 type Class struct {
-	Aim            time.Duration // first token within this time earns full worth
+	Aim            time.Duration // a first token within this time earns full worth
 	AimPer1kPrompt time.Duration // added to the aim for each 1,000 prompt tokens
-	Deadline       time.Duration // the client's patience over all its tries
-	Worth          float64       // for a unit of work
+	Deadline       time.Duration // the client's timeout over all its tries
+	Worth          float64       // per unit of work
 	Effect         Effect
 	Scope          Scope         // Keyed only
 	RepeatWindow   time.Duration // Keyed only: counted from the first send that may have run
 }
 
-// Kind is a sort of machine.
+// Kind is a type of machine.
 type Kind struct {
 	Role         Role
 	MemoryTokens float64 // 0: unknown
 }
 
-// Settings are fixed for the life of a Scheduler.
+// Settings configure a Scheduler. UpdateSettings replaces them.
 type Settings struct {
-	Zone    int // of this router; below 0: none, and its own does not come first
+	Zone    int // of this router; below 0: none, and no zone is preferred
 	Routers int // that share the engines, with this one; 0: unknown
 	Classes []Class
 	Kinds   []Kind
 
-	MaxAttempts int // for each request; 0: no limit
+	MaxAttempts int // per request; 0: no limit
 	MaxHoldOff  time.Duration
-	HoldOff     bool // refusals may carry advice on when to return
+	HoldOff     bool // refusals may carry a hold-off
 	Probing     bool
 	Cancelling  bool
-	WritersRead bool // a writer reads the prompt itself when there is no state
-	AskForList  bool // the list of engines comes only when asked for
+	WritersRead bool // a writer prefills the prompt itself if no reader can
+	AskForList  bool // the list of engines comes only on request
 
-	// LateShare of the time between a request's aim and its deadline is added to the aim where it is judged whether the
-	// request would wait too long to be taken: with 0 what would be late is turned away as it arrives.
+	// LateShare of the time between a request's aim and its deadline is added to the aim for admission. With 0, a
+	// request that would be late is refused on arrival.
 	LateShare float64
 
-	// RereadWeight is what reading a shared beginning once more counts, besides the time that it takes, in that time.
+	// RereadWeight is the extra cost of prefilling a shared prefix once more, as a multiple of its time.
 	RereadWeight float64
 
-	// MinPrefillTokens is the length from which prompts are read apart: a shorter one is read by its writer, which takes less
-	// than a separate read and a move would; 0: all are read apart.
+	// MinPrefillTokens is the length from which a prompt gets a separate prefill. A shorter one is prefilled by its
+	// writer, which costs less than a separate prefill and a transfer. 0: all are prefilled separately.
 	MinPrefillTokens float64
 
-	// Admitted is, by class, the part of the requests that the fleet has room for: those of the least rank; the others
-	// are turned away as they arrive. A class past its end is taken whole.
+	// Admitted is, by class, the share of the requests that the fleet has capacity for: those of the lowest rank. The
+	// others are refused on arrival. A class past its end is admitted whole.
 	Admitted []float64
 
 	Step          time.Duration // shortest time between two calls of Handle with different times
-	PinLimit      time.Duration // state with no attempt out must be taken or released within this time
+	PinLimit      time.Duration // state with no attempt out must be fetched or released within this time
 	AskWithin     time.Duration // AskForList: ask at least this often while not subscribed
 	ColdShare     float64       // an engine starts with at least this share of its capacity
 	WarmAfter     time.Duration // and is warm after this time
-	OverloadRatio float64       // a cold engine falls when sent more than this multiple of its capacity
+	OverloadRatio float64       // a cold engine fails when sent more than this multiple of its capacity
 	OverloadFor   time.Duration // over this time
 }
 
-// Load is an engine's report on itself; a negative value is one that the report lacks.
+// Load is an engine's load report. A negative value is missing from the report.
 type Load struct {
 	Known       bool
-	MemoryShare float64 // of its memory, held
-	WaitTokens  float64 // prompt tokens that wait to be read or fetched
+	MemoryShare float64 // share of its memory in use
+	WaitTokens  float64 // prompt tokens that wait to be prefilled or fetched
 	Queue       float64 // requests that wait
-	FromPeers   bool    // others' word, which may lack what they do not know of
+	FromPeers   bool    // reported by other routers, which may not know of all work
 }
 
-// Handle takes one event at the time now and appends the actions that answer it.
+// Handle processes one event at the time now and appends the resulting actions to out.
 func (s *Scheduler) Handle(now time.Duration, event Event, out []Action) []Action {
 	s.now, s.actions = now, out
 	switch ev := event.(type) {
@@ -144,7 +141,7 @@
 	return s.actions
 }
 
-// Home is the engine that requests with a beginning go to first where engines are alike; 0: there are none.
+// Home returns the engine that requests with a prefix go to first if all engines are alike; 0 if there are none.
 func Home(prefix uint64, engines []EngineID) (home EngineID) {
 	best := 0.0
 	for _, id := range engines {
@@ -155,7 +152,7 @@
 	return home
 }
 
-// OpenAttempts is how many attempts are out at an engine, answers that have begun among them.
+// OpenAttempts returns how many attempts are out at an engine, those that stream their answer included.
 func (s *Scheduler) OpenAttempts(id EngineID) int {
 	if e := s.engines[id]; e != nil {
 		return len(e.pending) + len(e.streams)
@@ -163,8 +160,8 @@
 	return 0
 }
 
-// Candidates are the engines that a request's prompt would first be considered for, most of them at most; none where its
-// writer is to read it.
+// Candidates returns the engines that a request's prompt would be considered for first, up to limit; none if its
+// writer is to prefill it.
 func (s *Scheduler) Candidates(ev Arrived, limit int) []EngineID {
 	if ev.PromptTokens < s.set.MinPrefillTokens {
 		return nil
@@ -178,7 +175,7 @@
 	return ids
 }
 
-// PendingTokens is how many prompt tokens of attempts that are out at an engine are thought to be unread.
+// PendingTokens returns how many prompt tokens of the attempts that are out at an engine are estimated to be unread.
 func (s *Scheduler) PendingTokens(id EngineID) (tokens float64) {
 	if e := s.engines[id]; e != nil {
 		for _, r := range e.pending {
@@ -188,22 +185,21 @@
 	return tokens
 }
 
-// Event is something the router tells the scheduler: Listed, Arrived, Ended, Started, Gone, TimerFired, Probed
-// or Reported.
+// Event is an input of the scheduler: Listed, Arrived, Ended, Started, ClientGone, TimerFired, Probed or Reported.
 type Event interface{ event() }
 
-// ListKind says how a Listed event is to be read.
+// ListKind tells what a Listed event contains.
 type ListKind uint8
 
 // The kinds of Listed events.
 const (
-	ListFailed   ListKind = iota // asking for the list failed; the old one stands
+	ListFailed   ListKind = iota // the list could not be fetched; the old one remains in use
 	ListComplete                 // every engine; those absent are gone
-	ListCached                   // as ListWhole, but possibly stale
+	ListCached                   // as ListComplete, but possibly stale
 	ListDelta                    // changed engines only
 )
 
-// Availability is the list's word on an engine.
+// Availability is an engine's state in the list.
 type Availability uint8
 
 // The states of a listed engine.
@@ -221,32 +217,32 @@
 	Availability Availability
 	Weight       float64
 	StartedAt    time.Duration // 0: long ago
-	// ClassWeights scale, by class, the engine's share of the keys; with 0 nothing of the class goes there. The fleet's plan
-	// sets them; a class past their end is whole.
+	// ClassWeights scale, by class, the engine's share of the keys. With 0 nothing of the class goes there. The
+	// fleet's plan sets them. A class past their end has weight 1.
 	ClassWeights []float64
 }
 
-// Listed brings news from discovery.
+// Listed updates the list of engines from discovery.
 type Listed struct {
 	Kind    ListKind
 	Engines []Engine
 }
 
-// Arrived is a request that the router has taken on: one final answer is owed.
+// Arrived is a request that the router has accepted. It is owed one final answer.
 type Arrived struct {
 	Request       RequestID
 	Class         int
 	Session       uint64 // 0: none
-	Prefix        uint64 // beginning shared with other sessions; 0: none
+	Prefix        uint64 // prefix shared with other sessions; 0: none
 	PromptTokens  float64
 	PrefixTokens  float64
 	MaxTokens     float64
-	HintTokens    float64       // rough length of the answer; 0: not known
-	Timeout       time.Duration // until the client gives up on this try
-	PriorAttempts int           // attempts that were made for it elsewhere; they count with ours
-	Rank          float64       // its place, from 0 to 1, in the order in which Settings.Admitted takes its class
-	Homes         []EngineID    // that are thought to keep the beginning besides; a wrong one costs a read
-	Resumed       bool          // the client asks for the rest of an answer that broke: its start was in time long ago
+	HintTokens    float64       // estimated length of the answer; 0: unknown
+	Timeout       time.Duration // until the client's timeout for this try
+	PriorAttempts int           // attempts made for it elsewhere; they count with ours
+	Rank          float64       // its position, from 0 to 1, in its class's order of admission (Settings.Admitted)
+	Homes         []EngineID    // engines expected to cache the prefix as well; a wrong one costs a prefill
+	Resumed       bool          // the client wants the rest of a broken answer; its first token was in time
 }
 
 // Result is how an attempt ended.
@@ -255,32 +251,32 @@
 // The results of an attempt. Only Full, ConnectFailed, NotSent, Read and Rejected prove that nothing ran.
 const (
 	Served Result = iota
-	Read          // the prompt is read, its state waits at the reader
+	Read          // the prompt is prefilled, its state waits at the reader
 	Errored
-	Full // turned away; with Ended.NoState: there was no state to fetch
+	Full // refused for lack of capacity; with Ended.NoState: there was no state to fetch
 	TimedOut
 	ConnectFailed
 	Broke
 	Cancelled
-	NotSent      // never sent
-	Rejected     // the engine finds the request at fault, as any other would
-	NetworkFault // as Broke, by what may happen at any engine: the answer or the connection was spoilt on the way
+	NotSent      // withdrawn by the router before it was sent
+	Rejected     // the engine finds the request invalid, as any other would
+	NetworkFault // as Broke, perhaps without fault of the engine: the answer or connection was corrupted on the way
 )
 
-// Ended tells that an attempt is over; exactly one follows each Send.
+// Ended reports that an attempt is over. Exactly one follows each Send.
 type Ended struct {
 	Request      RequestID
 	Attempt      int // the number of the request's Send, from 0
 	Engine       EngineID
 	Result       Result
 	NoState      bool
-	CachedTokens float64 // Read, Served: prompt tokens found kept
+	CachedTokens float64 // Read, Served: prompt tokens found cached
 	Took         time.Duration
 	Last         bool // the client has its final answer
 	Load         Load
 }
 
-// Started tells that the answer has begun to stream; the client's deadline no longer counts.
+// Started reports that the answer has begun to stream. The client's deadline no longer counts.
 type Started struct {
 	Request RequestID
 	Attempt int
@@ -288,13 +284,13 @@
 	Took    time.Duration
 }
 
-// ClientGone tells that the client has left; nothing is owed any more.
+// ClientGone reports that the client has left. No answer is owed any more.
 type ClientGone struct{ Request RequestID }
 
-// TimerFired is the answer to a SetTimer.
+// TimerFired follows a SetTimer.
 type TimerFired struct{ Key uint64 }
 
-// Probed is the answer to a Probe.
+// Probed is the result of a Probe.
 type Probed struct {
 	Engine EngineID
 	Result Result // Served, or why it failed
@@ -302,7 +298,7 @@
 	Load   Load
 }
 
-// Reported brings an engine's load as others tell it: no word of the engine's own, so no sign of life.
+// Reported is an engine's load as other routers report it. It is no sign of life.
 type Reported struct {
 	Engine EngineID
 	Load   Load
@@ -317,24 +313,23 @@
 func (TimerFired) event() {}
 func (Probed) event()     {}
 
-// Action is something the router is to do: Send, Cancel, Refuse, Fail, Release, Probe, SetTimer, Subscribe
-// or Log.
+// Action is an instruction to the router: Send, Cancel, Refuse, Fail, Release, Probe, SetTimer, Subscribe or Log.
 type Action interface{ action() }
 
-// Send starts the request's next attempt, at an engine.
+// Send starts the request's next attempt at an engine.
 type Send struct {
 	Request RequestID
 	Engine  EngineID
-	Timeout time.Duration // 0: until the client gives up
+	Timeout time.Duration // 0: until the client's deadline
 }
 
-// Cancel calls an attempt off; its Ended still comes.
+// Cancel cancels an attempt. Its Ended still follows.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// Reason is the reason of a final answer that is no success, in words for operators.
+// Reason is why a request was not served, in words for operators.
 type Reason string
 
 // The reasons.
@@ -347,35 +342,35 @@
 	InvalidRequest Reason = "a worker finds the request at fault"
 )
 
-// Refuse is a final answer that tells the client that trying again is harmless.
+// Refuse is a final answer that tells the client that a retry is harmless.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
-	HoldOff time.Duration // how long the client should stay away; 0: no advice
+	HoldOff time.Duration // how long the client should wait before a retry; 0: no advice
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer without that promise: the request may have run.
 type Fail struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// Release lets go of every state held for the request that no attempt waits for.
+// Release frees all state held for the request that no attempt waits for.
 type Release struct{ Request RequestID }
 
-// Probe tests an engine; the answer is a Probed.
+// Probe tests an engine. A Probed follows.
 type Probe struct{ Engine EngineID }
 
-// SetTimer asks for a TimerFired with the same Key, at or after the time At.
+// SetTimer requests a TimerFired with the same Key, at or after the time At.
 type SetTimer struct {
 	At  time.Duration
 	Key uint64
 }
 
-// Subscribe asks discovery for changes from now on.
+// Subscribe asks discovery for all further changes of the list.
 type Subscribe struct{}
 
-// Log is a line for the operator; it names a change of judgement.
+// Log is a line for the operator about a changed assessment.
 type Log struct{ Text string }
 
 func (Send) action()      {}
@@ -388,9 +383,9 @@
 func (Subscribe) action() {}
 func (Log) action()       {}
 
-// UpdateSettings takes new settings for requests that arrive from now on. Classes keep their places, since requests
-// under way are known by them; a request under way keeps its class as it came. What the scheduler has learnt of
-// engines and requests stays.
+// UpdateSettings applies new settings to requests that arrive from now on. Classes keep their index, since open
+// requests refer to it. An open request keeps its class as of its arrival. What the scheduler has learned of engines
+// and requests remains.
 func (s *Scheduler) UpdateSettings(set Settings) {
 	fresh := New(set, s.seed)
 	s.set, s.tick, s.waitSeen, s.maxWorth = fresh.set, fresh.tick, fresh.waitSeen, fresh.maxWorth
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -6,81 +6,81 @@
 )
 
 const (
-	// leaseMax is the longest lease, as the design has it; short deadlines shorten it.
+	// leaseMax is the longest lease, as specified by the design. Short deadlines shorten it.
 	leaseMax = 6 * time.Second
-	// leaseShare of the client's patience is a lease at most, so a lapse leaves time for another attempt.
+	// leaseShare is the longest lease as a share of the client's timeout. It leaves time for another attempt.
 	leaseShare = 0.25
-	// leaseExtend of a lease is what a sign of life renews it to (the max rule of the design).
+	// leaseExtend is the share of a lease to which a sign of life renews it (the max rule of the design).
 	leaseExtend = 2.0 / 3
-	// leaseChecks is how often a lease is looked at in its length: the design's 6 s checked each 1 s.
+	// leaseChecks is how often a lease is checked in its length. The design checks its 6 s lease every 1 s.
 	leaseChecks = 6
-	// probeAfterShare of a lease without a sign of life, with work out, makes an engine worth a probe.
+	// probeAfterShare is the share of a lease without a sign of life after which a busy engine is probed.
 	probeAfterShare = 1.0 / 4
-	// pinShare of the pin limit is how long state may wait for a writer; the rest covers late ticks.
+	// pinShare is the share of the pin limit that state may wait for a writer. The rest covers late ticks.
 	pinShare = 0.6
-	// spillShare of the aim is the projected wait past which a prompt goes to the next reader in hash order.
+	// spillShare of the aim is the projected wait above which a prompt goes to the next reader in hash order.
 	spillShare = 0.3
-	// admitShare of the aim is the projected wait, at both stages, past which a request of the most worth is
-	// turned away; lesserShare of that holds for the others, so that the least worth goes first.
+	// admitShare of the aim is the projected wait, over both stages, above which a request of the highest
+	// worth is refused. For others the limit is lowWorthShare of that, so that they are refused first.
 	admitShare    = 0.6
 	lowWorthShare = 0.7
-	// spillHops is how far down its order a beginning may spill, and an engine of another zone counts as so
-	// many more: past that each read starts from nothing, and the work that this makes feeds the jam.
+	// spillHops is how far down its hash order a prefix may spill. An engine of another zone counts as
+	// spillZoneHops more. Beyond that each prefill starts uncached, and its work adds to the overload.
 	spillHops, spillZoneHops = 6, 1
-	// immediateShare of the aim is how long an answer that shows nothing of a queue takes at most.
+	// immediateShare of the aim is the longest time for a reply that did not wait in a queue.
 	immediateShare = 0.03
-	// lateProbe of the usual time of a probe's answer is when an engine counts as mute.
+	// lateProbe times the usual time of a probe's reply is when an engine counts as unresponsive.
 	lateProbe = 4
-	// initialProbe is what a probe is thought to take before any was answered: all that it may take.
+	// initialProbe is the assumed time of a probe before any was answered: its timeout.
 	initialProbe = 250 * time.Millisecond
-	// nearBand is the difference in projected memory share within which writers count as near equals.
+	// nearBand is the difference in projected memory share within which writers count as nearly equal.
 	nearBand = 0.15
-	// waitCost weighs what an attempt waits at a writer beyond the usual, in parts of the aim.
+	// waitCost weighs what an attempt waits at a writer beyond the usual, as a share of the aim.
 	waitCost = 2
-	// farCost weighs how much longer a start takes at a writer of another cell, in parts of the aim and past
-	// farShare of it: links may be slow, and what crosses them fills them.
+	// farCost weighs how much longer a start takes at a writer of another cell, as a share of the aim, beyond
+	// farShare of it. Links may be slow, and transfers across them fill them.
 	farCost, farShare = 4, 0.05
 	// highMemory is the projected memory share from which answers wait and streams slow down.
 	highMemory = 0.8
-	// overheadTokens is the fixed cost of a read, in tokens, so that short prompts do not look slow.
+	// overheadTokens is the fixed cost of a prefill, in tokens, so that short prompts do not look slow.
 	overheadTokens = 500
-	// gain is the weight of a new sample of an engine; poolGain of one in a pool's mean.
+	// gain is the weight of a new sample of an engine, poolGain that of one in a pool's mean.
 	gain, poolGain = 0.2, 0.05
-	// waitDecay, memoryMemory, healthMemory: how long a report of waiting work, a report of memory and an
-	// outcome are believed: about as long as a queue, a stream and a trouble last.
+	// waitDecay, streamDecay and healthDecay are the decay times of reports of waiting work, reports of
+	// memory and outcomes: about as long as a queue, a stream and a fault last.
 	waitDecay   = 1 * time.Second
 	streamDecay = 5 * time.Second
 	healthDecay = 10 * time.Second
-	// healthSample and startSample are how many requests of ours an outcome, and the time in which writers
-	// start, are believed for, where that is longer.
+	// healthSample and startSample are the numbers of our requests over which outcomes and the start times of
+	// writers decay, where that takes longer.
 	healthSample, startSample = 40, 8
-	// failCost weighs a chance of failure against a share of memory at writers, against the spill at readers;
-	// lossCost does where a failed attempt can't be repeated.
+	// failCost weighs a chance of failure against a share of memory at writers, and against spillShare at
+	// readers. lossCost does so where a failed attempt can't be repeated.
 	failCost, lossCost = 1.0, 4.0
-	// networkFaultWeight is how much of a failure counts against an engine that may have no part in it: one that
-	// spoils all it sends is still told from the others.
+	// networkFaultWeight is how much of a failure a network fault counts for: the engine may not have caused
+	// it. One that corrupts all it sends still stands out.
 	networkFaultWeight = 0.2
 	// ejectRisk is the chance of failure from which an engine comes last in the order of readers.
 	ejectRisk = 0.5
-	// coldMargin of the cold budget is used: a request's true work is not known when it is sent.
+	// coldMargin is the used share of the cold budget: a request's true work is unknown when it is sent.
 	coldMargin = 0.7
-	// cellTilt bounds how far reads lean towards cells with more writers for each reader.
+	// cellTilt bounds how far prefills lean towards cells with more writers for each reader.
 	cellTilt = 1.5
-	// mixedShare is a mixed server's share of a whole request's work against a writer that does half of it.
+	// mixedShare is a mixed server's share of a whole request's work, against a writer that does half of it.
 	mixedShare = 0.7
-	// poolPaceReads is how many reads the pool's pace weighs against the engine's own.
+	// poolPaceReads is how many prefills the pool's pace counts for against the engine's own.
 	poolPaceReads = 2
-	// lostShare of the aim, and lostFactor what a report explains, is the age from which an attempt is lost;
-	// overtakenFactor what was expected, where the engine has served what was sent much later.
+	// An attempt is lost after lostShare of the aim and lostFactor times what a report explains, or
+	// overtakenFactor times the expected time where the engine has served what was sent much later.
 	lostShare, lostFactor, overtakenFactor = 0.3, 10.0, 3.0
-	// cachedLimit bounds the beginnings remembered for an engine.
+	// cachedLimit bounds the prefixes remembered for an engine.
 	cachedLimit = 2048
-	// tickKey marks the scheduler's own timer, stayKey draws keys as if it were an engine; ids lie between.
+	// tickKey marks the scheduler's own timer. stayKey replaces an engine's ID in a hash. IDs lie between.
 	tickKey, stayKey = 1 << 63, 1
 )
 
-// New makes a scheduler. The seed settles the draws among equals: routers need different ones, or those with
-// equal reports all choose alike.
+// New returns a scheduler. The seed breaks ties among equals. Routers need different seeds, or those with
+// equal reports would all choose alike.
 func New(set Settings, seed uint64) *Scheduler {
 	s := &Scheduler{set: set, seed: seed, engines: map[EngineID]*engine{}, requests: map[RequestID]*request{},
 		tallies: map[tallyKey]tally{}, probeTime: initialProbe}
@@ -123,7 +123,7 @@
 		s.checkLeases(e)
 		s.checkHealth(e)
 		waiting := e.role != Reader && len(e.pending) > 0 && e.lastAlive >= e.probedAt
-		if waiting && s.projectedMemory(e) > highMemory { // a jam at the writers, seen before its starts are
+		if waiting && s.projectedMemory(e) > highMemory { // writers overloaded, before late starts show it
 			r := e.pending[0]
 			known := scale(s.startWait(e.role, r.origin(e)), time.Second)
 			s.learnStart(e, r, max(s.now-r.sentAt, known), poolGain)
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// Engines of the tests: two readers and two writers, a pair in each of two cells.
+// The engines of the tests: two readers and two writers, one pair in each of two cells.
 const (
 	r1, r2, w1, w2, m1 = EngineID(11), EngineID(12), EngineID(21), EngineID(22), EngineID(31)
 )
@@ -32,15 +32,15 @@
 		{ID: w1, Cell: 1, Kind: 1, Weight: 1}, {ID: w2, Cell: 2, Kind: 1, Weight: 1}}
 }
 
-// bench drives a Scheduler as a router would: it keeps the clock and the timers and collects the actions.
+// bench drives a Scheduler as a router would. It keeps the clock and the timers and collects the actions.
 type bench struct {
 	*testing.T
 	s      *Scheduler
 	now    time.Duration
 	timers []SetTimer
 	log    []Action
-	silent map[EngineID]bool // do not answer probes
-	load   map[EngineID]Load // in answers to probes
+	silent map[EngineID]bool // engines that do not answer probes
+	load   map[EngineID]Load // reported in answers to probes
 }
 
 func newBench(t *testing.T, set Settings, engines []Engine) *bench {
@@ -49,7 +49,7 @@
 	return b
 }
 
-// handle hands an event over and returns the actions but the timers.
+// handle passes an event to the scheduler and returns the actions except timers.
 func (b *bench) handle(ev Event) []Action {
 	b.Helper()
 	var seen []Action
@@ -73,10 +73,10 @@
 	return seen
 }
 
-// probeTimeout marks the bench's own timers for probes that nobody answers.
+// probeTimeout marks the bench's own timers for unanswered probes.
 const probeTimeout = 1 << 60
 
-// advance lets time go by and fires the timers that come due; it returns the actions of that time.
+// advance moves the clock, fires the timers that come due and returns the actions of that time.
 func (b *bench) advance(d time.Duration) []Action {
 	b.Helper()
 	from, end := len(b.log), b.now+d
@@ -110,7 +110,7 @@
 	return b.sentTo(id)
 }
 
-// sentTo is the engine of the request's newest Send, 0 without one.
+// sentTo returns the engine of the request's newest Send, 0 if there is none.
 func (b *bench) sentTo(id RequestID) (engine EngineID) {
 	for _, a := range b.log {
 		if send, ok := a.(Send); ok && send.Request == id {
@@ -160,7 +160,7 @@
 	}
 }
 
-// advanceSilent lets time go by in which some engines answer nothing.
+// advanceSilent moves the clock while some engines answer nothing.
 func (b *bench) advanceSilent(d time.Duration, silent ...EngineID) {
 	b.Helper()
 	b.silent = map[EngineID]bool{}
@@ -173,14 +173,14 @@
 func TestOrdinaryPath(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 0, 3*time.Second)
-	b.must(reader == r1 || reader == r2, "the prompt went to %d, not to a reader", reader)
+	b.must(reader == r1 || reader == r2, "prompt sent to %d, which is not a reader", reader)
 	b.end(1, Read, false)
 	writer := b.sentTo(1)
-	b.must(writer == w1 && reader == r1 || writer == w2 && reader == r2, "state of %d went to %d", reader, writer)
+	b.must(writer == w1 && reader == r1 || writer == w2 && reader == r2, "state of reader %d sent to %d, which is not the writer of its cell", reader, writer)
 	b.start(1)
 	b.end(1, Served, false)
 	b.advance(10 * time.Second)
-	b.must(b.finals(1) == 0 && !has[Release](b.log) && !has[Cancel](b.log), "a served request needs nothing more")
+	b.must(b.finals(1) == 0 && !has[Release](b.log) && !has[Cancel](b.log), "a served request caused a final answer, a release or a cancellation")
 }
 
 func TestEqualEventsEqualActions(t *testing.T) {
@@ -196,7 +196,7 @@
 		return b.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("equal events gave other actions")
+		t.Fatal("equal events led to different actions")
 	}
 }
 
@@ -204,24 +204,24 @@
 	set := testSettings()
 	set.AskForList = true
 	b := &bench{T: t, s: New(set, 1), now: time.Second}
-	b.must(has[Subscribe](b.handle(Listed{Kind: ListCached, Engines: fleet()})), "did not subscribe")
+	b.must(has[Subscribe](b.handle(Listed{Kind: ListCached, Engines: fleet()})), "no Subscribe after the first list")
 	b.handle(Listed{Kind: ListFailed})
-	b.must(has[Subscribe](b.advance(6*time.Second)), "did not ask again after a failure")
+	b.must(has[Subscribe](b.advance(6*time.Second)), "no Subscribe within 6 s after a failed list")
 }
 
 func TestListChangesMidRequest(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
-	b.handle(Listed{Kind: ListComplete, Engines: fleet()[2:3]}) // its reader, the other one and a writer are gone
+	b.handle(Listed{Kind: ListComplete, Engines: fleet()[2:3]}) // its reader, the other reader and one writer are gone
 	b.end(1, Read, false)
-	b.must(b.sentTo(1) == w1, "the state went to %d, not to the writer that is left", b.sentTo(1))
+	b.must(b.sentTo(1) == w1, "state sent to %d, not to the only writer left", b.sentTo(1))
 	b.end(1, NotSent, false)
 	b.advance(3 * time.Second)
 	b.end(1, Cancelled, false)
-	b.must(b.finals(1) == 1 && has[Release](b.log), "want one answer and the state let go")
+	b.must(b.finals(1) == 1 && has[Release](b.log), "want one final answer and a Release")
 }
 
-// manyRouters drives routers of a large fleet side by side: each sees one request every few seconds.
+// manyRouters runs the routers of a large fleet side by side. Each sees one request every few seconds.
 func manyRouters(t *testing.T, routers int, engines []Engine, warmUp, length time.Duration, cold func(now time.Duration) []Engine) []*bench {
 	set := testSettings()
 	all := make([]*bench, routers)
@@ -261,7 +261,7 @@
 	return engines
 }
 
-// Settings and lists with absent or absurd figures lead to no panic.
+// Settings and lists with missing or absurd values cause no panic.
 func TestAbsurdSettings(t *testing.T) {
 	engines := []Engine{{ID: 1, Kind: 7}, {ID: 2, Kind: -1}, {ID: 3, Kind: 0, Weight: -4, StartedAt: -time.Second}, {ID: 4, Kind: 1}}
 	for _, set := range []Settings{{}, {Kinds: make([]Kind, 2), Probing: true},
@@ -274,6 +274,6 @@
 			b.end(id, Full, false)
 		}
 		b.advance(3 * time.Second)
-		b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
+		b.must(b.finals(1) == 1, "%d final answers, want 1", b.finals(1))
 	}
 }
--- a/brain/cold.go
+++ b/brain/cold.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// startWarmup opens our part of the budget of an engine that has just started.
+// startWarmup opens our part of the cold budget of an engine that has just started.
 func (s *Scheduler) startWarmup(e *engine, since time.Duration) {
 	if till := since + s.set.WarmAfter; till > e.coldUntil {
-		if s.now >= e.coldUntil { // no router starts with room: in a jam all that had it would come at once
+		if s.now >= e.coldUntil { // with a full budget all would send at once in an overload
 			e.coldBudget, e.budgetAt = -unit(s.seed, uint64(e.ID))*s.pools[e.role].uncached, s.now
 		}
 		e.coldUntil = till
 	}
 }
 
-// withinColdBudget tells whether an engine that has just started can take the request within our part of its budget:
-// a bucket that fills at the rate at which the engine may be sent work at its worst, of which our part is
-// what warm peers of its zone serve for us (requests stay in a zone). A part of less than one request makes
-// the next one wait longer.
+// withinColdBudget reports whether the request fits our part of the cold budget of an engine that has just
+// started. The budget is a bucket that fills at the rate that the engine tolerates at its worst. Our part of
+// that is what warm peers of its zone serve for us (requests stay in a zone). A part of less than one request
+// delays the next one.
 func (s *Scheduler) withinColdBudget(e *engine, r *request) bool {
 	if s.now >= e.coldUntil {
 		return true
 	}
 	p, zone := &s.pools[e.role], e.Zone
-	if p.warm[zone] == 0 { // a whole zone has started anew
+	if p.warm[zone] == 0 { // a whole zone has restarted
 		zone = allZones
 	}
 	served := func(zone int) float64 { return p.served[zone] * decay(s.now-p.servedAt, streamDecay) }
-	// Where no warm one serves us, as after our own start, no rate is known: one request at a time follows
-	// the engine's own pace, and keeps a fleet in use that is all cold, or fails where it is warm.
+	// Where no warm one serves us, as after our own start, no rate is known. One request at a time follows
+	// the engine's own pace. This keeps a fleet in use that is all cold or whose warm engines fail.
 	if served(allZones) < p.uncached && len(e.pending)+len(e.streams) == 0 {
 		return true
 	}
@@ -37,8 +37,8 @@
 	return e.coldBudget >= 0
 }
 
-// warmth is the least share of its capacity that an engine has by the time since its start. Keys come to a
-// starting reader by it, at all routers alike: what it can't take yet is read and kept in one other place.
+// warmth is the least share of its capacity that an engine has by the time since its start. All routers scale
+// its share of keys by it: what it can't take yet is prefilled and cached in one other place.
 func (s *Scheduler) warmth(e *engine) float64 {
 	if s.now >= e.coldUntil {
 		return 1
@@ -47,7 +47,7 @@
 	return s.set.ColdShare + (1-s.set.ColdShare)*(1-min(left, 1))
 }
 
-// countServed counts what warm engines serve: what a cold one does tells nothing of their rate.
+// countServed counts what warm engines serve. What a cold one serves tells nothing of their rate.
 func (s *Scheduler) countServed(e *engine, r *request) {
 	e.newestServed = max(e.newestServed, r.sentAt)
 	if s.now < e.coldUntil {
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// overload tells by how much an engine that started was sent more than it bears, in its worst window while it was cold: N +
-// 3 x root of N + 3 requests of mean work, N being what the settings allow it then. Below 1 it stands.
+// overload is the highest ratio, over the windows in which the engine is cold, of the work sent to it and its limit.
+// With N as the work that the settings allow in the window, the limit is N + 3 x root of N + 3 requests of mean work.
+// Below 1 the engine survives.
 func (w *simFleet) overload(e *simEngine) (worst float64) {
 	window, sum, first := w.set.OverloadFor, 0.0, 0
 	for _, s := range e.received {
@@ -25,7 +26,7 @@
 	return worst
 }
 
-// coldSettings are of a fleet with so many routers; the cold figures are those of two deployments.
+// coldSettings are those of a fleet with the given number of routers. The cold parameters come from two deployments.
 func coldSettings(routers int, share, ratio float64, over, after time.Duration) Settings {
 	set := testSettings()
 	set.Routers, set.ColdShare, set.OverloadRatio, set.OverloadFor, set.WarmAfter = routers, share, ratio, over, after
@@ -33,9 +34,9 @@
 	return set
 }
 
-// A cold engine bears only so much from all routers together, which share nothing and of which most see next to none of
-// the traffic: after one start; as a release replaces six in ten within 7 s; and as a third return at once while seven in ten of the
-// routers are new, too, and know no rate.
+// A cold engine tolerates only so much work from all routers together. The routers share nothing, and most of them
+// see almost none of the traffic. Covered are one start, a release that replaces six in ten engines within 7 s, and a
+// third of the engines that return at once while seven in ten routers are new and know no rate.
 func TestColdEngineIsNotOverloadedByAllRouters(t *testing.T) {
 	const engines, capacity, use = 40, 30.0, 0.85
 	for name, set := range map[string]Settings{
@@ -56,7 +57,7 @@
 				t.Parallel()
 				var list []Engine
 				for i := range engines {
-					kind := toInt(i%4 > 2) // three readers and a writer in every other cell, one and three in the others
+					kind := toInt(i%4 > 2) // three readers and one writer in every other cell, one and three in the rest
 					if i/4%2 == 1 {
 						kind = toInt(i%4 > 0)
 					}
@@ -94,12 +95,12 @@
 					}
 				}
 				if worst >= 1 {
-					t.Errorf("a cold engine was sent %.2f times what it bears", worst)
+					t.Errorf("a cold engine was sent %.2f times its limit", worst)
 				}
 				if sent == 0 {
-					t.Error("nothing was sent to those that started")
+					t.Error("nothing was sent to the starting engines")
 				}
-				t.Logf("worst window %.2f of what it bears; %d sends to those that started; %s", worst, sent, fmt.Sprint(ends))
+				t.Logf("worst window %.2f of the limit; %d sends to the starting engines; %s", worst, sent, fmt.Sprint(ends))
 			})
 		}
 	}
--- a/brain/health.go
+++ b/brain/health.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// immediate is how long an answer takes at most that has not waited.
+// immediate is the longest time for a reply that has not waited.
 func (s *Scheduler) immediate(r *request) time.Duration {
 	return max(scale(immediateShare, r.aim()), s.set.Step)
 }
 
-// unresponsive tells whether the engine owes an answer to a probe for longer than probes take. Where probes wait like
-// requests an answer takes as long as a queue, and its lack for a moment says nothing.
+// unresponsive reports whether the engine's reply to a probe is later than usual. Where probes wait like
+// requests, a reply takes as long as a queue, and a short silence proves nothing.
 func (s *Scheduler) unresponsive(e *engine, r *request) bool {
 	return e.probedAt > e.lastAlive && s.now-e.probedAt >= max(s.immediate(r), scale(lateProbe, s.probeTime))
 }
 
-// Evidence is kept by engine and pooled by what engines have in common: with few attempts a router would
-// else have to fail once at each engine.
+// Evidence is kept by engine and pooled by what engines have in common. With few attempts a router would
+// otherwise have to fail once at each engine.
 const (
 	byZone = iota
 	byCell
@@ -25,10 +25,10 @@
 	anyClass = -1 // evidence that holds for every class
 )
 
-// parentWeight is how many outcomes the wider evidence weighs against that of the zone, the cell and the engine.
+// parentWeight is how many outcomes wider evidence counts for against the zone's, cell's or engine's.
 var parentWeight = [...]float64{byZone: 4, byCell: 4, byEngine: 1}
 
-// addOutcome takes an outcome as a word on the engine for a class: bad is 1 for a failure, 0 for none.
+// addOutcome records an outcome of a class at the engine: bad is 1 for a failure, 0 for none.
 func (s *Scheduler) addOutcome(e *engine, class int, bad float64) {
 	for _, g := range e.tallyKeys(class) {
 		t := s.tallies[g]
@@ -37,8 +37,8 @@
 	}
 }
 
-// risk is the chance that the engine fails a request of the class: outlier ejection by degrees. It ranks, it
-// never excludes, so those that are left do not drown; it fades, so an engine returns by steps.
+// risk is the chance that the engine fails a request of the class, for gradual outlier ejection. It ranks and
+// never excludes, so the rest are not overloaded. It decays, so an engine returns gradually.
 func (s *Scheduler) risk(e *engine, class int) float64 {
 	worst := 0.0
 	for _, c := range [...]int{anyClass, class} {
@@ -54,7 +54,7 @@
 	return worst
 }
 
-// assess reads the end of an attempt as a word on the engine. Failures and 'full' are held against it for the
+// assess takes the end of an attempt as evidence on the engine. Failures and Full count against it for the
 // class that met them, a broken or refused connection for all.
 func (s *Scheduler) assess(e *engine, r *request, ev Ended) {
 	s.recordLoad(e, ev.Load)
@@ -81,9 +81,9 @@
 			break
 		}
 		s.addOutcome(e, class, 1)
-		if r == nil || ev.Took < s.immediate(r) { // at once: no room; later: it sorts by class
+		if r == nil || ev.Took < s.immediate(r) { // at once: no capacity; later: it selects by class
 			e.fullUntil = s.now + s.tick
-			if e.role != Reader && r != nil { // no room: a start would have taken as long as the aim
+			if e.role != Reader && r != nil { // no capacity: a start would have taken as long as the aim
 				s.learnStart(e, r, r.aim(), gain)
 			}
 			if e.role != Writer { // a full queue of prompts is a long wait for those behind it
@@ -97,7 +97,7 @@
 	s.heartbeat(e)
 }
 
-// checkHealth probes an engine that owes us work and is silent: the probe is the lease's heartbeat.
+// checkHealth probes a silent engine with attempts out: the probe is the lease's heartbeat.
 func (s *Scheduler) checkHealth(e *engine) {
 	if !s.set.Probing || e.probing || e.Availability == Removed || len(e.pending) == 0 {
 		return
@@ -113,8 +113,8 @@
 	s.emit(Probe{Engine: e.ID})
 }
 
-// onProbed takes a probe's answer. One that fails while nothing else was heard shows that the engine is
-// silent: what can be repeated without harm moves on at once.
+// onProbed handles the result of a probe. If it fails with no other sign of life, the engine is silent: what
+// can be repeated without harm moves on at once.
 func (s *Scheduler) onProbed(ev Probed) {
 	e := s.engines[ev.Engine]
 	if e == nil {
@@ -125,14 +125,14 @@
 	s.recordLoad(e, ev.Load)
 	if ev.Result == Served || ev.Result == Full || ev.Result == Errored {
 		s.addOutcome(e, anyClass, 0)
-		s.heartbeat(e)                // even a refused probe was answered: a crowded engine is not a silent one
-		for _, r := range e.pending { // reads lapse at once, unless the engine itself had paused
+		s.heartbeat(e)                // even a refused probe was answered: a full engine is not a silent one
+		for _, r := range e.pending { // prefills lapse at once, unless the engine itself had paused
 			if e.role == Reader && ev.Took < scale(lostShare, r.aim()) && s.overdue(e, r) {
 				r.lease = s.now
 			}
 		}
 		s.checkLeases(e)
-	} else if late := ev.Took > scale(lateProbe, s.probeTime); ev.Result != NotSent && // Moot: never sent
+	} else if late := ev.Took > scale(lateProbe, s.probeTime); ev.Result != NotSent && // never sent
 		e.lastAlive < e.probedAt && (late || ev.Result != TimedOut) {
 		s.addOutcome(e, anyClass, 1)
 		for _, r := range slices.Clone(e.pending) {
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -13,22 +13,22 @@
 		b.handle(Listed{Kind: ListDelta, Engines: []Engine{{ID: reader, Kind: 0, Availability: state}}})
 		for id := RequestID(10 * (1 + int(state))); id < RequestID(10*(1+int(state))+5); id++ {
 			to := b.arrive(id, 0, 3*time.Second)
-			b.must(to != 0 && to != reader, "sent to %d, which is draining or gone", to)
+			b.must(to != 0 && to != reader, "request sent to %d, which is draining or removed", to)
 			b.end(id, Read, false)
 		}
 	}
 }
 
-// A crowded reader turns probes away too; that must not have its reads called off and read again.
+// A reader without capacity refuses probes too. That must not cancel its prefills and repeat them elsewhere.
 func TestRefusedProbeIsSignOfLife(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 0, 3*time.Second)
 	b.advanceSilent(300*ms, reader)
 	got := b.handle(Probed{Engine: reader, Result: Full})
-	b.must(!has[Cancel](got), "a full reader's reads were called off: %+v", got)
+	b.must(!has[Cancel](got), "prefills of a full reader were cancelled: %+v", got)
 }
 
-// Probes follow a router's own requests, not routers x engines.
+// The number of probes follows a router's own requests, not routers x engines.
 func TestProbesFollowRequests(t *testing.T) {
 	engines := largeFleet()
 	all := manyRouters(t, 50, engines, time.Second, 5*time.Second, func(time.Duration) []Engine { return engines[:1] })
@@ -42,7 +42,7 @@
 	}
 }
 
-// What is left of one class's failures at an engine must not keep the other class from it.
+// The remaining evidence of one class's failures must not keep another class from the engine.
 func TestFailuresCountForTheirClassOnly(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	id := RequestID(1)
@@ -53,12 +53,12 @@
 	}
 	first := b.arrive(1000, 0, 3*time.Second)
 	set := newBench(t, testSettings(), fleet())
-	b.must(first == set.arrive(1000, 0, 3*time.Second), "another class's errors moved this one to %d", first)
-	b.must(b.arrive(1001, 1, 6*time.Second) != r1, "the class goes on to the engine that fails it")
+	b.must(first == set.arrive(1000, 0, 3*time.Second), "errors of another class moved the request to %d", first)
+	b.must(b.arrive(1001, 1, 6*time.Second) != r1, "the class is still sent to the engine that fails it")
 }
 
-// What is served is a word for every class, as a refused connection is one against: else only failures counted
-// there, and healthy writers stood idle for the sake of dead neighbours in their cell.
+// A served request is evidence for every class, as a refused connection is against every class. When only failures
+// counted for all classes, healthy writers were idle because of dead neighbours in their cell.
 func TestSuccessLowersRiskOfDeadEnginesNeighbours(t *testing.T) {
 	const neighbour = EngineID(23)
 	b := newBench(t, testSettings(), []Engine{{ID: r1, Cell: 1, Weight: 1}, {ID: w1, Cell: 1, Kind: 1, Weight: 1},
@@ -75,13 +75,13 @@
 		b.start(id)
 		b.end(id, Served, false)
 	}
-	risk := func(id EngineID) float64 { return b.s.risk(b.s.engines[id], 1) } // for a class that met neither
+	risk := func(id EngineID) float64 { return b.s.risk(b.s.engines[id], 1) } // for a class that had neither outcome
 	b.must(risk(w1) > 0.5 && risk(neighbour) < 0.1 && risk(r1) < 0.1,
-		"risk of the dead %.2f, of its neighbour %.2f, of the reader %.2f", risk(w1), risk(neighbour), risk(r1))
+		"risk of the dead writer %.2f, of its neighbour %.2f, of the reader %.2f", risk(w1), risk(neighbour), risk(r1))
 }
 
-// An engine that leaves the list while it still streams for us is forgotten with its last stream, whether or not
-// the list changes again.
+// An engine that is removed from the list while it still streams for us is forgotten after its last stream, even if
+// the list does not change again.
 func TestRemovedEngineIsForgotten(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3000*ms)
@@ -91,17 +91,17 @@
 	gone := Engine{ID: at, Kind: 1, Availability: Removed}
 	b.handle(Listed{Kind: ListDelta, Engines: []Engine{gone}})
 	if b.s.engines[at] == nil {
-		t.Fatal("forgotten while it streams")
+		t.Fatal("engine forgotten while it streams")
 	}
 	b.end(1, Served, false)
 	b.advance(2 * time.Second)
 	if b.s.engines[at] != nil || len(b.s.order) != 3 {
-		t.Error("remembered after its last stream")
+		t.Error("engine remembered after its last stream")
 	}
 }
 
-// What may happen at any engine must not have the engines shunned one after the other, yet one to which nothing else
-// happens is told from the rest.
+// Network faults may happen at any engine and must not exclude one engine after another. But an engine that causes
+// nothing else must stand out.
 func TestNetworkFaults(t *testing.T) {
 	risk := func(results ...Result) float64 {
 		b := newBench(t, testSettings(), fleet()[:1])
@@ -112,12 +112,12 @@
 	}
 	one, often, broke := risk(Read, NetworkFault), risk(NetworkFault, NetworkFault, NetworkFault, NetworkFault, NetworkFault), risk(Read, Broke)
 	if one <= 0 || one > broke/3 || often < 1.5*one || often > ejectRisk {
-		t.Errorf("risk %.2f after one mishap, %.2f after five and nothing else, %.2f after a break", one, often, broke)
+		t.Errorf("risk %.2f after one network fault, %.2f after five and nothing else, %.2f after a broken connection", one, often, broke)
 	}
 }
 
-// A probe for which this router had no socket is no word on the engine. At 256 descriptors such probes had 107 reads
-// called off at once, at engines that were well.
+// A probe that this router could not send for lack of a socket is no evidence on the engine. With 256 descriptors
+// such probes had 107 prefills cancelled at once at healthy engines.
 func TestProbeNeverSent(t *testing.T) {
 	for result, called := range map[Result]bool{NotSent: false, ConnectFailed: true} {
 		b := newBench(t, testSettings(), fleet()[:1])
@@ -128,14 +128,15 @@
 		b.now += ms
 		b.handle(Probed{Engine: r1, Result: result})
 		if got := count[Cancel](b.log, func(Cancel) bool { return true }) > 0; got != called {
-			t.Errorf("result %d: called off %v", result, got)
+			t.Errorf("result %d: cancelled %v", result, got)
 		}
 	}
 }
 
-// Where probes wait like requests, one that times out at a crowded reader is no sign of its death: on join+vast 62 of
-// 62 reads called off within 2 s had only a probe's silence against them, and each was begun anew elsewhere. Forty
-// routers with a read each must wait. One that has seen probes answered at once takes the same silence for what it is.
+// Where probes queue like requests, a probe timeout at a crowded reader does not show that it is dead. On join+vast,
+// 62 of 62 prefills cancelled within 2 s had only a silent probe against them, and each was repeated elsewhere. Forty
+// routers with one prefill each must wait. A router that has seen probes answered at once must cancel after the same
+// silence.
 func TestQueuedProbeCancelsNothing(t *testing.T) {
 	set := testSettings()
 	off := 0
@@ -144,15 +145,15 @@
 		b.handle(Listed{Kind: ListCached, Engines: fleet()})
 		b.advanceSilent(1200*ms, b.arrive(1, 1, 6*time.Second))
 		off += count[Cancel](b.log, nil)
-		b.must(count[Probe](b.log, nil) > 0, "nothing was probed")
+		b.must(count[Probe](b.log, nil) > 0, "no probe was sent")
 	}
 	if off > 0 {
-		t.Errorf("40 routers called off %d reads at a reader that was only crowded", off)
+		t.Errorf("40 routers cancelled %d prefills at a reader that was only crowded", off)
 	}
 	b := newBench(t, set, fleet())
 	for range 20 {
 		b.handle(Probed{Engine: r2, Result: Served, Took: ms})
 	}
 	b.advanceSilent(1200*ms, b.arrive(1, 1, 6*time.Second))
-	b.must(has[Cancel](b.log), "probes are known to be answered at once, and one was not")
+	b.must(has[Cancel](b.log), "no cancellation after a silent probe where probes are answered at once")
 }
--- a/brain/homes_test.go
+++ b/brain/homes_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// randomActions gives the actions on events randomActions from a seed over readers, writers and mixed engines in two zones; homes names those of
-// a prefix.
+// randomActions returns the actions after events drawn from a seed, with readers, writers and mixed engines in two
+// zones. homes returns the Homes of a prefix.
 func randomActions(t *testing.T, seed uint64, homes func(prefix uint64) []EngineID) []Action {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var engines []Engine
@@ -41,7 +41,7 @@
 	return b.log
 }
 
-// Homes that are empty, or of which none is listed, change nothing; those that are listed do.
+// Homes that are empty or not listed change nothing. Listed ones do.
 func TestUnlistedHomesChangeNothing(t *testing.T) {
 	changed := 0
 	for seed := range uint64(40) {
@@ -49,7 +49,7 @@
 		unknown := randomActions(t, seed, func(uint64) []EngineID { return []EngineID{900, 901} })
 		some := randomActions(t, seed, func(prefix uint64) []EngineID { return []EngineID{EngineID(10 + prefix)} })
 		if !reflect.DeepEqual(none, unknown) {
-			t.Fatalf("seed %d: homes that are not listed changed what is done", seed)
+			t.Fatalf("seed %d: homes that are not listed changed the actions", seed)
 		}
 		if !reflect.DeepEqual(none, some) {
 			changed++
@@ -60,7 +60,7 @@
 	}
 }
 
-// Home is where requests go by themselves.
+// Home is the engine that requests go to without other evidence.
 func TestHomeIsFirstInHashOrder(t *testing.T) {
 	var engines []Engine
 	var ids []EngineID
@@ -72,17 +72,17 @@
 		id := RequestID(1 + i)
 		b.handle(Arrived{Request: id, Session: uint64(i), Prefix: uint64(1000 + i), PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 30, Timeout: 3 * time.Second})
 		if got, want := b.sentTo(id), Home(uint64(1000+i), ids); got != want {
-			t.Errorf("prefix %d went to %d, not to %d", 1000+i, got, want)
+			t.Errorf("prefix %d was sent to %d, want %d", 1000+i, got, want)
 		}
 		b.start(id)
 		b.end(id, Served, false)
 	}
 	if Home(1, nil) != 0 {
-		t.Error("a home among none")
+		t.Error("Home of no engines is not 0")
 	}
 }
 
-// A home comes before the hash order, in its own zone only, and not where it is likely to fail or can't be asked.
+// An engine in Homes comes before the hash order, but only in the router's zone and if it is ready.
 func TestHomesComeBeforeHashOrder(t *testing.T) {
 	for i := range 8 {
 		home := EngineID(20 + i)
@@ -100,14 +100,14 @@
 		}
 		t.Run(fmt.Sprint("home ", home), func(t *testing.T) {
 			if got := ask(t, nil); (got == home) != (i < 4) {
-				t.Errorf("sent to %d", got)
+				t.Errorf("request sent to %d", got)
 			}
 			if got := ask(t, func(b *bench) {
 				drains := engines[i]
 				drains.Availability = Draining
 				b.handle(Listed{Kind: ListDelta, Engines: []Engine{drains}})
 			}); got == home {
-				t.Error("a home that drains was sent to")
+				t.Error("request sent to a draining home")
 			}
 		})
 	}
--- a/brain/homewriter_test.go
+++ b/brain/homewriter_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A beginning that writers read themselves has one home among them, at all routers, while it is at ease; others are drawn.
+// A prefix that writers prefill themselves has one home among them, the same for all routers, while it has free
+// memory. Other requests draw a writer.
 func TestShortPromptsHaveAHomeAmongWriters(t *testing.T) {
 	engines := []Engine{{ID: 100, Kind: 0, Weight: 1}}
 	for zone := range 7 {
@@ -23,7 +24,7 @@
 		}
 	}
 	if len(used) != 1 {
-		t.Errorf("one beginning was read by %v", used)
+		t.Errorf("one prefix was prefilled by several writers: %v", used)
 	}
 	home := EngineID(0)
 	for id := range used {
@@ -35,17 +36,17 @@
 	for _, e := range engines[1:] {
 		b.handle(Reported{Engine: e.ID, Load: Load{Known: true, MemoryShare: float64(toInt(e.ID == home)), WaitTokens: -1}})
 	}
-	b.must(b.arrive(1, 0, 3*time.Second) != home, "sent to a home without memory")
+	b.must(b.arrive(1, 0, 3*time.Second) != home, "request sent to a home without free memory")
 }
 
-// The candidates of a request are the readers in the order in which it would be sent to them; a short prompt has none.
+// The candidates of a request are the readers in the order in which they would be tried. A short prompt has none.
 func TestCandidatesAreTheReadersInOrder(t *testing.T) {
 	set := testSettings()
 	set.Zone, set.MinPrefillTokens = -1, 1000
 	b := newBench(t, set, readersIn(3))
 	ev := Arrived{Class: 0, Session: 1001, Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxTokens: 300, Timeout: 3 * time.Second}
 	ids := b.s.Candidates(ev, 3)
-	b.must(len(ids) == 3, "%d candidates", len(ids))
+	b.must(len(ids) == 3, "%d candidates, want 3", len(ids))
 	b.must(ids[0] == b.arrive(1, 0, 3*time.Second), "the first candidate %d is not the home", ids[0])
 	ev.PromptTokens = 500
 	b.must(len(b.s.Candidates(ev, 3)) == 0, "a short prompt has candidates")
--- a/brain/readers.go
+++ b/brain/readers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// updateShares settles each engine's share of the prefix keys: readers lean towards cells with more writers for each
-// reader, so that state need not leave its cell; mixed servers count for their part of the work.
+// updateShares sets each engine's share of the prefix keys. Readers lean towards cells with more writers for
+// each reader, so that state need not leave its cell. Mixed servers count for their part of the work.
 func (s *Scheduler) updateShares() {
 	cells, all := map[int][Mixed + 1]float64{}, [Mixed + 1]float64{}
 	for _, e := range s.order {
@@ -29,8 +29,8 @@
 	}
 }
 
-// read sends the prompt to the first engine in hash order that would end it in time, else to the soonest, and
-// refuses it at once when even that would be too late (admission).
+// read sends the prompt to the first engine in hash order that would finish it in time, else to the soonest.
+// It refuses the request at once if even that would be too late (admission).
 func (s *Scheduler) read(r *request) {
 	limit := spillShare * r.aim().Seconds()
 	var best *engine
@@ -40,10 +40,10 @@
 		r.home = list[0]
 	}
 	for _, e := range list {
-		// a jam at its own writers speaks against a reader too, though no more than a long queue
+		// an overload at the cell's writers also counts against a reader, but no more than a long queue
 		cost := s.projectedWait(e, r) + min(s.startDelay(e), limit) + 2*failCost*limit*s.risk(e, r.Class)
 		if missing := r.PrefixTokens - e.cachedTokens(r); e.role != Writer && e != r.home && missing > 0 {
-			cost += s.set.RereadWeight * s.paceOf(e) * missing // read once more it takes the room of others
+			cost += s.set.RereadWeight * s.paceOf(e) * missing // a repeat takes others' capacity
 		}
 		if e == r.avoid || s.unresponsive(e, r) || (e.role != Reader && s.projectedMemory(e) > highMemory) {
 			cost += limit
@@ -56,7 +56,7 @@
 		}
 	}
 	if best == nil {
-		if s.parked = append(s.parked, r); r.sends > 0 { // all are full: waiting would feed the jam
+		if s.parked = append(s.parked, r); r.sends > 0 { // all are full: waiting would add to the overload
 			s.giveUp(r, s.set.MaxHoldOff, ReadersFull)
 		}
 		return
@@ -64,14 +64,14 @@
 	if wait := s.projectedWait(best, r) + s.startDelay(best); r.sends == 0 && wait > s.admitLimit(r) {
 		s.giveUp(r, scale(wait, time.Second), WaitTooLong)
 	} else if best.role == Reader && s.set.MaxAttempts > 0 && r.PriorAttempts+r.sends+2 > s.set.MaxAttempts {
-		s.giveUp(r, s.set.MaxHoldOff, Exhausted) // no attempt would be left to have the answer written
+		s.giveUp(r, s.set.MaxHoldOff, Exhausted) // no attempt would be left for the answer
 	} else {
 		s.send(r, best)
 	}
 }
 
-// localKeyShare is the part of the prefix keys that stay in our zone: all, unless its readers are colder than the
-// others'. A zone that comes back all cold would else read all of its prompts while the others have room.
+// localKeyShare is the part of the prefix keys that stay in our zone: all, unless its readers are colder than
+// others. Otherwise a zone that returns cold would prefill all its prompts while others have capacity.
 func (s *Scheduler) localKeyShare() float64 {
 	var own, all, ownAble, allAble float64
 	for _, e := range s.order {
@@ -86,11 +86,11 @@
 	return (ownAble + 1e-9) / (own + 1e-9) * all / max(allAble, 1e-9)
 }
 
-// admitLimit is the wait, in seconds, from which a request is turned away. It guards against any overload,
-// whatever its cause; it can do harm just after a jam, so what was seen of it fades.
+// admitLimit is the wait, in seconds, above which a request is refused. It guards against any overload,
+// whatever its cause. It can do harm just after an overload, so what was seen of it decays.
 func (s *Scheduler) admitLimit(r *request) float64 {
 	limit := admitShare * (r.aim() + scale(s.set.LateShare, r.deadline-r.aimAt)).Seconds()
-	if r.Resumed { // what it waits costs it little; turned away it loses all that it has
+	if r.Resumed { // waiting costs it little, but a refusal loses all that it has
 		limit = admitShare * (r.deadline - r.arrived).Seconds()
 	}
 	if r.class.Worth < s.maxWorth {
@@ -99,9 +99,9 @@
 	return limit
 }
 
-// startDelay is the time in which an answer would start whose prompt this engine reads: a slow link between
-// cells is no reason to turn away what a writer of its own cell has room for. Without one it starts like the
-// slowest.
+// startDelay is the time in which an answer would start whose prompt this engine prefills. A slow link
+// between cells is no reason to refuse what a writer of its own cell has capacity for. Without such a writer
+// the slowest start counts.
 func (s *Scheduler) startDelay(reader *engine) float64 {
 	if reader.role != Reader {
 		return 0
@@ -119,8 +119,8 @@
 	return slowest
 }
 
-// readersInOrder lists the engines that may read, by rendezvous hashing: those of our own zone first, since
-// every crossing has a price, then the others, last those that are likely to fail; of each a home first.
+// readersInOrder lists the engines that may prefill, by rendezvous hashing: our own zone first, since
+// crossing zones has a cost, then others, last those likely to fail. In each group Homes come first.
 func (s *Scheduler) readersInOrder(r *request) []*engine {
 	list := s.eligible(r, func(e *engine) bool { return e.role != Writer })
 	if len(list) == 0 && s.set.WritersRead {
@@ -144,8 +144,8 @@
 	})
 }
 
-// projectedWait is the time, in seconds, until the engine would have read the prompt; an attempt that is out
-// for longer than was projected shows a slower engine before it ends.
+// projectedWait is the time, in seconds, until the engine would have prefilled the prompt. An attempt that is
+// out for longer than projected shows a slower engine before it ends.
 func (s *Scheduler) projectedWait(e *engine, r *request) float64 {
 	pace, late := s.paceOf(e), 0.0
 	if len(e.pending) > 0 {
@@ -155,8 +155,8 @@
 	return max(late, 0) + pace*(s.backlog(e)+s.uncachedTokens(e, r)+overheadTokens)
 }
 
-// uncachedTokens is what of the prompt this engine is thought not to have kept. Other routers send the same
-// beginnings to the same home, so there what is usually found counts, also if this router never sent it one.
+// uncachedTokens is the part of the prompt that this engine is not expected to have cached. A home gets the
+// same prefixes from other routers too, so its usual hit rate counts even without a prefill of ours.
 func (s *Scheduler) uncachedTokens(e *engine, r *request) float64 {
 	if e.role == Writer {
 		return 0
@@ -168,8 +168,8 @@
 	return max(r.PromptTokens-min(kept, r.PromptTokens), 1)
 }
 
-// backlog is what waits to be read, or fetched, at an engine, in tokens: by its last report, which fades
-// into the pool's mean, and what we have sent since.
+// backlog is what waits to be prefilled or fetched at an engine, in tokens: its last report, which decays to
+// the pool's mean, and what we have sent since.
 func (s *Scheduler) backlog(e *engine) float64 {
 	own := 0.0
 	for _, r := range e.pending {
--- a/brain/readers_test.go
+++ b/brain/readers_test.go
@@ -9,7 +9,7 @@
 	b := newBench(t, testSettings(), fleet())
 	first := b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
-	b.must(b.arrive(2, 0, 3*time.Second) == first, "the same beginning went elsewhere")
+	b.must(b.arrive(2, 0, 3*time.Second) == first, "a request with the same prefix was sent to another reader")
 }
 
 func TestHotPrefixSpreads(t *testing.T) {
@@ -20,7 +20,7 @@
 	for id := RequestID(2); id < 30; id++ {
 		used[b.arrive(id, 0, 3*time.Second)] = true
 	}
-	b.must(used[r1] && used[r2], "a hot prefix stayed on one reader")
+	b.must(used[r1] && used[r2], "all requests of a hot prefix were sent to one reader")
 }
 
 func TestMixedServerTakesWholeRequest(t *testing.T) {
@@ -28,19 +28,19 @@
 	b.must(b.arrive(1, 0, 3*time.Second) == m1, "not sent to the mixed server")
 	b.start(1)
 	b.end(1, Served, false)
-	b.must(count[Send](b.log, nil) == 1, "a mixed server takes a request whole")
+	b.must(count[Send](b.log, nil) == 1, "want one attempt at a mixed server")
 }
 
-// With every reader full, waiting at the router would only feed the jam.
+// With every reader full, waiting at the router would only add to the overload.
 func TestAllReadersFullIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
 	b.end(1, Full, false)
 	b.end(1, Full, false)
-	b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
+	b.must(b.finals(1) == 1, "%d final answers, want 1", b.finals(1))
 }
 
-// A zone of ours that is dead but still listed must not fill all hops of a beginning's order.
+// A dead zone of the router that is still listed must not fill all hops of a prefix's hash order.
 func TestDeadZoneDoesNotFillHashOrder(t *testing.T) {
 	engines := []Engine{{ID: 90, Cell: 9, Zone: 1, Kind: 0}, {ID: 91, Cell: 9, Zone: 1, Kind: 1}}
 	dead := map[EngineID]bool{}
@@ -64,10 +64,11 @@
 	}
 	b.arrive(100, 0, 3*time.Second)
 	b.advance(300 * ms)
-	b.must(b.sentTo(100) == 90, "sent to %d, not to the zone that lives", b.sentTo(100))
+	b.must(b.sentTo(100) == 90, "request sent to %d, not to the zone that is up", b.sentTo(100))
 }
 
-// In a jam starts come seconds late; attempts that still wait at full writers close admission before that.
+// In an overload answers start seconds late. Attempts that still wait at full writers must limit admission before
+// that.
 func TestWaitingAttemptsLimitAdmission(t *testing.T) {
 	refusedWith := func(memory float64) int {
 		b := newBench(t, testSettings(), fleet())
@@ -84,12 +85,12 @@
 		return b.finals(10)
 	}
 	if refusedWith(0.95) != 1 || refusedWith(0.2) != 0 {
-		t.Error("want a refusal when the writers are full, none when they have room")
+		t.Error("want a refusal when the writers are full, none when they have capacity")
 	}
 }
 
-// A jam that is over must not be believed in for as long as it turns away whatever could disprove it: after a
-// crash whole seconds of requests were refused at idle writers.
+// A past overload must not be assumed for as long as it makes the router refuse all that could disprove it. After a
+// crash the requests of whole seconds were refused while the writers were idle.
 func TestOverloadIsForgottenOnceNothingWaits(t *testing.T) {
 	refused := func(waiting bool) bool {
 		b := newBench(t, testSettings(), []Engine{fleet()[0], fleet()[2]})
@@ -103,17 +104,17 @@
 		return b.finals(10) == 1
 	}
 	if refused(false) || !refused(true) {
-		t.Error("want the belief to go when nothing of ours waits at a writer, and to stay while something does")
+		t.Error("want the start time to decay when no attempt waits at a writer, and to stay while one does")
 	}
 }
 
-// A cell with many readers and one writer jams alone: what is read there starts late while the writers of other cells
-// have room. That speaks against its readers, and refusals come only where no cell has room.
+// A cell with many readers and one writer is overloaded alone: answers to its prefills start late while writers of
+// other cells have capacity. That counts against its readers. Requests are refused only if no cell has capacity.
 func TestOverloadOfOneCell(t *testing.T) {
 	const reader, other = EngineID(13), EngineID(23)
 	engines := append(fleet(), Engine{ID: reader, Cell: 1, Weight: 1}, Engine{ID: other, Cell: 2, Kind: 1, Weight: 1})
 	b := newBench(t, testSettings(), engines)
-	for id := RequestID(1); id <= 2; id++ { // wait at the one writer of cell 1
+	for id := RequestID(1); id <= 2; id++ { // these wait at the one writer of cell 1
 		b.handle(Arrived{Request: id, Class: 1, Session: uint64(id), PromptTokens: 2000, MaxTokens: 300, Timeout: 9 * time.Second})
 		b.s.requests[id].current.remove(b.s.requests[id])
 		b.s.requests[id].current = nil
@@ -131,13 +132,13 @@
 		b.end(id, Served, false)
 	}
 	if refused > 0 || away < 20 {
-		t.Errorf("%d of 20 read where the writers have room, %d refused", away, refused)
+		t.Errorf("%d of 20 prefilled in the cell whose writers have capacity, %d refused", away, refused)
 	}
 }
 
-// One read that waited behind what other routers sent must not rule a router's first half minute: on join+vast it made
-// 0.6 ms of a token, and 14 to 25 long prompts were refused in 2 s while readers were idle and had most of them kept. In a
-// small fleet, whose routers see enough, a pool's mean moves as before.
+// One prefill that waited behind other routers' work must not dominate a router's first half minute. On join+vast it
+// gave a pace of 0.6 ms per token, and 14 to 25 long prompts were refused in 2 s while readers were idle and had most
+// of them cached. In a small fleet, whose routers see enough requests, a pool's mean changes as before.
 func TestFirstSlowPrefillCausesNoRefusal(t *testing.T) {
 	refused := func(routers, reads int, prompt float64) (n int) {
 		set := testSettings()
@@ -160,15 +161,16 @@
 	}
 	for reads, prompt := range map[int]float64{1: 2500, 8: 9000} {
 		if n := refused(80, reads, prompt); n > 0 {
-			t.Errorf("%d of 80 routers refused a prompt of %.0f after %d reads, one of them slow", n, prompt, reads)
+			t.Errorf("%d of 80 routers refused a prompt of %.0f tokens after %d prefills, one of them slow", n, prompt, reads)
 		}
 		if n := refused(4, reads, prompt); n == 0 {
-			t.Error("the test's slow read is not slow enough to show anything")
+			t.Error("the slow prefill of the test is not slow enough to have an effect")
 		}
 	}
 }
 
-// The plan's parts settle how keys are shared among engines, by class; an engine without a part gets nothing of it.
+// The class weights of the fleet's plan scale the engines' key shares. An engine with weight 0 gets nothing of the
+// class.
 func TestClassWeightsScaleKeyShares(t *testing.T) {
 	set := testSettings()
 	set.Zone = -1
@@ -189,9 +191,9 @@
 		}
 	}
 	if got[1][1] != 0 || got[1][2] != 4000 {
-		t.Errorf("class 1 went to %v", got[1])
+		t.Errorf("class 1 was sent to %v", got[1])
 	}
 	if share := float64(got[0][1]) / 4000; share < 0.7 || share > 0.8 {
-		t.Errorf("class 0 went to %v: %.2f of it to the engine with 3 parts of 4", got[0], share)
+		t.Errorf("class 0 was sent to %v: %.2f of it to the engine with weight 3 of 4", got[0], share)
 	}
 }
--- a/brain/requests.go
+++ b/brain/requests.go
@@ -22,7 +22,7 @@
 	r.deadline = s.now + ev.Timeout - 2*s.set.Step
 	s.requests[ev.Request] = r
 	if k := ev.Class; k >= 0 && k < len(s.set.Admitted) && ev.Rank >= s.set.Admitted[k] {
-		s.giveUp(r, scale((1+unit(s.seed, uint64(ev.Request)))/2, s.set.MaxHoldOff), NotAdmitted) // no wave
+		s.giveUp(r, scale((1+unit(s.seed, uint64(ev.Request)))/2, s.set.MaxHoldOff), NotAdmitted) // jitter
 		return
 	}
 	s.seen++
@@ -30,13 +30,13 @@
 	s.advance(r)
 }
 
-// aim is the time within which the request's first token counts in full, and its client still waits.
+// aim is the time within which the first token counts in full and the client is expected to still wait.
 func (r *request) aim() time.Duration { return r.aimAt - r.arrived }
 
-// advance takes a request that has no attempt out one step on.
+// advance takes the next step for a request that has no attempt out.
 func (s *Scheduler) advance(r *request) {
 	pinned := r.holder != nil && s.now-r.heldSince > scale(pinShare, s.set.PinLimit)
-	if s.now >= r.deadline || !s.mayRepeat(r) || pinned { // pinned: a new read would only add to the load
+	if s.now >= r.deadline || !s.mayRepeat(r) || pinned { // pinned: a new prefill would only add to the load
 		s.giveUp(r, s.set.MaxHoldOff, Exhausted)
 	} else if r.holder != nil || r.PromptTokens < s.set.MinPrefillTokens {
 		s.write(r)
@@ -78,7 +78,7 @@
 	}
 	if r == nil || r.current == nil || ev.Attempt != r.sends-1 {
 		if ev.Result == Read {
-			s.emit(Release{Request: ev.Request}) // a read that outlived its request still holds state
+			s.emit(Release{Request: ev.Request}) // a prefill that outlived its request still holds state
 		}
 		return
 	}
@@ -89,7 +89,7 @@
 		s.close(r)
 		return
 	}
-	if ev.Result == Rejected { // neither another engine nor another try would help
+	if ev.Result == Rejected { // neither another engine nor a retry would help
 		s.emit(Fail{Request: r.Request, Reason: InvalidRequest})
 		s.close(r)
 		return
@@ -98,8 +98,8 @@
 	s.advance(r)
 }
 
-// onClientGone ends a request whose client has left. One that left early shows how long its class waits: later ones
-// are held to that, or all that is read for them is read for nobody.
+// onClientGone ends a request whose client has left. If it left early, it shows how long its class waits.
+// Later requests are held to that, or their prefills would be wasted.
 func (s *Scheduler) onClientGone(ev ClientGone) {
 	r := s.requests[ev.Request]
 	if r == nil {
@@ -128,12 +128,12 @@
 	e.coldBudget -= r.size(e)
 	timeout := time.Duration(0)
 	if !s.set.Cancelling && e.role == Reader {
-		timeout = max((r.deadline-s.now)/2, s.set.Step) // what can't be called off has to end by itself
+		timeout = max((r.deadline-s.now)/2, s.set.Step) // without cancellation it has to end by itself
 	}
 	s.emit(Send{Request: r.Request, Engine: e.ID, Timeout: timeout})
 }
 
-// settle notes what the end of an attempt proves.
+// settle records what the end of an attempt proves.
 func (s *Scheduler) settle(r *request, e *engine, ev Ended) {
 	if r.started && r.ranAt == nil { // whatever the outcome says: what has streamed has run
 		r.ranAt, r.ranSince = e, r.sentAt
@@ -163,7 +163,7 @@
 	r.heldSince = s.now
 }
 
-// mayRepeat tells whether the class allows another attempt after those that may have run.
+// mayRepeat reports whether the class allows another attempt after those that may have run.
 func (s *Scheduler) mayRepeat(r *request) bool {
 	if s.set.MaxAttempts > 0 && r.PriorAttempts+r.sends >= s.set.MaxAttempts {
 		return false
@@ -174,7 +174,7 @@
 	return r.class.Effect == Keyed && s.now < r.ranSince+r.class.RepeatWindow-2*s.set.Step
 }
 
-// inScope tells whether an engine drops repeats of what may have run.
+// inScope reports whether an engine drops repeats of what may have run.
 func (r *request) inScope(e *engine) bool {
 	if r.ranAt == nil || r.class.Effect == Safe || r.class.Scope == ScopeAll {
 		return true
@@ -182,13 +182,13 @@
 	return e.Cell == r.ranAt.Cell || (r.class.Scope == ScopeZone && e.Zone == r.ranAt.Zone)
 }
 
-// mayRefuse tells whether the client may be told that trying again is harmless.
+// mayRefuse reports whether the client may be told that a retry is harmless.
 func (r *request) mayRefuse() bool {
-	ran := r.ranAt != nil || r.current != nil // even a read proves nothing while it is out
+	ran := r.ranAt != nil || r.current != nil // even a prefill proves nothing while it is out
 	return !ran || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll)
 }
 
-// giveUp gives the final answer at once; a refusal tells when to come back.
+// giveUp sends the final answer at once. A refusal carries a hold-off.
 func (s *Scheduler) giveUp(r *request, holdOff time.Duration, reason Reason) {
 	if r.mayRefuse() {
 		s.emit(Refuse{Request: r.Request, Reason: reason, HoldOff: min(holdOff, s.set.MaxHoldOff)})
@@ -198,7 +198,7 @@
 	s.close(r)
 }
 
-// close ends a request: nothing is owed any more, and what it holds is let go of once no attempt is out.
+// close ends a request that is owed no further answer. Its state is released once no attempt is out.
 func (s *Scheduler) close(r *request) {
 	if r.done = true; r.current == nil {
 		s.forget(r)
@@ -215,8 +215,8 @@
 	delete(s.requests, r.Request)
 }
 
-// eligible lists the engines that may be sent to: ready, in scope, with room while cold, and not full a moment
-// ago (else a state bounces between full writers and spends its attempts).
+// eligible lists the engines that may be sent to: ready, in scope, within their cold budget and not full a
+// moment ago (otherwise state bounces between full writers and uses up its attempts).
 func (s *Scheduler) eligible(r *request, fits func(*engine) bool) []*engine {
 	var list []*engine
 	for _, e := range s.order {
--- a/brain/requests_test.go
+++ b/brain/requests_test.go
@@ -13,8 +13,8 @@
 		b.must(b.finals(1) == 1, "class %d: %d final answers by the deadline", class, b.finals(1))
 		b.end(1, Read, false)
 		b.advance(5 * time.Second)
-		b.must(b.finals(1) == 1, "class %d: answered twice", class)
-		b.must(has[Release](b.log), "the late read's state was not let go")
+		b.must(b.finals(1) == 1, "class %d: more than one final answer", class)
+		b.must(has[Release](b.log), "the state of the late prefill was not released")
 	}
 }
 
@@ -22,7 +22,7 @@
 	b := newBench(t, testSettings(), nil)
 	b.arrive(1, 0, 3*time.Second)
 	b.advance(3 * time.Second)
-	b.must(b.finals(1) == 1 && !has[Send](b.log), "want one answer and no send")
+	b.must(b.finals(1) == 1 && !has[Send](b.log), "want one final answer and no Send")
 }
 
 func TestNoWriterReleasesWithinPinLimit(t *testing.T) {
@@ -30,9 +30,9 @@
 	b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
 	b.advance(499 * ms)
-	b.must(has[Release](b.log), "state stayed pinned")
+	b.must(has[Release](b.log), "state was not released within the pin limit")
 	b.advance(3 * time.Second)
-	b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
+	b.must(b.finals(1) == 1, "%d final answers, want 1", b.finals(1))
 }
 
 func TestUnsafeNeverRepeatedOrRefusedOnceItMayHaveRun(t *testing.T) {
@@ -63,8 +63,8 @@
 		first := b.sentTo(1)
 		b.end(1, result, false)
 		second := b.sentTo(1)
-		b.must(second != first && (second == w1 || second == w2), "result %d: %d then %d", result, first, second)
-		b.must(!has[Release](b.log), "the state that the next writer needs was let go")
+		b.must(second != first && (second == w1 || second == w2), "result %d: sent to %d, then to %d", result, first, second)
+		b.must(!has[Release](b.log), "the state was released although the next writer needs it")
 	}
 }
 
@@ -74,7 +74,7 @@
 	b.end(1, Read, false)
 	b.end(1, Full, true)
 	again := b.sentTo(1)
-	b.must(again == r1 || again == r2, "with the state gone it went to %d", again)
+	b.must(again == r1 || again == r2, "after the loss of its state the request was sent to %d", again)
 }
 
 func TestKeyedStaysInCellAndWindow(t *testing.T) {
@@ -86,33 +86,33 @@
 	b.end(1, Errored, false)
 	second := b.sentTo(1)
 	cell := map[EngineID]int{w1: 1, 23: 1, w2: 2, 24: 2}
-	b.must(second != first && cell[first] == cell[second], "it may have run at %d and went to %d", first, second)
+	b.must(second != first && cell[first] == cell[second], "the request may have run at %d and was sent to %d", first, second)
 	b.advance(2100 * ms)
 	got := b.end(1, Errored, false)
-	b.must(!has[Send](got) && !has[Refuse](got) && b.finals(1) == 1, "past the window: %+v", got)
+	b.must(!has[Send](got) && !has[Refuse](got) && b.finals(1) == 1, "after the repeat window: %+v", got)
 }
 
 func TestClientGoneDuringPrefillAndWait(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
-	b.must(has[Cancel](b.handle(ClientGone{Request: 1})), "the read of a client that left goes on")
-	b.must(has[Release](b.end(1, Read, false)), "its state stays")
+	b.must(has[Cancel](b.handle(ClientGone{Request: 1})), "the prefill of a client that left was not cancelled")
+	b.must(has[Release](b.end(1, Read, false)), "its state was not released")
 	b.arrive(2, 0, 3*time.Second)
 	b.end(2, Read, false)
-	b.must(has[Cancel](b.handle(ClientGone{Request: 2})), "the wait of a client that left goes on")
-	b.must(has[Release](b.end(2, Cancelled, false)), "its state stays")
+	b.must(has[Cancel](b.handle(ClientGone{Request: 2})), "the waiting attempt of a client that left was not cancelled")
+	b.must(has[Release](b.end(2, Cancelled, false)), "its state was not released")
 	b.advance(5 * time.Second)
-	b.must(b.finals(1)+b.finals(2) == 0, "an answer to a client that left")
+	b.must(b.finals(1)+b.finals(2) == 0, "final answer to a client that left")
 }
 
 func TestStaleEventsAreIgnored(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	for _, ev := range []Event{ClientGone{Request: 9}, TimerFired{Key: 9}, Started{Request: 9, Engine: w1},
 		Ended{Request: 9, Engine: 99, Result: Errored}, Probed{Engine: 99}, Listed{Kind: ListFailed}} {
-		b.must(len(b.handle(ev)) == 0, "%+v was answered", ev)
+		b.must(len(b.handle(ev)) == 0, "%+v led to an action", ev)
 	}
 	got := b.handle(Ended{Request: 9, Engine: 99, Result: Read})
-	b.must(len(got) == 1 && has[Release](got), "a read of an unknown request: %+v", got)
+	b.must(len(got) == 1 && has[Release](got), "after a prefill of an unknown request: %+v", got)
 }
 
 func TestDisabledActionsAreNotTaken(t *testing.T) {
@@ -124,8 +124,8 @@
 	}
 	b.handle(ClientGone{Request: 1})
 	b.advance(5 * time.Second)
-	b.must(!has[Cancel](b.log) && !has[Probe](b.log), "a forbidden action")
-	b.must(count(b.log, func(a Refuse) bool { return a.HoldOff != 0 }) == 0, "advice where none is carried")
+	b.must(!has[Cancel](b.log) && !has[Probe](b.log), "a disabled action was taken")
+	b.must(count(b.log, func(a Refuse) bool { return a.HoldOff != 0 }) == 0, "hold-off in a refusal although it is disabled")
 }
 
 func TestEndedRequestsAreForgotten(t *testing.T) {
@@ -139,15 +139,15 @@
 		b.advance(10 * ms)
 	}
 	if n := len(b.s.requests) + len(b.s.parked); n != 0 {
-		t.Fatalf("%d requests are remembered", n)
+		t.Fatalf("%d requests are still remembered", n)
 	}
 	b.handle(Listed{Kind: ListComplete})
 	if len(b.s.engines) != 0 || len(b.s.order) != 0 {
-		t.Fatal("engines that are gone are remembered")
+		t.Fatal("removed engines are still remembered")
 	}
 }
 
-// A refusal says that nothing ran; while a read is out even that is not proven.
+// A refusal promises that nothing ran. While a prefill is out, even that is not proven.
 func TestUnsafeIsNotRefusedDuringPrefill(t *testing.T) {
 	set := testSettings()
 	set.Cancelling, set.Probing = false, false
@@ -168,43 +168,43 @@
 		}
 		refused[int(id)%2] += b.finals(id)
 	}
-	b.must(refused[0] > refused[1] && refused[0] > 0, "refused of class 0: %d, of class 1: %d", refused[0], refused[1])
+	b.must(refused[0] > refused[1] && refused[0] > 0, "refused %d of class 0 and %d of class 1", refused[0], refused[1])
 }
 
-// With nobody to send to, a request was kept for its whole deadline, which is a minute for some clients. From its
-// aim on nothing is won by waiting here: the client is told to try elsewhere.
+// Without an engine, a request was kept for its whole deadline, which is a minute for some clients. After its aim,
+// waiting at this router gains nothing: the client is refused and may try elsewhere.
 func TestRefusedAtAimWithoutEngine(t *testing.T) {
 	b := newBench(t, testSettings(), nil)
 	b.arrive(1, 1, time.Minute) // its aim is 1.5 s
 	b.advance(1400 * ms)
-	b.must(b.finals(1) == 0, "answered before its aim")
+	b.must(b.finals(1) == 0, "final answer before the aim")
 	b.advance(400 * ms)
-	b.must(count(b.log, func(a Refuse) bool { return a.Request == 1 }) == 1, "not refused soon after its aim")
+	b.must(count(b.log, func(a Refuse) bool { return a.Request == 1 }) == 1, "not refused soon after the aim")
 	b.arrive(2, 1, time.Minute)
 	b.handle(Listed{Kind: ListComplete, Engines: fleet()})
-	b.must(b.sentTo(2) != 0, "not sent once an engine is listed")
+	b.must(b.sentTo(2) != 0, "not sent after an engine was listed")
 }
 
-// A request that an engine finds at fault fails at once, at its first attempt, and says nothing on the engine.
+// A request that an engine finds invalid fails at once, at its first attempt, and is no evidence on the engine.
 func TestInvalidRequestIsNoEvidenceOnEngine(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	for id := RequestID(1); id <= 10; id++ {
 		at := b.arrive(id, int(id)%2, 3000*ms)
 		got := b.end(id, Rejected, false)
 		if count(got, func(f Fail) bool { return f.Request == id }) != 1 || count(got, func(Send) bool { return true }) != 0 {
-			t.Fatalf("at the end of a request at fault: %v", got)
+			t.Fatalf("after the end of an invalid request: %v", got)
 		}
 		if risk := b.s.risk(b.s.engines[at], 0); risk > 0 {
-			t.Fatalf("risk %.2f after a request at fault", risk)
+			t.Fatalf("risk %.2f after an invalid request", risk)
 		}
 	}
 	if len(b.s.requests) != 0 {
-		t.Errorf("%d requests are remembered", len(b.s.requests))
+		t.Errorf("%d requests are still remembered", len(b.s.requests))
 	}
 }
 
-// A client that asks for the rest of a broken answer had its first token in time. After a restart dozens of them come
-// at once to the router that is left: those turned away for the aim of a first token lost all that they had.
+// A client that asks for the rest of a broken answer had its first token in time. After a restart dozens of such
+// requests arrive at once at the remaining router. Those refused by the aim of a first token lost all that they had.
 func TestResumedRequestIsAdmittedUpToDeadline(t *testing.T) {
 	refused := func(wait float64, resumed bool) bool {
 		b := newBench(t, testSettings(), fleet())
@@ -215,12 +215,12 @@
 		return b.finals(1) == 1
 	}
 	if !refused(1, false) || refused(1, true) || !refused(3, true) {
-		t.Error("want a new request refused past its aim, the rest of an answer past its deadline only")
+		t.Error("want a new request refused above its aim, a resumed one only above its deadline")
 	}
 }
 
-// Settings retuned while requests are under way: one under way keeps its class as it came (here, a safe one is
-// still tried again), and what comes after takes the new terms (the same class now unsafe, never repeated).
+// After an update of the settings, an open request keeps its class as of its arrival (here a safe one is still
+// repeated). Later requests get the new class (now unsafe, never repeated).
 func TestUpdateSettingsKeepsClassOfOpenRequests(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
@@ -229,15 +229,15 @@
 	stricter.Classes[0].Effect = Unsafe
 	b.s.UpdateSettings(stricter)
 	got := b.end(1, Errored, false)
-	b.must(has[Send](got), "the request under way lost its class: %+v", got)
+	b.must(has[Send](got), "the open request lost its class: %+v", got)
 	b.arrive(2, 0, 3*time.Second)
 	b.end(2, Read, false)
 	got = b.end(2, Errored, false)
-	b.must(!has[Send](got) && has[Fail](got), "a new request has the old terms: %+v", got)
+	b.must(!has[Send](got) && has[Fail](got), "a new request has the old class: %+v", got)
 }
 
-// What the fleet's plan leaves no room for is turned away as it arrives, by its rank, with advice that is spread; the
-// others, and classes that the plan does not name, are taken.
+// Requests that the fleet's plan has no capacity for are refused on arrival, by their rank, with hold-offs that are
+// spread. The others, and classes that the plan does not name, are accepted.
 func TestPlanRefusesByRank(t *testing.T) {
 	set := testSettings()
 	set.Admitted = []float64{0.4, 1}
@@ -255,6 +255,6 @@
 		}
 	}
 	if len(advice) < 4 {
-		t.Errorf("six were sent away for %d times in all", len(advice))
+		t.Errorf("six refusals have only %d different hold-offs", len(advice))
 	}
 }
--- a/brain/soak_test.go
+++ b/brain/soak_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// entryCounts counts what a scheduler remembers: the most that an engine has kept for prompts, and all else.
+// entryCounts returns how much a scheduler remembers: the largest prefix cache of an engine, and all other entries.
 func (s *Scheduler) entryCounts() (kept, other int) {
 	other = len(s.requests) + len(s.parked) + len(s.tallies) + len(s.engines) + len(s.order)
 	for _, e := range s.order {
@@ -20,14 +20,14 @@
 	return kept, other
 }
 
-// Three quarters of an hour with few routers: the load goes up and down, past what the fleet can do, and every minute an
-// engine is replaced by one that was never there; one stays. What the routers remember and the memory they take don't grow; and in
-// each third of the time each class and each tenant gets its part of what can be served.
+// 45 minutes with few routers. The load goes up and down, beyond the capacity of the fleet, and every minute a new
+// engine replaces another; one stays. The remembered entries and the memory must not grow. In each third of the time
+// each class and each tenant must get its share of what can be served.
 func TestSoak(t *testing.T) {
 	const third, capacity, engines, tenants = 15 * time.Minute, 3.0, 8, 3
 	set := testSettings()
 	set.Routers, set.Kinds = 2, []Kind{{Reader, 250000}, {Writer, 150000}}
-	set.Probing = false // nothing here falls silent
+	set.Probing = false // no engine is silent here
 	var list []Engine
 	for i := range engines {
 		list = append(list, Engine{ID: EngineID(100 + i), Cell: i / 2, Kind: i % 2, Weight: 1})
@@ -72,12 +72,12 @@
 			w.after(10*time.Second, func() { replace(1 + minute%(engines-1)) })
 			w.run(time.Minute)
 		}
-		w.run(30 * time.Second) // the load has gone, and what it had open
+		w.run(30 * time.Second) // the load and its open requests have ended
 		for _, r := range w.routers {
 			k, other := r.s.entryCounts()
 			kept[n], entries[n] = max(kept[n], k), entries[n]+other
 			if open := len(r.s.requests) + len(r.s.parked) + len(r.arrived); open > 0 {
-				t.Errorf("third %d: %d requests are remembered after the load", n+1, open)
+				t.Errorf("third %d: %d requests are still remembered after the load", n+1, open)
 			}
 		}
 		runtime.GC()
@@ -87,18 +87,18 @@
 		share := possible / load
 		for k, p := range classes {
 			if got := float64(p.served) / float64(p.asked); p.asked < 100 || got < share/2 {
-				t.Errorf("third %d: class %d is served %.2f of %d, %.2f can be", n+1, k, got, p.asked, share)
+				t.Errorf("third %d: class %d: %.2f of %d requests served, %.2f possible", n+1, k, got, p.asked, share)
 			}
 		}
 		for k, p := range owners {
 			if got := float64(p.served) / float64(p.asked); p.asked < 100 || got < share/3 {
-				t.Errorf("third %d: tenant %d is served %.2f of %d, %.2f can be", n+1, k, got, p.asked, share)
+				t.Errorf("third %d: tenant %d: %.2f of %d requests served, %.2f possible", n+1, k, got, p.asked, share)
 			}
 		}
-		t.Logf("third %d: classes %v, tenants %v, %.2f can be served; at most %d beginnings of an engine and %d entries, %d kB", n+1, classes, owners, share, kept[n], entries[n], bytes[n]>>10)
+		t.Logf("third %d: classes %v, tenants %v, %.2f possible; at most %d prefixes of an engine and %d entries, %d kB", n+1, classes, owners, share, kept[n], entries[n], bytes[n]>>10)
 	}
 	if slices.Max(kept[:]) > cachedLimit+2 || entries[2] > entries[1]+entries[1]/20 {
-		t.Errorf("what is remembered grows: %v beginnings, %v entries", kept, entries)
+		t.Errorf("remembered data grows: %v prefixes, %v entries", kept, entries)
 	}
 	if bytes[2] > bytes[1]+bytes[1]/10+200<<10 {
 		t.Errorf("memory grows: %v bytes", bytes)
--- a/brain/state.go
+++ b/brain/state.go
@@ -1,4 +1,4 @@
-// This file holds what the scheduler remembers and how it is kept; what is decided stands in the other files.
+// This file holds the data of the scheduler and its upkeep. The decisions are in the other files.
 
 package brain
 
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Scheduler decides for one router. See the package comment for what it promises.
+// Scheduler decides for one router. See the package comment for its guarantees.
 type Scheduler struct {
 	set       Settings
 	seed      uint64
@@ -25,42 +25,42 @@
 	tallies   map[tallyKey]tally
 	seen      int // requests so far
 	began     time.Duration
-	waitSeen  []time.Duration // by class: how long clients have been seen to wait
+	waitSeen  []time.Duration // by class: how long clients were seen to wait
 	pools     [Mixed + 1]pool
-	probeTime time.Duration // of probes, mean
-	homeHit   float64       // share of a prompt that a home has usually kept from other routers
-	maxWorth  float64       // worth of the class that is worth most
+	probeTime time.Duration // mean time of a probe's reply
+	homeHit   float64       // share of a prompt that a home has usually cached for other routers
+	maxWorth  float64       // highest worth of a class
 }
 
-// pool is what a role's engines have in common.
+// pool holds the statistics of a role's engines.
 type pool struct {
-	time     float64           // mean seconds of a read
-	tokens   float64           // and mean tokens ahead of its end
-	reads    float64           // seen
-	pace     float64           // mean seconds for a token that were seen, waits that nobody told of among them
+	time     float64           // mean seconds of a prefill
+	tokens   float64           // mean tokens up to its end
+	reads    float64           // prefills seen
+	pace     float64           // mean observed seconds per token, with unreported waits
 	memory   float64           // mean reported share of memory
-	uncached float64           // mean tokens that a prompt leaves to be read
+	uncached float64           // mean uncached tokens of a prompt
 	backlog  float64           // mean reported tokens that wait
-	starts   map[int]startTime // of states of the writer's own cell, by cell; far: of others
+	starts   map[int]startTime // by the cell of state and writer; far: state of other cells
 	served   map[int]float64   // decayed sum of work served for us, by zone and for allZones
 	servedAt time.Duration
-	warm     map[int]float64 // engines that are ready and past their warm-up, likewise
+	warm     map[int]float64 // capacity of the ready engines past their warm-up, by the same keys
 }
 
-// startTime is what is known of the time from a send to the start of an answer: mean seconds, as of a time.
+// startTime is the known time from a send to the start of an answer: mean seconds, as of a time.
 type startTime struct {
 	mean float64
 	at   time.Duration
 }
 
-// far stands for all cells that a state may come from but the writer's own: the links between cells may be far
-// slower than those within.
+// far is the origin of state from any cell but the writer's own. Links between cells may be far slower than
+// those within.
 const far = math.MinInt
 
-// allZones stands for the zones together.
+// allZones is the key for the zones together.
 const allZones = math.MinInt
 
-// origin is where the request's state comes from as seen from an engine: the cell that they share, or far.
+// origin is where the request's state comes from relative to an engine: the cell that they share, or far.
 func (r *request) origin(e *engine) int {
 	if r.holder != nil && r.holder.Cell != e.Cell {
 		return far
@@ -75,19 +75,19 @@
 	pending      []*request // attempts not yet started, oldest first
 	streams      []*request
 	lastAlive    time.Duration
-	newestServed time.Duration // when the newest of the attempts that it has read or begun to answer was sent
+	newestServed time.Duration // when the newest attempt was sent that it has prefilled or begun to answer
 	probedAt     time.Duration
 	probing      bool
-	fullUntil    time.Duration // rests until then, having turned an attempt away
-	tier         int           // in the order of a request's readers: 0 own zone, 1 another, 2 last
+	fullUntil    time.Duration // skipped until then, after it refused an attempt
+	tier         int           // group in a request's order of readers: 0 own zone, 1 other zone, 2 last
 	coldUntil    time.Duration
-	coldBudget   float64 // of our part of its budget, not yet used
+	coldBudget   float64 // unused rest of our part of its cold budget
 	budgetAt     time.Duration
-	time         float64 // decayed sums of the reads: seconds, tokens
+	time         float64 // decayed sums over prefills: seconds, tokens
 	tokens       float64
 	pacedAt      time.Duration
 	share        float64            // weight in the rendezvous hash
-	cached       map[uint64]float64 // tokens of beginnings read here
+	cached       map[uint64]float64 // tokens of the prefixes prefilled here
 	load         Load
 	loadAt       time.Duration
 }
@@ -100,24 +100,24 @@
 	aimAt     time.Duration
 	deadline  time.Duration
 	sends     int
-	current   *engine // of the attempt that is out; nil: none
-	whole     bool    // the attempt reads and answers
+	current   *engine // engine of the attempt that is out; nil: none
+	whole     bool    // the attempt prefills and decodes
 	sentAt    time.Duration
-	work      float64 // prompt tokens that the attempt is thought to read
-	ahead     float64 // backlog that it found
+	work      float64 // prompt tokens that the attempt is expected to prefill
+	ahead     float64 // backlog that it found at the engine
 	lease     time.Duration
-	cancelled bool // the attempt was cancelled
+	cancelled bool // its cancellation was requested
 	started   bool
 	done      bool    // the final answer is given, or none is owed
 	home      *engine // the first of its readers in hash order
 	holder    *engine // the reader that holds the state; nil: none
 	heldSince time.Duration
-	avoid     *engine // of the last failure
+	avoid     *engine // engine of the last failure
 	ranAt     *engine // the first engine at which it may have run
 	ranSince  time.Duration
 }
 
-// onListed brings the list up to date.
+// onListed updates the list of engines.
 func (s *Scheduler) onListed(ev Listed) {
 	if ev.Kind == ListFailed {
 		s.askedAt = s.now
@@ -150,7 +150,7 @@
 	s.retryParked()
 }
 
-// dropIfGone drops an engine that is gone and has none of our attempts out.
+// dropIfGone forgets an engine that was removed and has none of our attempts out.
 func (s *Scheduler) dropIfGone(e *engine) bool {
 	if e.Availability != Removed || len(e.pending)+len(e.streams) > 0 {
 		return false
@@ -187,13 +187,13 @@
 	}
 }
 
-// reset forgets what an earlier process had kept and said.
+// reset forgets what an earlier process had cached and reported.
 func (e *engine) reset() {
 	clear(e.cached)
 	e.time, e.tokens, e.load, e.loadAt, e.newestServed = 0, 0, Load{}, 0, 0
 }
 
-// size is the engine's size against its peers', where the list tells it.
+// size is the engine's size relative to its peers, where the list has it.
 func (e *engine) size() float64 {
 	if e.Weight > 0 && !math.IsInf(e.Weight, 0) {
 		return e.Weight
@@ -201,7 +201,8 @@
 	return 1
 }
 
-// classShare is the engine's weight in the rendezvous hash for a class: what the fleet's plan leaves it of its share.
+// classShare is the engine's weight in the rendezvous hash for a class: its share, scaled by the fleet's
+// plan.
 func (e *engine) classShare(class int) float64 {
 	if class < 0 || class >= len(e.ClassWeights) {
 		return e.share
@@ -220,7 +221,7 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// remember remembers what the engine has read.
+// remember records what the engine has prefilled.
 func (e *engine) remember(r *request) {
 	if len(e.cached) > cachedLimit {
 		clear(e.cached)
@@ -250,20 +251,20 @@
 		{byEngine, uint64(e.ID), class}}
 }
 
-// decay is how much of something is left after a time.
+// decay is the remaining weight of something after a time.
 func decay(age, memory time.Duration) float64 {
 	return math.Exp(-max(age, 0).Seconds() / memory.Seconds())
 }
 
 func scale(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
 
-// remove ends the attempt's lease: it started or it is over.
+// remove ends the attempt's lease: the answer started or the attempt is over.
 func (e *engine) remove(r *request) {
 	is := func(o *request) bool { return o == r }
 	e.pending, e.streams = slices.DeleteFunc(e.pending, is), slices.DeleteFunc(e.streams, is)
 }
 
-// cachedTokens is how much of the prompt we know the engine to have read before.
+// cachedTokens is how much of the prompt the engine is known to have prefilled before.
 func (e *engine) cachedTokens(r *request) float64 {
 	kept := 0.0
 	if r.Prefix != 0 {
@@ -275,7 +276,7 @@
 	return kept
 }
 
-// holdsPrefix is 1 where the engine is thought to keep the request's beginning besides.
+// holdsPrefix is 1 if the engine is expected to cache the request's prefix as well.
 func (r *request) holdsPrefix(e *engine) int { return toInt(slices.Contains(r.Homes, e.ID)) }
 
 func toInt(yes bool) int {
--- a/brain/town_test.go
+++ b/brain/town_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// simFleet is a fleet in virtual time: routers that share nothing, each with a Scheduler of its own, and engines with one
-// queue each. Equal seeds give equal days.
+// simFleet simulates a fleet in virtual time: routers that share nothing, each with its own Scheduler, and engines
+// with one queue each. Equal seeds give equal runs.
 type simFleet struct {
 	set         Settings
 	random      *rand.Rand
@@ -15,19 +15,19 @@
 	queue       eventQueue
 	seq         int
 	routers     []*simRouter
-	trafficSums []float64 // of the routers: running sum of their parts of the traffic
+	trafficSums []float64 // running sum of the routers' shares of the traffic
 	engines     map[EngineID]*simEngine
 	ids         RequestID
 	noReports   bool // engines report nothing of their load
-	// done is told how each request ended.
+	// done is called with the outcome of each request.
 	done func(a Arrived, end string)
 }
 
-// simEngine works off what it is sent, one after the other.
+// simEngine processes what it is sent in order.
 type simEngine struct {
 	Engine
 	role     Role
-	capacity float64 // requests of mean work a second, warm
+	capacity float64 // requests of mean work per second when warm
 	freeAt   time.Duration
 	streams  int
 	received []simSend
@@ -54,7 +54,7 @@
 const (
 	meanPrompt, maxAnswer = 2000.0, 300.0
 	streamTime            = 2 * time.Second
-	simQueueLimit         = 2 * time.Second // longer waits are turned away
+	simQueueLimit         = 2 * time.Second // requests with a longer wait are refused
 )
 
 type queuedEvent struct {
@@ -77,7 +77,7 @@
 	return last
 }
 
-// newSimFleet has the settings' number of routers, and engines that have been up for long.
+// newSimFleet has the number of routers in the settings, and engines that started long ago.
 func newSimFleet(set Settings, seed uint64, engines []Engine, capacity float64) *simFleet {
 	w := &simFleet{set: set, random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, engines: map[EngineID]*simEngine{}, done: func(Arrived, string) {}}
 	for _, e := range engines {
@@ -98,7 +98,7 @@
 	w.engines[e.ID] = &simEngine{Engine: e, role: w.set.Kinds[e.Kind].Role, capacity: capacity}
 }
 
-// restart gives the router a new process, which knows the list and nothing else.
+// restart gives the router a new process that knows only the list.
 func (r *simRouter) restart() {
 	r.generation++
 	r.s, r.attempts, r.arrived = New(r.set, r.random.Uint64()), map[RequestID][]*simAttempt{}, map[RequestID]Arrived{}
@@ -114,7 +114,7 @@
 	heap.Push(&w.queue, queuedEvent{w.now + d, w.seq, do})
 }
 
-// run lets time go by.
+// run advances the time and runs the due events.
 func (w *simFleet) run(length time.Duration) {
 	end := w.now + length
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -125,14 +125,14 @@
 	w.now = end
 }
 
-// list tells every router of changes, each a little later than the others.
+// list sends changes to every router, with a random delay for each.
 func (w *simFleet) list(changed ...Engine) {
 	for _, r := range w.routers {
 		w.after(time.Duration(w.random.IntN(800))*time.Millisecond, func() { r.handle(Listed{Kind: ListDelta, Engines: changed}) })
 	}
 }
 
-// load has so many requests a second arrive for so long; each is described by draw.
+// load adds arrivals at the rate for the length of time. draw completes each request.
 func (w *simFleet) load(rate float64, length time.Duration, draw func(*Arrived)) {
 	for t := time.Duration(0); ; {
 		if t += time.Duration(w.random.ExpFloat64() / rate * float64(time.Second)); t > length {
@@ -196,7 +196,7 @@
 	}
 }
 
-// open tells whether the end of an attempt has not been told.
+// open reports whether the end of an attempt is still to be reported.
 func (r *simRouter) open(id RequestID, attempt int) bool {
 	list := r.attempts[id]
 	return attempt < len(list) && !list[attempt].over
@@ -219,7 +219,7 @@
 	}
 }
 
-// warm is the least that the settings let an engine do, by its age.
+// warm is the least share of its capacity that the settings give an engine of its age.
 func (w *simFleet) warm(e *simEngine, at time.Duration) float64 {
 	age := at - e.StartedAt
 	if e.StartedAt == 0 || age >= w.set.WarmAfter {
--- a/brain/warming_test.go
+++ b/brain/warming_test.go
@@ -18,12 +18,12 @@
 		sends[b.sentTo(id)]++
 		b.advance(20 * ms)
 	}
-	// A warm peer stands for the capacity: over a window a cold engine gets 2.5 x 0.25 of what the peer gets.
+	// The warm peer shows the capacity: within a window a cold engine gets 2.5 x 0.25 of what the peer gets.
 	b.must(sends[w2] > 0 && float64(sends[w2]) <= 0.7*float64(sends[w1]), "cold %d, warm %d", sends[w2], sends[w1])
 }
 
-// A part of the cold budget below one request must not be rounded up to one for each router: with 100 requests
-// a second and 20 writers a warm one gets 5 a second, so 2.5 x 0.25 of that is the most for a cold one.
+// A share of the cold budget below one request must not be rounded up to one for each router. With 100 requests a
+// second and 20 writers a warm one gets 5 a second, so a cold one gets at most 2.5 x 0.25 of that.
 func TestColdBudgetHoldsOverAllRouters(t *testing.T) {
 	engines := largeFleet()
 	cold := engines[1]
@@ -39,12 +39,12 @@
 		t.Errorf("a cold writer was sent %d requests by all routers, its budget is %.0f", sends, most)
 	}
 	if sends == 0 {
-		t.Error("a cold writer is closed for good")
+		t.Error("a cold writer gets no requests at all")
 	}
 }
 
-// A router that starts into a fleet all cold but for a reader that fails has been served by nobody: it must not go on
-// asking that one alone. Seen after a restart in the middle of a release: five attempts in a row at the same reader.
+// A router that starts in a fleet whose only warm reader fails has no observed rate. It must not use that reader
+// alone. After a restart in the middle of a release, five attempts in a row went to the same reader.
 func TestColdFleetIsUsedAfterOurStart(t *testing.T) {
 	engines := fleet()
 	engines[1].StartedAt = 500 * ms
@@ -62,12 +62,12 @@
 		b.advance(400 * ms)
 	}
 	if served < 8 {
-		t.Errorf("%d of 12 requests were read where only the cold reader reads", served)
+		t.Errorf("only %d of 12 requests were prefilled by the cold reader, the only one that works", served)
 	}
 }
 
-// A cold engine's budget grows as it warms up: where a whole fleet was replaced, one held to its first second's until
-// its last left the requests waiting at the few warm ones.
+// A cold engine's budget grows as it warms up. When a whole fleet was replaced and each engine kept the budget of its
+// first second until the end, requests waited at the few warm ones.
 func TestColdBudgetGrows(t *testing.T) {
 	sent := func(age time.Duration) (n int) {
 		b := newBench(t, testSettings(), fleet())
@@ -88,13 +88,13 @@
 		return n
 	}
 	if young, old := sent(0), sent(10*time.Second); young == 0 || old < 2*young {
-		t.Errorf("%d requests in 2 s after its start, %d after 10 s", young, old)
+		t.Errorf("%d requests in 2 s right after the start, %d in 2 s after 10 s", young, old)
 	}
 }
 
-// Requests stay in a router's own zone, so a starting reader's part of the budget is counted by what warm peers of that
-// zone serve. Counted over all zones' warm readers, which served nothing for these routers, four in five of
-// join+vast's new readers stood idle beside crowded ones. The budget of all routers together still holds.
+// Requests stay in a router's own zone, so a starting reader's share of the budget is based on what warm peers of
+// that zone serve. Based on the warm readers of all zones, which served nothing for these routers, it left four in
+// five of join+vast's new readers idle beside crowded ones. The budget over all routers still holds.
 func TestColdBudgetIsCountedByZone(t *testing.T) {
 	var engines []Engine
 	for i := range 24 { // two warm readers in the routers' own zone, ten in each of two others
@@ -114,16 +114,16 @@
 	}
 	peer := float64(toWarm) / 2
 	if float64(toCold) < peer/8 {
-		t.Errorf("a starting reader got %d reads, a warm one of its zone %.0f", toCold, peer)
+		t.Errorf("a starting reader got %d prefills, a warm one of its zone %.0f", toCold, peer)
 	}
 	if most := 2.5 * (0.25 + 0.75*length.Seconds()/14/2) * peer; float64(toCold) > most {
-		t.Errorf("a starting reader got %d reads, its budget is %.0f", toCold, most)
+		t.Errorf("a starting reader got %d prefills, its budget is %.0f", toCold, most)
 	}
 }
 
-// When a zone comes back all cold, its routers must not read all of their prompts there while the other zones have
-// room: on zone+vast the cold readers took 31 reads in 2 s with a p50 of 2.5 s, the warm ones 33 with one of 0.08 s. The
-// routers agree on what goes elsewhere, and it comes back as the zone warms up.
+// When a zone returns all cold, its routers must not prefill all of their prompts there while other zones have
+// capacity. On zone+vast the cold readers served 31 prefills in 2 s with a p50 of 2.5 s, the warm ones 33 with a p50
+// of 0.08 s. The routers agree on which prompts go elsewhere, and these return as the zone warms up.
 func TestColdZoneSendsPrefillsElsewhere(t *testing.T) {
 	var engines []Engine
 	for i := range 12 {
@@ -149,12 +149,12 @@
 	}
 	sends, agreed := own(time.Second)
 	if sends == 0 || sends > 24 {
-		t.Errorf("%d of 40 prompts are read in a zone that is a quarter warm", sends)
+		t.Errorf("%d of 40 prompts were prefilled in a zone that is a quarter warm", sends)
 	}
 	if agreed != 20 {
-		t.Errorf("routers agree on the reader of %d in 20 beginnings", agreed)
+		t.Errorf("routers agree on the reader of %d in 20 prefixes", agreed)
 	}
 	if sends, _ := own(15 * time.Second); sends != 40 {
-		t.Errorf("%d of 40 prompts are read in a zone that is warm again", sends)
+		t.Errorf("%d of 40 prompts were prefilled in a zone that is warm again", sends)
 	}
 }
--- a/brain/writers.go
+++ b/brain/writers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// write sends the waiting state's request, or a short prompt's, to the writer with the lowest projected
-// memory; near equals rank by the reader's cell, then its zone, then by a draw. The first at ease is taken.
+// write sends a request with waiting state, or a short prompt, to the writer with the lowest projected
+// memory. Near equals rank by the reader's cell, its zone and a draw. The first with memory free is taken.
 func (s *Scheduler) write(r *request) {
 	list := s.eligible(r, func(e *engine) bool { return e.role == Writer })
 	if len(list) == 0 {
@@ -19,10 +19,10 @@
 		return
 	}
 	distance := func(e *engine) int {
-		from := cmp.Or(r.holder, e) // a prompt that the writer reads itself comes from nowhere
+		from := cmp.Or(r.holder, e) // a prompt that the writer prefills itself has no source
 		return 3*toInt(e == r.avoid) + toInt(e.Cell != from.Cell) + toInt(e.Zone != from.Zone)
 	}
-	// a beginning that a writer reads itself is kept there: it has one home, the same for all routers
+	// a prefix that a writer prefills itself stays there: it has one home, the same for all routers
 	key := cmp.Or(r.Prefix*uint64(toInt(r.holder == nil)), s.seed^uint64(r.Request))
 	draw := func(e *engine) float64 { return unit(key, uint64(e.ID)) }
 	slices.SortStableFunc(list, func(a, b *engine) int {
@@ -32,11 +32,11 @@
 	bestRank := math.Inf(1)
 	for _, e := range list {
 		rank := s.projectedMemory(e) + nearBand*float64(distance(e)) + r.cost*s.risk(e, r.Class)
-		if r.origin(e) == far { // a slow link holds the state, and the reader's memory, for extra
+		if r.origin(e) == far { // a slow link holds the state, and the reader's memory, for longer
 			extra := (s.startWait(Writer, far) - s.startWait(Writer, r.holder.Cell)) / r.aim().Seconds()
 			rank += min(farCost*max(extra-farShare, 0), 1)
 		}
-		if len(e.pending) > 0 { // what waits shows a full memory, also where others filled it and no report tells
+		if len(e.pending) > 0 { // a wait shows full memory, also where others filled it and no report says so
 			extra := max((s.now-e.pending[0].sentAt).Seconds()-s.startWait(Writer, e.pending[0].origin(e)), 0)
 			rank += min(waitCost*extra/r.aim().Seconds(), 1)
 		}
@@ -51,7 +51,7 @@
 	s.send(r, best)
 }
 
-// footprint is the memory, in tokens, that the request is thought to take at the end of its answer.
+// footprint is the memory, in tokens, that the request is expected to take at the end of its answer.
 func (r *request) footprint() float64 {
 	if r.HintTokens > 0 {
 		return r.PromptTokens + min(r.HintTokens, r.MaxTokens)
@@ -59,8 +59,8 @@
 	return r.PromptTokens + r.MaxTokens/2
 }
 
-// projectedMemory is the share of its memory that the engine will hold: its last report, which fades into the
-// pool's mean (the unheard count as average), what waits there, and what we have sent too late to be in it.
+// projectedMemory is the share of its memory that the engine will hold: its last report, which decays to the
+// pool's mean (also used without a report), what waits there, and what we sent too late to be in it.
 func (s *Scheduler) projectedMemory(e *engine) float64 {
 	memory := s.pools[e.role].memory
 	if e.load.Known && e.load.MemoryShare >= 0 {
@@ -81,16 +81,16 @@
 	return min(leaseMax, scale(leaseShare, timeout))
 }
 
-// requestLease is a request's lease: no shorter than the signs of life take that renew it, however little its
-// client waits, or a slow engine's work would be called off and begun anew all over.
+// requestLease is no shorter than the signs of life that renew it take, however short the client's timeout.
+// Otherwise a slow engine's work would be cancelled and started again over and over.
 func (s *Scheduler) requestLease(r *request) time.Duration {
 	return max(s.leaseFor(r.Timeout), s.tick*leaseChecks)
 }
 
-// heartbeat is a sign of life: it renews all leases at the engine, and never shortens one. An attempt whose wait
-// the engine's own report does not explain is not renewed: it was lost, though the engine lives.
+// heartbeat renews all leases at an engine that showed life, and never shortens one. It skips an attempt
+// whose wait the engine's own report does not explain: that was lost, though the engine lives.
 func (s *Scheduler) heartbeat(e *engine) {
-	if s.now-e.lastAlive > leaseMax && s.risk(e, anyClass) > 0.5 { // long enough away to have restarted
+	if s.now-e.lastAlive > leaseMax && s.risk(e, anyClass) > 0.5 { // it may have restarted
 		s.startWarmup(e, s.now)
 	}
 	e.lastAlive = s.now
@@ -101,8 +101,8 @@
 	}
 }
 
-// overdue tells whether an attempt is out for much longer than the engine's report explains, or than what was
-// sent there later took: one that serves others shows life all the time, whatever a connection has lost.
+// overdue reports whether an attempt takes much longer than the engine's report explains, or than later ones
+// took. An engine that serves others shows life all the time, whatever a connection has lost.
 func (s *Scheduler) overdue(e *engine, r *request) bool {
 	expected := s.startWait(Writer, r.origin(e))
 	if e.role != Writer {
@@ -133,7 +133,7 @@
 	}
 }
 
-// cancel cancels the attempt that is out; its end decides what comes next.
+// cancel cancels the attempt that is out. The attempt's end decides what comes next.
 func (s *Scheduler) cancel(r *request) {
 	if s.set.Cancelling && !r.cancelled && !r.started {
 		r.cancelled = true
--- a/brain/writers_test.go
+++ b/brain/writers_test.go
@@ -9,10 +9,10 @@
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 1, 6*time.Second)
 	b.advanceSilent(2*time.Second, reader)
-	b.must(has[Cancel](b.log), "nothing was called off")
+	b.must(has[Cancel](b.log), "no attempt was cancelled")
 	b.end(1, Cancelled, false)
-	b.must(b.sentTo(1) != reader, "read again at the silent reader")
-	b.must(b.arrive(2, 0, 3*time.Second) != reader, "a silent reader was sent more")
+	b.must(b.sentTo(1) != reader, "prefilled again at the silent reader")
+	b.must(b.arrive(2, 0, 3*time.Second) != reader, "another request was sent to the silent reader")
 }
 
 func TestLeaseLapseAtSilentWriter(t *testing.T) {
@@ -38,13 +38,13 @@
 		b.end(id, Read, false)
 	}
 	b.advance(1200 * ms)
-	b.start(4) // three wait on; this start renews them
+	b.start(4) // three still wait; this start renews their leases
 	b.advance(700 * ms)
 	b.must(!has[Cancel](b.log), "a renewed lease lapsed")
 	b.advance(1500 * ms)
 	n := count(b.log, func(a Cancel) bool { return a.Request <= 3 })
-	b.must(n == 3, "%d of 3 leases lapsed once the signs of life stopped", n)
-	b.must(count(b.log, func(a Cancel) bool { return a.Request == 4 }) == 0, "a started stream was called off")
+	b.must(n == 3, "%d of 3 leases lapsed after the signs of life stopped", n)
+	b.must(count(b.log, func(a Cancel) bool { return a.Request == 4 }) == 0, "a started stream was cancelled")
 }
 
 func TestLeaseIsNeverShortened(t *testing.T) {
@@ -55,23 +55,23 @@
 		b.arrive(id, 1, 6*time.Second)
 		b.end(id, Read, false)
 	}
-	b.start(2) // now plus two thirds lies before the end of a lease just granted
+	b.start(2) // now plus two thirds of a lease is before the end of a lease just granted
 	b.advance(1450 * ms)
 	b.must(!has[Cancel](b.log), "a sign of life shortened a lease")
 }
 
-// Full writers are not tried again and again within a moment.
+// A full writer is not tried again within a moment.
 func TestStateDoesNotBounceBetweenFullWriters(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
 	b.end(1, Read, false)
 	b.end(1, Full, false)
-	b.must(!has[Send](b.end(1, Full, false)), "sent to a writer that was full a moment ago")
+	b.must(!has[Send](b.end(1, Full, false)), "state sent to a writer that was full a moment ago")
 	b.must(has[Send](b.advance(400*ms)), "not tried again within the pin limit")
 }
 
-// An engine that serves other classes and leaves one unanswered shows life all the time; its report of nothing
-// waiting proves the read lost, long before its lease could lapse.
+// An engine that serves other classes and leaves one attempt unanswered shows life all the time. Its report that
+// nothing waits proves the prefill lost, long before the lease could lapse.
 func TestLostPrefillIsCancelledOnIdleReport(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.load = map[EngineID]Load{}
@@ -80,10 +80,10 @@
 	}
 	reader := b.arrive(1, 1, 6*time.Second)
 	b.advance(700 * ms)
-	b.must(has[Cancel](b.log), "a read that the idle reader lost is waited for")
+	b.must(has[Cancel](b.log), "a prefill that the idle reader lost was not cancelled")
 	b.end(1, Cancelled, false)
-	b.must(b.sentTo(1) != reader, "read again at the engine that lost it")
-	b.must(b.finals(1) == 0, "given up with time left")
+	b.must(b.sentTo(1) != reader, "prefilled again at the engine that lost it")
+	b.must(b.finals(1) == 0, "final answer with time left")
 }
 
 // Routers with equal reports must not all choose the same writer.
@@ -110,8 +110,8 @@
 	}
 }
 
-// A router sees its own streams only: a writer that other routers have filled looks free to it, but what it sent
-// there does not start. Such a writer must not go on drawing the states of its cell.
+// A router sees only its own streams. A writer that other routers have filled seems free to it, but the attempts it
+// sent there do not start. Such a writer must not keep getting the states of its cell.
 func TestWaitAtAWriterShowsItFull(t *testing.T) {
 	set := testSettings()
 	for _, waits := range []bool{false, true} {
@@ -123,20 +123,20 @@
 			b.start(1)
 		}
 		b.advance(1200 * ms)
-		for id := RequestID(2); ; id++ { // one that is read at the same reader
+		for id := RequestID(2); ; id++ { // one that is prefilled at the same reader
 			if b.arrive(id, 1, 9*time.Second) != first && id < 20 {
 				continue
 			}
 			b.end(id, Read, false)
-			b.must((b.sentTo(id) == near) == !waits, "waits: %v, first at %d, then at %d", waits, near, b.sentTo(id))
+			b.must((b.sentTo(id) == near) == !waits, "waits: %v, first sent to %d, then to %d", waits, near, b.sentTo(id))
 			break
 		}
 	}
 }
 
-// Slow links between cells are no reason to turn requests away, nor to send more states over them: starts at writers
-// are learnt apart for states of their own cell and of others. Seen on a day with slow links: starts of 30 ms in the
-// cell and of 1 to 2 s from others made one mean, by which a quarter of the requests was refused.
+// Slow links between cells are no reason to refuse requests or to send more state across them, so start times at
+// writers are learned separately for state of their own cell and of others. On a day with slow links, starts of 30 ms
+// within the cell and of 1 to 2 s from others gave one mean, by which a quarter of the requests was refused.
 func TestSlowLinksBetweenCells(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	served, away := 0, 0
@@ -151,40 +151,40 @@
 			b.handle(Started{Request: id, Attempt: 1, Engine: b.sentTo(id), Took: took})
 			served++
 		}
-		if id > 15 { // so many stream at once that the writers of other cells look emptier
+		if id > 15 { // so many streams at once that the writers of other cells look emptier
 			b.end(id-15, Served, false)
 		}
 		b.advance(30 * ms)
 	}
-	if served < 60 || away == 0 || away > 6 { // away 10 where the rank does not see the link
+	if served < 60 || away == 0 || away > 6 { // away is 10 if the rank ignores the link
 		t.Errorf("%d of 60 served, %d of them over the slow link", served, away)
 	}
 }
 
-// Where clients wait for a second a quarter of that was the lease, over before any sign of life could renew it: slow
-// reads were called off and begun anew until the time was up, and filings called off at their writer failed.
+// For clients that wait one second, the lease was a quarter of that and lapsed before any sign of life could renew
+// it. Slow prefills were cancelled and restarted until the time was up, and filings cancelled at their writer failed.
 func TestShortTimeoutLeaseIsRenewed(t *testing.T) {
 	for _, class := range []int{0, 1} {
 		b := newBench(t, testSettings(), fleet())
 		b.arrive(1, class, 900*ms)
-		b.advance(400 * ms) // a slow read, of an engine that answers probes
+		b.advance(400 * ms) // a slow prefill at an engine that answers probes
 		b.end(1, Read, false)
 		b.advance(400 * ms)
 		b.start(1)
 		if n := count[Send](b.log, func(Send) bool { return true }); n != 2 || count[Cancel](b.log, func(Cancel) bool { return true }) != 0 {
-			t.Errorf("class %d: %d attempts in %v, want one read and one write", class, n, b.log)
+			t.Errorf("class %d: %d attempts in %v, want one prefill and one decode", class, n, b.log)
 		}
 	}
 }
 
-// A connection that falls silent shows nothing, and the engine's other answers are signs of life: reads waited so for
-// the whole patience of their clients. What was sent well after them and has been served tells that they are lost; a
-// filing at a writer may still start and is left alone.
+// A connection that falls silent shows nothing, while the engine's other answers are signs of life, so prefills
+// waited for their clients' whole timeout. If attempts sent much later have been served, the earlier ones are lost. A
+// filing at a writer may still start and is not cancelled.
 func TestOvertakenAttemptIsLost(t *testing.T) {
 	for _, c := range []struct {
 		class    int
 		at       EngineID
-		answered bool // what is sent later
+		answered bool // the later attempts are answered
 		lost     bool
 	}{{0, r1, true, true}, {1, r1, true, true}, {0, w1, true, true}, {1, w1, true, false}, {0, r1, false, false}, {0, w1, false, false}} {
 		b := newBench(t, testSettings(), []Engine{fleet()[0], fleet()[2]})
@@ -204,7 +204,7 @@
 		}
 		lost := count[Cancel](b.log, func(a Cancel) bool { return a.Request == 1 }) > 0
 		if lost != c.lost {
-			t.Errorf("%+v: called off: %v", c, lost)
+			t.Errorf("%+v: cancelled: %v", c, lost)
 		}
 	}
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -9,21 +9,21 @@
 	"sumacloft/internal/wire"
 )
 
-// host holds the instances of this process. They share nothing but the reply that they are written to.
+// host holds the instances of this process. They share only the reply that they write to.
 type host struct {
 	instances map[uint32]*instance
 	reply     wire.Reply
 }
 
-// instance is one router's scheduler and what is needed to translate for it.
+// instance is one router's scheduler and the data to translate its events.
 type instance struct {
 	scheduler  *brain.Scheduler
 	fields     []field
-	tokenAimMs []float64 // by class: turns the wire's estimate into tokens
+	tokenAimMs []float64 // by class: converts the wire's estimate to tokens
 	actions    []brain.Action
 }
 
-// batch hands the events to their instances and collects the reply.
+// batch passes the events to their instances and collects the reply.
 func (h *host) batch(b wire.Batch) error {
 	h.reply.Reset()
 	at, selected := uint32(0), false
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts scheduler instances on the simulator's wire: batches on standard input, one reply for
-// each on standard output.
+// Command simhost runs scheduler instances for the simulator. It reads batches of events from standard input
+// and writes one reply for each to standard output.
 package main
 
 import (
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// The wire's marks of a request reach the module.
+// The flags of a request on the wire reach the scheduler.
 func TestArrivalFlags(t *testing.T) {
 	in := &instance{tokenAimMs: []float64{50}}
 	for flags, want := range map[uint16]brain.Arrived{
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -6,10 +6,10 @@
 	"sumacloft/internal/wire"
 )
 
-// field puts one value of a report where the scheduler looks for it.
+// field stores one value of a report in a load.
 type field func(*brain.Load, float64)
 
-// reportFields names the values that the scheduler knows; x1 comes in thousands of tokens.
+// reportFields maps the names of reported values that the scheduler uses; x1 is in thousands of tokens.
 var reportFields = map[string]field{
 	"backlog": func(l *brain.Load, v float64) { l.Queue = v },
 	"x0":      func(l *brain.Load, v float64) { l.MemoryShare = v },
@@ -34,10 +34,10 @@
 	}
 )
 
-// The bits of an Accept's bitmap: its estimate is valid; its client came again after a break.
+// The bits of an Accept's bitmap: its estimate is valid; its client returned after a broken answer.
 const flagHint, flagResumed = 1, 16
 
-// translate returns nil for what the scheduler has no use for.
+// translate returns nil for events that the scheduler does not use.
 func (in *instance) translate(ev *wire.Event) brain.Event {
 	call, engine := brain.RequestID(ev.Call), brain.EngineID(ev.Engine)
 	switch ev.Code {
@@ -96,7 +96,7 @@
 	return l
 }
 
-// tokenAim is the class's aim for the time between tokens, 0 where there is none.
+// tokenAim is the class's target for the time between tokens, in ms; 0 if there is none.
 func (in *instance) tokenAim(class int) float64 {
 	if class < len(in.tokenAimMs) {
 		return in.tokenAimMs[class]
--- a/internal/core/aside.go
+++ b/internal/core/aside.go
@@ -6,8 +6,9 @@
 	"sumacloft/brain"
 )
 
-// CallReady makes a call to a worker that is no request's: it goes to a worker that is ready only, which is looked at again as it is
-// written, and the module knows nothing of it. do is given what to ask just before it writes, as a Job is.
+// CallReady makes a call to a worker outside of any request. The worker must be ready, which is checked again just
+// before the write. The scheduler does not see the call. do gets the check that it must make just before it writes,
+// as a Job does.
 func (c *Core) CallReady(ctx context.Context, id brain.EngineID, do func(ctx context.Context, w Worker, clear func() error) error) error {
 	c.mu.Lock()
 	w, last := c.workers[id], c.refusing
@@ -28,7 +29,7 @@
 	})
 }
 
-// OpenAttempts is how many requests are out at each worker that has any, by its name.
+// OpenAttempts returns, by worker name, how many attempts are out at each worker that has any.
 func (c *Core) OpenAttempts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -11,34 +11,34 @@
 // Stage is how far an attempt came.
 type Stage uint8
 
-// The stages of an attempt, in their order. Before Written the worker can't have the whole request, so it has
-// never run; from Written on it may have, whatever else is known.
+// The stages of an attempt, in order. Before Written the worker can't have the whole request, so it has never
+// run. From Written on it may have run, whatever else is known.
 const (
 	NotConnected Stage = iota
 	PartlyWritten
-	Written   // to the last byte
-	Head      // of the answer has come
-	Streaming // events have been passed on
+	Written   // the request, to its last byte
+	Head      // the head of the answer has come
+	Streaming // events have been forwarded
 )
 
 func (s Stage) String() string {
 	return [...]string{"not connected", "partly written", "written", "head", "streaming"}[s]
 }
 
-// Verdict is a worker's own word on a request that it did not serve.
+// Verdict is a worker's own statement on a request that it did not serve.
 type Verdict uint8
 
 // The verdicts.
 const (
-	NoVerdict    Verdict = iota // the attempt broke, or the answer says nothing certain
-	NotStarted                  // and never started
+	NoVerdict    Verdict = iota // the attempt broke, or the answer proves nothing
+	NotStarted                  // refused before it started
 	StateGone                   // never started: there was no state to fetch
-	Faulted                     // an error; it may have run
-	Rejected                    // the request itself is at fault, whichever worker gets it
-	NetworkFault                // none of the worker's, as far as can be told: the answer or the connection was spoilt
+	Faulted                     // failed; it may have run
+	Rejected                    // invalid request, for any worker
+	NetworkFault                // apparently not of the worker: the answer or the connection was corrupted
 )
 
-// AttemptError is how an attempt failed. It is a value to be judged, not only to be shown.
+// AttemptError is how an attempt failed. Its fields are evaluated, not only printed.
 type AttemptError struct {
 	Stage   Stage
 	Verdict Verdict
@@ -47,20 +47,20 @@
 
 func (e *AttemptError) Error() string { return fmt.Sprintf("attempt failed (%v): %v", e.Stage, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Why an attempt was given up by this router.
+// Reasons why this router ended an attempt.
 var (
-	ErrCancelled = errors.New("called off")
-	ErrNotReady  = errors.New("the worker drains or is gone")
-	ErrExpired   = errors.New("time is up")
-	ErrNoSocket  = errors.New("no socket is left")
-	// ErrSendingForbidden says that this router may send nothing at all now; the request ends with it.
-	ErrSendingForbidden = errors.New("this router may send nothing now")
+	ErrCancelled = errors.New("attempt cancelled by this router")
+	ErrNotReady  = errors.New("worker is draining or removed")
+	ErrExpired   = errors.New("time limit reached")
+	ErrNoSocket  = errors.New("no socket available")
+	// ErrSendingForbidden means that this router may send nothing at all now. The request ends with it.
+	ErrSendingForbidden = errors.New("this router must not send requests now")
 )
 
-// Withdrawn tells whether an attempt was given up by this router: that is no word on the worker.
+// Withdrawn reports whether this router ended the attempt. That is no evidence on the worker.
 func Withdrawn(err error) bool {
 	for _, cause := range [...]error{ErrNoSocket, ErrCancelled, ErrNotReady, ErrSendingForbidden, context.Canceled} {
 		if errors.Is(err, cause) {
@@ -70,8 +70,8 @@
 	return false
 }
 
-// result is the one place where the fate of an attempt becomes the module's word for it. What is unclear is
-// taken as maybe run.
+// result is the one place that maps the error of an attempt to a scheduler result. Unclear cases count as
+// possibly run.
 func result(err error) (r brain.Result, noState bool) {
 	var e *AttemptError
 	if !errors.As(err, &e) {
@@ -89,7 +89,7 @@
 	case e.Verdict == Rejected:
 		return brain.Rejected, false
 	case e.Stage < Written && withdrawn:
-		return brain.NotSent, false // our doing: no word on the worker
+		return brain.NotSent, false // by this router: no evidence on the worker
 	case e.Stage < Written:
 		return brain.ConnectFailed, false
 	case withdrawn:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core carries requests through the decision module: it knows requests, attempts and outcomes, and no
-// wire. It owns the module's Scheduler behind one lock, the clock, the timers, and a mailbox for each request,
-// into which the module's actions go; nothing waits or does I/O under the lock.
+// Package core carries requests through the scheduler of package brain. It knows requests, attempts and outcomes, but
+// no wire format. It owns the Scheduler behind one lock, the clock, the timers and an inbox for each request that
+// receives the scheduler's actions. Nothing blocks or does I/O under the lock.
 package core
 
 import (
@@ -19,54 +19,54 @@
 type Worker struct {
 	brain.Engine
 	Name, Addr string
-	Role       string // as the list words it
-	Label      string // of the program's version, where the list tells
+	Role       string // as spelled in the list
+	Label      string // program version, where the list has it
 }
 
-// Stream is the answer of a worker that has begun.
+// Stream is an answer that a worker has begun.
 type Stream interface {
-	// Next gives the next bytes as they came. io.EOF, and nothing else, says that the answer is whole.
+	// Next returns the next bytes as they came. Only io.EOF means that the answer is complete.
 	Next() ([]byte, error)
-	// Close gives the answer up, or does nothing after its end. It may be called while Next waits.
+	// Close abandons the answer. After its end it does nothing. It may be called while Next blocks.
 	Close()
 }
 
-// Reply is what a worker answered: a Stream, or the word that the prompt has been read.
+// Reply is what a worker answered: a Stream, or the confirmation that the prompt is prefilled.
 type Reply struct {
 	Stream       Stream
-	CachedTokens float64 // prompt tokens that the reader found kept; where Stream is nil
+	CachedTokens float64 // prompt tokens that the reader found cached, if Stream is nil
 }
 
-// Job is one request as its front took it: what the module must know, and how it is sent to a worker.
+// Job is one request as its front end accepted it: what the scheduler must know, and how it is sent to a worker.
 type Job interface {
-	// Arrival describes the request under the id that the core has minted for it.
+	// Arrival describes the request under the ID that the core has assigned to it.
 	Arrival(id brain.RequestID) brain.Arrived
-	// Try sends the request to a worker. Just before it writes anything it asks clear, also after a slow dial,
-	// and ends with that error if there is one. Every error is an *AttemptError.
+	// Try sends the request to a worker. Just before it writes anything it calls clear, also after a slow dial, and
+	// ends with its error if there is one. Every error is an *AttemptError.
 	Try(ctx context.Context, w Worker, clear func() error) (Reply, error)
-	// Release lets go, at whatever worker, of all that is held for the request.
+	// Release frees all that is held for the request, at any worker.
 	Release(ctx context.Context, w Worker) error
-	// Done is told last: the request has its answer, no attempt is out and no release under way.
+	// Done is called last: the request has its answer, and no attempt or release is under way.
 	Done()
 }
 
-// Client is the receiving end of one request. It gets exactly one of Refuse, Fail, Finish and Break, unless it
-// has left.
+// Client is the receiving end of one request. It gets exactly one of Refuse, Fail, Finish and Break, unless it has
+// left.
 type Client interface {
-	Refuse(holdOff time.Duration) // trying again is harmless
-	Fail()                        // nothing is promised: it may have run
+	Refuse(holdOff time.Duration) // a retry is harmless
+	Fail()                        // no promise: the request may have run
 	Pass(events []byte) error
-	Finish() // the stream was whole
-	Break()  // it was not: the client must be able to tell
+	Finish() // the stream was complete
+	Break()  // it was not; the client must be able to tell
 }
 
-// Opener is a Client that is shown the answer that it will get before its first Pass.
+// Opener is a Client that gets the stream of its answer before its first Pass.
 type Opener interface{ Open(Stream) }
 
-// Prober tests a worker as the module asks.
+// Prober tests a worker as the scheduler requests.
 type Prober interface {
 	Probe(ctx context.Context, w Worker) error
-	// Forget lets go of what is kept for a worker to which nothing new goes.
+	// Forget frees what is kept for a worker that gets no new requests.
 	Forget(w Worker)
 }
 
@@ -75,7 +75,7 @@
 	log    logrus.FieldLogger
 	prober Prober
 	start  time.Time
-	unix   time.Duration // of zero
+	unix   time.Duration // Unix time of start
 
 	mu           sync.Mutex
 	sched        *brain.Scheduler
@@ -84,43 +84,43 @@
 	requests     map[brain.RequestID]*request
 	lastID       brain.RequestID
 	timers       timerHeap
-	timerChanged chan struct{} // the first timer has changed
-	lastEvent    time.Duration // when the module was last told anything
-	paused       time.Duration // for how long in all this process was not running
-	refusing     bool          // nothing new is taken any more
+	timerChanged chan struct{} // signals that the first timer has changed
+	lastEvent    time.Duration // time of the last event
+	paused       time.Duration // total time in which this process was not running
+	refusing     bool          // no new request is accepted
 
 	decisions Decisions
 }
 
-// New makes a core. The seed settles the module's draws.
+// New returns a core. The seed breaks the scheduler's ties.
 func New(set brain.Settings, seed uint64, prober Prober, log logrus.FieldLogger) *Core {
 	now := time.Now()
 	return &Core{log: log, prober: prober, start: now, unix: time.Duration(now.UnixNano()),
 		sched: brain.New(set, seed), workers: map[brain.EngineID]*Worker{},
 		requests:     map[brain.RequestID]*request{},
 		decisions:    Decisions{Refused: map[brain.Reason]uint64{}, Failed: map[brain.Reason]uint64{}},
-		lastID:       brain.RequestID(now.UnixMicro()), // ids of an earlier start do not come again
+		lastID:       brain.RequestID(now.UnixMicro()), // IDs of an earlier start are not reused
 		timerChanged: make(chan struct{}, 1)}
 }
 
-// UpdateSettings has the module take new settings for requests that come from now on.
+// UpdateSettings applies new scheduler settings to requests that arrive from now on.
 func (c *Core) UpdateSettings(set brain.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sched.UpdateSettings(set)
 }
 
-// now is the time by the monotonic clock, counted like Unix time so that discovery's times compare with it.
+// now is the time by the monotonic clock, as Unix time, so that times from discovery compare with it.
 func (c *Core) now() time.Duration { return c.unix + time.Since(c.start) }
 
-// Listed brings news of the workers.
+// Listed updates the list of workers.
 func (c *Core) Listed(kind brain.ListKind, list []Worker) {
 	for _, w := range c.updateWorkers(kind, list) {
 		c.prober.Forget(w)
 	}
 }
 
-// updateWorkers takes the news and gives the workers that get nothing new by it.
+// updateWorkers updates the list and returns the workers that get no new requests from now on.
 func (c *Core) updateWorkers(kind brain.ListKind, list []Worker) (retired []Worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,12 +145,12 @@
 	return retired
 }
 
-// handle hands one event to the module and carries out what comes back. The lock is held. A panic of the
-// module ends there: what it should have decided is left to the deadline of the request.
+// handle passes one event to the scheduler and carries out the returned actions. The lock is held. A panic of the
+// scheduler ends here: its missing decision is left to the deadline of the request.
 func (c *Core) handle(ev brain.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.log.WithField("event", ev).Errorf("the module panicked: %v\n%s", p, debug.Stack())
+			c.log.WithField("event", ev).Errorf("the scheduler panicked: %v\n%s", p, debug.Stack())
 		}
 	}()
 	now := c.now()
@@ -161,11 +161,11 @@
 	}
 }
 
-// minPause is the time without an event from which the process counts as not having run: the module's own timer
-// comes several times as often.
+// minPause is the time without an event from which the process counts as paused. The scheduler's own timer fires
+// several times as often.
 const minPause = time.Second
 
-// notePause notes at an event whether the process was paused before it. The lock is held.
+// notePause detects at an event whether the process was paused before it. The lock is held.
 func (c *Core) notePause(now time.Duration) {
 	if gap := now - c.lastEvent; c.lastEvent > 0 && gap > minPause {
 		c.paused += gap
@@ -174,8 +174,9 @@
 	c.lastEvent = now
 }
 
-// took is how long a worker took for what was sent: a pause of ours is not its time. Were it taken for that, the
-// module would turn all away for what the worker is thought to take, and send nothing that could disprove it.
+// took is how long a worker took since the send, without pauses of this process. Counted as the worker's time, a
+// pause would make the scheduler refuse every request for its projected wait, and send nothing that could disprove
+// it.
 func (c *Core) took(sent time.Time, pausedThen time.Duration) time.Duration {
 	c.notePause(c.now())
 	return max(time.Since(sent)-(c.paused-pausedThen), 0)
@@ -226,14 +227,14 @@
 	}
 }
 
-// deliver is handle for those who do not hold the lock.
+// deliver is handle for callers that do not hold the lock.
 func (c *Core) deliver(ev brain.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handle(ev)
 }
 
-// Run fires the module's timers until ctx ends.
+// Run fires the scheduler's timers until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -248,32 +249,33 @@
 	}
 }
 
-// idlePoll is how often Settle looks.
+// idlePoll is how often WaitIdle checks.
 const idlePoll = 5 * time.Millisecond
 
-// WaitIdle waits until nothing is out for any request, no attempt and no release of what is held, or until ctx ends. A
-// process that ended before would leave its states pinned: the client has its answer sooner than its state is let go.
+// WaitIdle waits until no attempt and no release of any request is out, or until ctx ends. A client has its answer
+// before its state is released, so a process that ended earlier would leave state pinned.
 func (c *Core) WaitIdle(ctx context.Context) {
 	every := time.NewTicker(idlePoll)
 	defer every.Stop()
 	for c.Open() > 0 {
 		select {
 		case <-ctx.Done():
-			c.log.WithField("requests", c.Open()).Warn("ending with work still out")
+			c.log.WithField("requests", c.Open()).Warn("shutting down with requests still open")
 			return
 		case <-every.C:
 		}
 	}
 }
 
-// Open is how many requests there are, ended ones among them whose attempts are still out.
+// Open returns the number of requests, including ended ones with attempts still out.
 func (c *Core) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.requests)
 }
 
-// TrackOpen has the requests that are open by now counted until they have ended: those that come later are not.
+// TrackOpen returns a function that counts how many of the now open requests have not ended. Later requests are not
+// counted.
 func (c *Core) TrackOpen() (remaining func() int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,7 +292,7 @@
 	}
 }
 
-// fire fires what is due and tells how long to wait for the next.
+// fire fires the due timers and returns the time until the next one.
 func (c *Core) fire() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -303,7 +305,7 @@
 	return time.Hour
 }
 
-// probeTimeout is how long a probe is waited for.
+// probeTimeout is the time limit of a probe.
 const probeTimeout = 250 * time.Millisecond
 
 func (c *Core) probe(w Worker) {
@@ -318,17 +320,17 @@
 	c.deliver(out)
 }
 
-// Timers of one time fire in the order in which they were set only by chance; the module does not depend on it.
+// Timers of equal time fire in no particular order. The scheduler does not depend on one.
 type timerHeap []brain.SetTimer
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].At < h[j].At }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds a timer; it serves container/heap.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(brain.SetTimer)) }
 
-// Pop removes the last; it serves container/heap.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 	"sumacloft/internal/standin"
 )
 
-// fake is a job and its client in one; what its workers do is scripted by worker name.
+// fake is a job and its client in one. Its workers' behaviour is scripted by worker name.
 type fake struct {
 	mu        sync.Mutex
 	left      time.Duration
@@ -71,7 +71,7 @@
 func (f *fake) Probe(context.Context, Worker) error { return nil }
 func (f *fake) Forget(w Worker)                     { f.record(&f.forgotten, "%s", w.Name) }
 
-// stub is a stream of prepared pieces; its end is err.
+// stub is a stream of prepared pieces that ends with err.
 type stub struct {
 	pieces []string
 	err    error
@@ -94,7 +94,7 @@
 	limit        = 300 * time.Millisecond
 )
 
-// startCore starts a core with workers named r1, r2, w1, w2 by role; names says which.
+// startCore starts a core with the named workers; the first letter of a name is the role (r or w).
 func startCore(t *testing.T, names ...string) (*Core, []Worker) {
 	class := brain.Class{Aim: time.Second, Deadline: time.Second, Worth: 1}
 	set := brain.Settings{Classes: []brain.Class{class, class}, Cancelling: true, Step: 4 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxAttempts: 6,
@@ -114,7 +114,7 @@
 
 func broken(stage Stage) error { return &AttemptError{Stage: stage, Err: errors.New("broke")} }
 
-// answersByRole reads at readers, and streams at writers what answer gives.
+// answersByRole prefills at readers and returns the result of answer at writers.
 func answersByRole(answer func(w Worker) (Reply, error)) func(context.Context, Worker, func() error) (Reply, error) {
 	return func(_ context.Context, w Worker, _ func() error) (Reply, error) {
 		if w.Name[0] == 'r' {
@@ -124,8 +124,8 @@
 	}
 }
 
-// How far an attempt came decides whether it may have run; a filing that may have is never sent again and never
-// refused, whatever else is said.
+// The stage of an attempt decides whether it may have run. A filing that may have run is never sent again and never
+// refused, whatever else is known.
 func TestOneAnswer(t *testing.T) {
 	deadline := func(err error) func(context.Context, Worker, func() error) (Reply, error) {
 		return func(ctx context.Context, w Worker, _ func() error) (Reply, error) {
@@ -147,15 +147,15 @@
 		class   int
 		try     func(context.Context, Worker, func() error) (Reply, error)
 		answers string
-		writes  int // most sends to writers
+		writes  int // maximum number of sends to writers
 	}{
 		"served":                    {"r1 w1", unsafe, streams(io.EOF), "a b finished", 1},
 		"stream breaks":             {"r1 w1 w2", safe, streams(broken(Streaming)), "a b broke", 1},
-		"nobody there":              {"", unsafe, nil, "refused", 0},
+		"no worker up":              {"", unsafe, nil, "refused", 0},
 		"filing never ran":          {"r1 w1", unsafe, fails(broken(PartlyWritten)), "refused", 6},
 		"filing may have run":       {"r1 w1 w2", unsafe, fails(broken(Written)), "failed", 1},
 		"query may have run":        {"r1 w1 w2", safe, fails(broken(Written)), "refused", 6},
-		"filing turned away":        {"r1 w1", unsafe, fails(&AttemptError{Stage: Head, Verdict: NotStarted, Err: io.EOF}), "refused", 6},
+		"filing not started":        {"r1 w1", unsafe, fails(&AttemptError{Stage: Head, Verdict: NotStarted, Err: io.EOF}), "refused", 6},
 		"filing, silent writer":     {"r1 w1", unsafe, deadline(nil), "failed", 1},
 		"query, silent writer":      {"r1 w1", safe, deadline(nil), "refused", 6},
 		"a panic may have run":      {"r1 w1", unsafe, answersByRole(func(Worker) (Reply, error) { panic("x") }), "failed", 1},
@@ -178,19 +178,19 @@
 			if n := strings.Count(f.joined(&f.calls), "w"); n > c.writes {
 				t.Errorf("%d sends to writers", n)
 			}
-			standin.Eventually(t, time.Second, "nothing is remembered of the request", func() bool {
+			standin.Eventually(t, time.Second, "the request is forgotten", func() bool {
 				core.mu.Lock()
 				defer core.mu.Unlock()
 				return len(core.requests) == 0
 			})
-			if got := f.joined(&f.dones); got != "over" { // or its id and the memory of its body are never given back
-				t.Errorf("over told: %q", got)
+			if got := f.joined(&f.dones); got != "over" { // or its ID and the memory of its body are never freed
+				t.Errorf("Done calls: %q", got)
 			}
 		})
 	}
 }
 
-// The list may change while a connection comes up: at the moment of writing the worker must still be ready.
+// The list may change while a connection comes up. The worker must still be ready at the time of the write.
 func TestNoWriteToDrainedWorker(t *testing.T) {
 	c, list := startCore(t, "r1", "w1", "w2")
 	f := &fake{left: limit}
@@ -210,11 +210,11 @@
 	}
 	c.Do(context.Background(), f, f)
 	if got := f.joined(&f.answers); !strings.HasSuffix(got, " finished") || strings.HasPrefix(got, drained) {
-		t.Errorf("answers %q, %s had been drained", got, drained)
+		t.Errorf("answers %q, but %s was draining", got, drained)
 	}
 }
 
-// A state that nobody will take must be let go at some worker, though others do not hear; also when the client
+// State that is no longer needed must be released at some worker even if others do not respond, also when the client
 // leaves while the attempt is out.
 func TestRelease(t *testing.T) {
 	c, _ := startCore(t, "r1", "w1")
@@ -232,13 +232,13 @@
 	ctx, leave := context.WithCancel(context.Background())
 	go func() { <-waiting; leave() }()
 	c.Do(ctx, left, left)
-	standin.Eventually(t, time.Second, "what a client left behind is released", func() bool { return left.joined(&left.released) != "" })
+	standin.Eventually(t, time.Second, "the state of a client that left is released", func() bool { return left.joined(&left.released) != "" })
 	if got := left.joined(&left.answers); got != "" {
-		t.Errorf("a client that has left was answered %q", got)
+		t.Errorf("a client that had left was answered %q", got)
 	}
 }
 
-// An answer that begins after the request was decided goes nowhere: nobody gets two answers.
+// An answer that begins after the request was decided is dropped: no client gets two answers.
 func TestLateAnswerIsDropped(t *testing.T) {
 	c, _ := startCore(t, "r1", "w1")
 	f, late := &fake{left: limit, class: unsafe}, &stub{pieces: []string{"late"}, err: io.EOF}
@@ -253,7 +253,7 @@
 	}
 	c.Do(context.Background(), f, f)
 	<-ended
-	standin.Eventually(t, time.Second, "the late answer is given up", func() bool {
+	standin.Eventually(t, time.Second, "the late answer is closed and the request forgotten", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.requests) == 0 && late.closed
@@ -263,7 +263,7 @@
 	}
 }
 
-// What is kept for a worker goes with it: its connections would else pile up where workers are replaced all day.
+// What is kept for a worker is dropped with it. Otherwise connections pile up where workers are replaced all day.
 func TestWorkersForgotten(t *testing.T) {
 	c, list := startCore(t, "r1", "w1", "w2", "w3")
 	prober := c.prober.(*fake)
@@ -273,11 +273,11 @@
 	c.Listed(brain.ListDelta, []Worker{removed})
 	c.Listed(brain.ListComplete, list[:1])
 	if got := prober.joined(&prober.forgotten); got != "w1 w2 w3" || len(c.workers) != 1 {
-		t.Errorf("forgotten %q, %d known", got, len(c.workers))
+		t.Errorf("forgotten %q, %d workers known", got, len(c.workers))
 	}
 }
 
-// Should the module panic, the request still gets its answer in time; it was never sent on.
+// If the scheduler panics, the request still gets its answer in time. It was never sent, so it is refused.
 func TestSchedulerPanics(t *testing.T) {
 	c, _ := startCore(t, "r1", "w1")
 	c.sched = nil
@@ -288,8 +288,8 @@
 	}
 }
 
-// A router that drains answers a client before what is held for the request is let go; it must not end in between. A
-// release that no worker takes does not keep it for ever.
+// A draining router answers a client before the request's state is released, and must not end in between. A release
+// that no worker takes does not keep the router running for ever.
 func TestWaitIdleWaitsForReleases(t *testing.T) {
 	for taken, wait := range map[bool]time.Duration{true: 5 * time.Second, false: 50 * time.Millisecond} {
 		c, _ := startCore(t, "r1", "w1")
@@ -311,7 +311,7 @@
 		})
 		c.Do(context.Background(), f, f)
 		if got := f.joined(&f.answers); got != "failed" || f.joined(&f.released) != "" {
-			t.Fatalf("answered %q, released at %q: the release must still be out", got, f.joined(&f.released))
+			t.Fatalf("answered %q, released at %q, want an open release", got, f.joined(&f.released))
 		}
 		if taken {
 			time.AfterFunc(60*time.Millisecond, func() { close(may) })
@@ -319,10 +319,10 @@
 		ctx, stop := context.WithTimeout(context.Background(), wait)
 		c.WaitIdle(ctx)
 		if ended := ctx.Err() != nil; ended == taken {
-			t.Errorf("taken %v: settled by its limit %v", taken, ended)
+			t.Errorf("taken %v: ran into its time limit %v", taken, ended)
 		}
 		if got := f.joined(&f.released); (got != "") != taken {
-			t.Errorf("taken %v: released at %q when settled", taken, got)
+			t.Errorf("taken %v: released at %q afterwards", taken, got)
 		}
 		stop()
 		if !taken {
@@ -331,8 +331,8 @@
 	}
 }
 
-// A process that was paused does not take its own pause for its workers' slowness: the answers that came meanwhile were
-// there at once, and whoever comes after is served. Without that all were turned away, for ever.
+// A paused process must not count its own pause as its workers' time. The answers that came meanwhile were there at
+// once, and later requests are served. Otherwise all later requests were refused for ever.
 func TestProcessPauseIsNotWorkerTime(t *testing.T) {
 	class := brain.Class{Aim: 500 * time.Millisecond, Deadline: 20 * time.Second, Worth: 1}
 	set := brain.Settings{Classes: []brain.Class{class}, Cancelling: true, Step: time.Millisecond, MaxAttempts: 3,
@@ -364,7 +364,7 @@
 		}
 		return sent == 12
 	})
-	c.mu.Lock() // nothing of the core runs
+	c.mu.Lock() // blocks the core
 	close(answered)
 	time.Sleep(4 * time.Second)
 	c.mu.Unlock()
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -6,23 +6,23 @@
 	"sumacloft/brain"
 )
 
-// reasonUndecided is of requests that end without a decision of the module.
+// reasonUndecided is the reason of requests that end without a decision of the scheduler.
 const reasonUndecided brain.Reason = "the router ended it: a fault, its last call, or no further attempt was allowed"
 
-// Decisions counts the final answers that were no success, by reason, as clients get them.
+// Decisions counts the unsuccessful final answers by reason, as clients get them.
 type Decisions struct {
-	Refused map[brain.Reason]uint64 // trying again is harmless
-	Failed  map[brain.Reason]uint64 // nothing is promised
+	Refused map[brain.Reason]uint64 // a retry is harmless
+	Failed  map[brain.Reason]uint64 // no promise: the request may have run
 }
 
-// Decisions are the counts since the core was made.
+// Decisions returns the counts since the core was created.
 func (c *Core) Decisions() Decisions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Decisions{Refused: maps.Clone(c.decisions.Refused), Failed: maps.Clone(c.decisions.Failed)}
 }
 
-// count notes a final answer. The core's lock is held.
+// count adds a final answer. The core's lock is held.
 func (d *Decisions) count(answer brain.Action) {
 	switch a := answer.(type) {
 	case brain.Refuse:
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -6,8 +6,8 @@
 	"sumacloft/brain"
 )
 
-// Final answers are counted as the client gets them, once each, whoever ends the request: one that the module fails but that was
-// never sent on is refused.
+// Final answers are counted as the client gets them, once each, whoever ends the request. A request that the
+// scheduler fails but that was never sent is refused.
 func TestFinalAnswersAreCountedAsClientsGetThem(t *testing.T) {
 	decisions := &Decisions{Refused: map[brain.Reason]uint64{}, Failed: map[brain.Reason]uint64{}}
 	request := func(cleared bool) *request {
@@ -20,7 +20,7 @@
 	request(false).fail(brain.Exhausted)
 	sent := request(true)
 	sent.fail(brain.InvalidRequest)
-	sent.fail(reasonUndecided) // it has its answer
+	sent.fail(reasonUndecided) // no effect: it has its answer
 	refused := request(true)
 	refused.end(brain.Refuse{Reason: brain.WaitTooLong})
 	refused.end(brain.Refuse{Reason: brain.WaitTooLong})
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -2,8 +2,8 @@
 
 import "sumacloft/brain"
 
-// PendingTokens is how many prompt tokens wait for this router's attempts at each engine of a role, as the list words it;
-// engines with none are left out.
+// PendingTokens returns how many prompt tokens of this router's attempts wait at each engine of a role, as spelled in
+// the list. Engines with none are left out.
 func (c *Core) PendingTokens(role string) map[brain.EngineID]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -19,14 +19,14 @@
 	return waiting
 }
 
-// Candidates are the engines that a job's prompt would first be considered for, most of them at most.
+// Candidates returns the engines that a job's prompt would be considered for first, up to limit.
 func (c *Core) Candidates(job Job, limit int) []brain.EngineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sched.Candidates(job.Arrival(0), limit)
 }
 
-// Reported tells the module what prompt tokens wait at engines for all routers together.
+// Reported passes the prompt tokens that wait at engines for all routers together to the scheduler.
 func (c *Core) Reported(waiting map[brain.EngineID]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// releaseTryTimeout is how long one worker is given to take a release, releaseLimit how long it is tried at all:
-	// what is held must be let go within 500 ms, and while connections fail to come up that time runs on.
+	// releaseTryTimeout is the time limit of a release at one worker, releaseTimeout that of all tries. State must be
+	// released within 500 ms, but while connections fail to come up the tries go on for longer.
 	releaseTryTimeout = 120 * time.Millisecond
 	releaseTimeout    = 5 * time.Second
 	releaseRetryDelay = 5 * time.Millisecond
-	// releaseHedgeDelay is after how long the next worker is asked beside one that has not answered. Where a zone is cut off most
-	// of those asked may be silent, and one after the other they would use up all the time that there is.
+	// releaseHedgeDelay is when the next worker is asked in parallel to one that has not answered. If a zone is cut
+	// off, most of the workers may be silent, and asking them in sequence would take all of the time.
 	releaseHedgeDelay = 30 * time.Millisecond
 )
 
-// release lets go of what is held for a job: any worker may be told, so it asks one after the other until one
-// has taken it, not waiting long for any.
+// release frees what is held for a job. Any worker can take the release, so it asks one after the other until one has
+// taken it, without waiting long for any.
 func (c *Core) release(job Job) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
-	defer cancel() // also calls off the others that were asked
+	defer cancel() // also cancels the other releases under way
 	taken := make(chan error)
 	ask := func(w Worker) {
 		began := time.Now()
@@ -28,9 +28,9 @@
 		defer done()
 		err := job.Release(try, w)
 		if err != nil && ctx.Err() == nil {
-			c.log.WithField("worker", w.Name).WithError(err).Debug("release not taken")
+			c.log.WithField("worker", w.Name).WithError(err).Debug("release failed at a worker")
 		}
-		if err != nil && time.Since(began) >= releaseHedgeDelay { // the next one was asked meanwhile
+		if err != nil && time.Since(began) >= releaseHedgeDelay { // the next worker was asked meanwhile
 			return
 		}
 		select {
@@ -40,7 +40,7 @@
 	}
 	next := time.NewTimer(0)
 	defer next.Stop()
-	wait := func(limit time.Duration) (done bool) { // until one has answered
+	wait := func(limit time.Duration) (done bool) { // until a worker has answered
 		next.Reset(limit)
 		select {
 		case <-ctx.Done():
@@ -62,5 +62,5 @@
 			return
 		}
 	}
-	c.log.Warn("a release found no worker")
+	c.log.Warn("release failed: no worker took it in time")
 }
--- a/internal/core/release_test.go
+++ b/internal/core/release_test.go
@@ -12,7 +12,7 @@
 	"sumacloft/internal/standin"
 )
 
-// mostlySilentJob is a job whose releases only one worker answers: the others are behind a cut.
+// mostlySilentJob is a job whose releases only one worker answers. The others are cut off.
 type mostlySilentJob struct {
 	*fake
 	answering brain.EngineID
@@ -20,7 +20,7 @@
 	most      atomic.Int64
 }
 
-// Release serves Job.
+// Release implements Job.
 func (f *mostlySilentJob) Release(ctx context.Context, w Worker) error {
 	f.most.Store(max(f.most.Load(), f.asked.Add(1)))
 	defer f.asked.Add(-1)
@@ -32,8 +32,8 @@
 	return ctx.Err()
 }
 
-// With all but one of nine workers cut off, what is held is let go within 500 ms, whichever is asked first, and no more
-// than a few are asked at once. (One after the other, each given 120 ms, took up to 960 ms.)
+// With all but one of nine workers cut off, state is released within 500 ms, whichever is asked first, and only a few
+// workers are asked at once. Asking in sequence, with 120 ms for each, took up to 960 ms.
 func TestReleasePastSilentWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(brain.Settings{}, 1, &fake{}, standin.Log())
@@ -49,13 +49,14 @@
 			}
 			synctest.Wait()
 			if n := job.most.Load(); n > 5 {
-				t.Fatalf("%d workers were asked at once", n)
+				t.Fatalf("%d workers were asked at once, want at most 5", n)
 			}
 		}
 	})
 }
 
-// A call aside goes to a worker that is ready only, which is looked at again as it is written; what is out at workers is told.
+// CallReady calls only a ready worker, and checks that again just before the write. OpenAttempts counts attempts by
+// worker.
 func TestCallReady(t *testing.T) {
 	c, list := startCore(t, "r1", "w1")
 	ctx := t.Context()
@@ -63,23 +64,23 @@
 	call := func(_ context.Context, w Worker, clear func() error) error {
 		asked++
 		if w.Name != "r1" {
-			t.Errorf("asked of %s", w.Name)
+			t.Errorf("called at %s", w.Name)
 		}
 		return clear()
 	}
 	if err := c.CallReady(ctx, list[0].ID, call); err != nil || asked != 1 {
-		t.Errorf("a worker that is ready: %v, asked %d times", err, asked)
+		t.Errorf("ready worker: error %v, called %d times", err, asked)
 	}
 	drains := list[0]
 	drains.Availability = brain.Draining
 	if err := c.CallReady(ctx, list[0].ID, func(ctx context.Context, w Worker, clear func() error) error {
-		c.Listed(brain.ListDelta, []Worker{drains}) // while it is dialled
+		c.Listed(brain.ListDelta, []Worker{drains}) // during the dial
 		return call(ctx, w, clear)
 	}); !errors.Is(err, ErrNotReady) {
-		t.Errorf("one that drains meanwhile: %v", err)
+		t.Errorf("worker that drains during the dial: error %v", err)
 	}
 	if err := c.CallReady(ctx, list[0].ID, call); !errors.Is(err, ErrNotReady) || asked != 2 {
-		t.Errorf("one that drains: %v, asked %d times", err, asked)
+		t.Errorf("draining worker: error %v, called %d times", err, asked)
 	}
 	hold := make(chan struct{})
 	job := &fake{left: 2 * time.Second, try: func(context.Context, Worker, func() error) (Reply, error) {
@@ -89,13 +90,13 @@
 	c.Listed(brain.ListDelta, list[:1])
 	done := make(chan struct{})
 	go func() { defer close(done); c.Do(ctx, job, job) }()
-	standin.Eventually(t, time.Second, "one is out", func() bool { return c.OpenAttempts()["r1"] == 1 })
+	standin.Eventually(t, time.Second, "one attempt is out", func() bool { return c.OpenAttempts()["r1"] == 1 })
 	close(hold)
 	<-done
-	standin.Eventually(t, time.Second, "none is out", func() bool { return len(c.OpenAttempts()) == 0 })
+	standin.Eventually(t, time.Second, "no attempt is out", func() bool { return len(c.OpenAttempts()) == 0 })
 }
 
-// What is let out is empty once what it had has ended, whoever still comes.
+// TrackOpen counts down to 0 once the requests open at its call have ended, whatever arrives later.
 func TestTrackOpen(t *testing.T) {
 	c, _ := startCore(t, "r1", "w1")
 	ask := func() (end func()) {
@@ -106,22 +107,22 @@
 		}}
 		open := c.Open()
 		go func() { defer close(done); c.Do(context.Background(), job, job) }()
-		standin.Eventually(t, time.Second, "it is taken", func() bool { return c.Open() == open+1 })
+		standin.Eventually(t, time.Second, "the request is open", func() bool { return c.Open() == open+1 })
 		return func() { close(hold); <-done }
 	}
 	if left := c.TrackOpen(); left() != 0 {
-		t.Error("one that has nothing is not empty")
+		t.Error("requests counted though none is open")
 	}
 	before := ask()
 	left := c.TrackOpen()
 	after := ask()
 	if left() != 1 {
-		t.Errorf("%d left", left())
+		t.Errorf("%d requests counted, want 1", left())
 	}
 	before()
-	standin.Eventually(t, time.Second, "what it had has ended", func() bool { return left() == 0 })
+	standin.Eventually(t, time.Second, "the tracked request has ended", func() bool { return left() == 0 })
 	if c.Open() != 1 {
-		t.Errorf("%d open", c.Open())
+		t.Errorf("%d requests open, want 1", c.Open())
 	}
 	after()
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -17,43 +17,43 @@
 	id       brain.RequestID
 	job      Job
 	deadline time.Time
-	inbox    []any // *attempt to start, *begun, brain.Refuse or brain.Fail, in order
+	inbox    []any // *attempt to start, *startedAttempt, brain.Refuse or brain.Fail, in order
 	wake     chan struct{}
 	attempts []*attempt
-	out      int // attempts whose end the module has not been told, and releases under way
+	out      int // attempts whose end was not reported to the scheduler, and releases under way
 	decided  bool
-	detached bool // its task has ended: nothing reads the mail
+	detached bool // its task has ended: nothing reads the inbox
 
 	decisions *Decisions // of the core
 }
 
-// attempt is one sending of a request to a worker.
+// attempt is one send of a request to a worker.
 type attempt struct {
 	number    int
 	worker    Worker
 	sent      time.Time
-	paused    time.Duration // of the core, when it was sent
+	paused    time.Duration // the core's total pause when it was sent
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
-	cancelled bool // called off, or never to be started
-	cleared   bool // to be written: from here on the worker may have it
+	cancelled bool // cancelled, or never to be started
+	cleared   bool // may be written: from here on the worker may have it
 	started   bool
 }
 
-// startedAttempt is an attempt whose answer has startedAttempt.
+// startedAttempt is an attempt whose answer has begun.
 type startedAttempt struct {
 	*attempt
 	stream Stream
 }
 
-// Do is the life of one request, from its arrival to its final answer: it waits for what the module decides and
-// does it. ctx ends when the client has left.
+// Do serves one request from its arrival to its final answer: it carries out what the scheduler decides. ctx ends
+// when the client has left.
 func (c *Core) Do(ctx context.Context, job Job, client Client) {
 	r := c.arrive(job)
 	defer c.detach(r)
 	for {
 		switch m := c.next(ctx, r).(type) {
-		case *attempt: // the module has chosen a worker; what comes of it is told by the attempt itself
+		case *attempt: // the scheduler has chosen a worker; the attempt itself reports its end
 			go c.try(r, m)
 		case *startedAttempt: // from here on the request belongs to this attempt
 			c.relay(ctx, r, m, client)
@@ -86,12 +86,12 @@
 	return r
 }
 
-// overdueAfter the deadline a request fails that the module has not decided: a little later than the module's own
-// timer, which may be late on a busy core, and well within the time in which an answer still counts.
+// overdueAfter is how long after its deadline an undecided request fails. It is a little later than the scheduler's
+// own timer, which may be late on a busy core, and well within the time in which an answer still counts.
 const overdueAfter = 25 * time.Millisecond
 
-// next waits for the next piece of mail; nil says that the client has left. Should the module not have decided
-// by the deadline, which only a fault of its own can cause, the request fails here: an answer is owed.
+// next waits for the next inbox entry. It returns nil if the client has left. If the scheduler has not decided by the
+// deadline, which only a fault of its own can cause, the request fails here, since an answer is owed.
 func (c *Core) next(ctx context.Context, r *request) any {
 	overdue := time.NewTimer(time.Until(r.deadline) + overdueAfter)
 	defer overdue.Stop()
@@ -118,25 +118,25 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !r.decided {
-		c.log.WithField("request", r.id).Error("the module did not decide in time")
+		c.log.WithField("request", r.id).Error("the scheduler did not decide by the deadline")
 		r.fail(reasonUndecided)
 		c.handle(brain.ClientGone{Request: r.id})
 	}
 }
 
-// RefuseNew has every request that comes from now on refused as it comes: nothing of it is sent, and the client may ask
-// elsewhere at once. What was taken before goes on.
+// RefuseNew refuses every request that arrives from now on. Nothing of it is sent, and the client may retry elsewhere
+// at once. Requests accepted before go on.
 func (c *Core) RefuseNew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refusing = true
 }
 
-// EndUndecided ends every request that has no answer yet, as one that the module did not decide in time: the process
-// is about to be killed, and then what is held for them would stay held. Each fails, which promises nothing, or is
-// refused if it was never sent on, and the module is told that it is gone, so that it calls its attempts off and
-// releases what they hold. Streams that have begun are left to run: their state is taken. Who comes later, on a
-// connection that is still open, is refused at once: there is no time left to serve it.
+// EndUndecided ends every request without an answer like one that the scheduler did not decide in time. It is called
+// when the process is about to be killed: state held for those requests would otherwise stay held. Each request
+// fails, which promises nothing, or is refused if it was never sent. The scheduler gets a ClientGone for it, so it
+// cancels the attempts and releases what they hold. Streams that have begun continue, since their state is already
+// fetched. Requests that still arrive on open connections are refused at once: there is no time left to serve them.
 func (c *Core) EndUndecided() (ended int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +151,7 @@
 	return ended
 }
 
-// post puts something into the mailbox. The lock is held.
+// post adds an entry to the inbox. The lock is held.
 func (r *request) post(m any) {
 	r.inbox = append(r.inbox, m)
 	select {
@@ -160,7 +160,7 @@
 	}
 }
 
-// end takes the final answer, once, and counts it.
+// end sets the final answer, once, and counts it.
 func (r *request) end(answer brain.Action) {
 	if !r.decided {
 		r.decided = true
@@ -169,8 +169,8 @@
 	}
 }
 
-// fail ends a request as one that may have run. Of one that was never sent on it is known better: what is still to be
-// written never will be, and the client is told that trying again is harmless.
+// fail ends a request as one that may have run. If it was never sent, it is refused instead: what is still to be
+// written never will be, and the client learns that a retry is harmless.
 func (r *request) fail(reason brain.Reason) {
 	if r.decided {
 		return
@@ -185,8 +185,8 @@
 	r.end(brain.Refuse{Request: r.id, Reason: reason})
 }
 
-// send opens the next attempt. One that can no longer be made is reported as never sent, since each Send has
-// exactly one end; not from here, for the module is at work.
+// send creates the next attempt. One that can no longer be made is reported as not sent, since each Send has exactly
+// one end. The report is asynchronous, because the scheduler is still handling an event.
 func (r *request) send(c *Core, s brain.Send) {
 	a := &attempt{number: len(r.attempts), sent: time.Now(), paused: c.paused}
 	a.worker.ID = s.Engine
@@ -215,12 +215,12 @@
 	}
 }
 
-// try makes one attempt and reports its end, or hands on the answer that begins. A panic ends here, as an
-// attempt that may have run.
+// try makes one attempt and reports its end, or hands over the answer that begins. A panic ends here, as an attempt
+// that may have run.
 func (c *Core) try(r *request, a *attempt) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.log.Errorf("an attempt panicked: %v\n%s", p, debug.Stack())
+			c.log.Errorf("attempt panicked: %v\n%s", p, debug.Stack())
 			c.ended(r, a, brain.Ended{Result: brain.Broke})
 		}
 	}()
@@ -229,7 +229,7 @@
 	case err != nil:
 		e := brain.Ended{}
 		e.Result, e.NoState = result(err)
-		e.Last = errors.Is(err, ErrSendingForbidden) // another worker would get it no more than this one
+		e.Last = errors.Is(err, ErrSendingForbidden) // another worker would not get it either
 		c.log.WithFields(logFields(r, a)).WithError(err).Debug("attempt ended")
 		c.ended(r, a, e)
 	case reply.Stream == nil:
@@ -244,8 +244,8 @@
 	return map[string]any{"request": r.id, "attempt": a.number, "worker": a.worker.Name}
 }
 
-// clear is asked at the moment of writing: the list may have changed since the module chose, and a dial takes
-// its time. What reaches a worker long after its drain was told breaks a rule.
+// clear is called just before a write. The list may have changed since the scheduler chose the worker, and a dial
+// takes time. A write long after the worker's drain was announced violates an invariant.
 func (c *Core) clear(a *attempt) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// claim gives the request to the attempt whose answer has begun, unless it is over or the attempt was called
-// off: both are settled under the lock, so no client gets two answers.
+// claim gives the request to the attempt whose answer has begun, unless it is decided or the attempt was cancelled.
+// Both are settled under the lock, so no client gets two answers.
 func (c *Core) claim(r *request, a *attempt, s Stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -273,7 +273,7 @@
 	return true
 }
 
-// relay passes the stream on to its end. No deadline runs, and nothing further is sent for the request.
+// relay forwards the stream to its end. No deadline applies, and nothing more is sent for the request.
 func (c *Core) relay(ctx context.Context, r *request, b *startedAttempt, client Client) {
 	if opener, ok := client.(Opener); ok {
 		opener.Open(b.stream)
@@ -298,7 +298,7 @@
 			client.Break()
 			return
 		default:
-			c.log.WithFields(logFields(r, b.attempt)).WithError(err).Info("a stream broke")
+			c.log.WithFields(logFields(r, b.attempt)).WithError(err).Info("stream broke before its end")
 			client.Break()
 			e := brain.Ended{Last: true}
 			e.Result, _ = result(err)
@@ -308,7 +308,7 @@
 	}
 }
 
-// ended tells the module the end of an attempt, once for each.
+// ended reports the end of an attempt to the scheduler, once for each.
 func (c *Core) ended(r *request, a *attempt, e brain.Ended) {
 	a.cancel(nil)
 	c.mu.Lock()
@@ -316,13 +316,13 @@
 	e.Request, e.Attempt, e.Engine, e.Took = r.id, a.number, a.worker.ID, c.took(a.sent, a.paused)
 	r.out--
 	if e.Last {
-		r.fail(reasonUndecided) // unless it has its answer
+		r.fail(reasonUndecided) // no effect if it has its answer
 	}
 	c.handle(e)
 	c.forget(r)
 }
 
-// detach ends the request's task. Attempts that it did not start never will be.
+// detach ends the request's task. Attempts that it did not start will never be started.
 func (c *Core) detach(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -331,7 +331,7 @@
 		switch m := m.(type) {
 		case *attempt:
 			go c.ended(r, m, brain.Ended{Result: brain.NotSent})
-		case *startedAttempt: // it began as the client left
+		case *startedAttempt: // its answer began as the client left
 			m.stream.Close()
 			go c.ended(r, m.attempt, brain.Ended{Result: brain.Cancelled, Last: true})
 		}
@@ -340,7 +340,7 @@
 	c.forget(r)
 }
 
-// forget drops a request that has its answer and nothing out.
+// forget drops a request that has its answer and nothing under way.
 func (c *Core) forget(r *request) {
 	if r.detached && r.out == 0 {
 		delete(c.requests, r.id)
@@ -348,7 +348,7 @@
 	}
 }
 
-// released notes the end of a release.
+// released records the end of a release.
 func (c *Core) released(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -356,8 +356,7 @@
 	c.forget(r)
 }
 
-// ready lists the workers that may be spoken to, in an order drawn anew: one that is silent must not be the
-// first that every release asks.
+// ready lists the ready workers in random order, so that a silent one is not the first that every release asks.
 func (c *Core) ready() []Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/unsent_test.go
+++ b/internal/core/unsent_test.go
@@ -13,8 +13,8 @@
 	"sumacloft/brain"
 )
 
-// randomJob is a job whose connections come up late or never, whose worker may be out by then, and whose attempts end in
-// every way there is. It knows whether anything of it was written to a worker.
+// randomJob is a job whose connections come up late or never, whose worker may be gone by then, and whose attempts
+// end in every possible way. It records whether anything of it was written to a worker.
 type randomJob struct {
 	*fake
 	mu     sync.Mutex
@@ -35,7 +35,7 @@
 	f.steps, f.sent = append(f.steps, fate), f.sent || sent
 }
 
-// Try serves Job.
+// Try implements Job.
 func (f *randomJob) Try(ctx context.Context, w Worker, clear func() error) (Reply, error) {
 	fail := func(stage Stage, verdict Verdict, err error) (Reply, error) {
 		if cause := context.Cause(ctx); cause != nil {
@@ -79,9 +79,9 @@
 	return Reply{Stream: &stub{pieces: []string{"a"}, err: errors.New("broke")}}, nil
 }
 
-// A request that was never sent on is answered as refused: as failed it would count as refused all the same, and its
-// client would not know that trying again is harmless. Counted over runs of a router with late and missing connections,
-// workers that come and go, impatient clients and a last call in the middle of it all.
+// A request that was never sent is refused, not failed. A failure would count as a refusal all the same, and the
+// client would not know that a retry is harmless. The runs include late and missing connections, workers that come
+// and go, short client timeouts and an EndUndecided in the middle.
 func TestNeverSentIsNeverFailed(t *testing.T) {
 	const runs, requests = 60, 25
 	var count sync.Mutex
@@ -91,7 +91,7 @@
 			random := rand.New(rand.NewPCG(seed, 22))
 			names := strings.Fields("r1 r2 w1 w2")[random.IntN(3):]
 			if random.IntN(4) == 0 {
-				names = nil // nobody to send to
+				names = nil // no worker to send to
 			}
 			c, list := startCore(t, names...)
 			ctx, stop := context.WithCancel(t.Context())
@@ -113,7 +113,7 @@
 					if answer == "failed" {
 						failed++
 						if !f.sent {
-							t.Errorf("seed %d, request %d: failed, and was never sent on: %q", seed, i, f.steps)
+							t.Errorf("seed %d, request %d: failed although it was never sent: %q", seed, i, f.steps)
 						}
 					}
 				})
@@ -130,13 +130,13 @@
 		})
 	}
 	if unsent < runs || failed < runs {
-		t.Errorf("%d requests were never sent on and %d failed: too few to tell", unsent, failed)
+		t.Errorf("%d requests were never sent and %d failed: too few for the test", unsent, failed)
 	}
-	t.Logf("%d requests, %d never sent on, %d failed", runs*requests, unsent, failed)
+	t.Logf("%d requests, %d never sent, %d failed", runs*requests, unsent, failed)
 }
 
-// What is refused at the last call is never written afterwards, however late its connection comes up; nor where the
-// module has come to grief and calls nothing off.
+// A request that EndUndecided refused is never written afterwards, however late its connection comes up, even if the
+// scheduler is dead and cancels nothing.
 func TestRefusedIsNotSentLater(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -149,17 +149,18 @@
 			}
 			c.mu.Unlock()
 			if c.EndUndecided() != 1 {
-				t.Error("not ended by the last call")
+				t.Error("EndUndecided did not end the request")
 			}
 			time.Sleep(10 * time.Second)
 			if got := f.joined(&f.answers); got != "refused" || f.asked == nil {
-				t.Errorf("module dead %v: answered %q, and then its connection was let write: %v", dead, got, f.asked == nil)
+				t.Errorf("scheduler dead %v: answered %q, and then its connection was allowed to write: %v", dead, got, f.asked == nil)
 			}
 		})
 	}
 }
 
-// Clients go on sending up to the kill. What comes after the last call is answered at once: nobody would answer it else.
+// Clients keep sending until the process is killed. Requests after EndUndecided must be answered at once: there is no
+// later chance.
 func TestRequestAfterEndUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, _ := startCore(t, "r1", "w1")
@@ -178,13 +179,13 @@
 	})
 }
 
-// slowJob is a job whose connections come up after 2 s, whatever has become of it.
+// slowJob is a job whose connections come up after 2 s, even if it has ended by then.
 type slowJob struct {
 	*fake
 	asked error
 }
 
-// Try serves Job.
+// Try implements Job.
 func (l *slowJob) Try(_ context.Context, _ Worker, clear func() error) (Reply, error) {
 	time.Sleep(2 * time.Second)
 	l.asked = clear()
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -145,7 +145,7 @@
 	return j, nil
 }
 
-// enter takes the job's id until its Over. What another request holds under the same id must not be sent, cancelled
+// enter takes the job's id until its Done. What another request holds under the same id must not be sent, cancelled
 // or released by this one.
 func (f *Front) enter(j *job) bool {
 	f.mu.Lock()
