--- a/brain/brain.go
+++ b/brain/brain.go
@@ -58,13 +58,13 @@
 	// readers. lossCost does so where a failed attempt can't be repeated.
 	failCost, lossCost = 1.0, 4.0
 	// networkFaultWeight is how much of a failure a network fault counts for: the engine may not have caused
-	// it. One that corrupts all it sends still stands out.
+	// it. One that corrupts all it sends still ranks below the others.
 	networkFaultWeight = 0.2
 	// ejectRisk is the chance of failure from which an engine comes last in the order of readers.
 	ejectRisk = 0.5
 	// coldMargin is the used share of the cold budget: a request's true work is unknown when it is sent.
 	coldMargin = 0.7
-	// cellTilt bounds how far prefills lean towards cells with more writers for each reader.
+	// cellTilt bounds the bias of prefills towards cells with more writers for each reader.
 	cellTilt = 1.5
 	// mixedShare is a mixed server's share of a whole request's work, against a writer that does half of it.
 	mixedShare = 0.7
--- a/brain/cold.go
+++ b/brain/cold.go
@@ -4,11 +4,11 @@
 
 // startWarmup opens our part of the cold budget of an engine that has just started.
 func (s *Scheduler) startWarmup(e *engine, since time.Duration) {
-	if till := since + s.set.WarmAfter; till > e.coldUntil {
+	if until := since + s.set.WarmAfter; until > e.coldUntil {
 		if s.now >= e.coldUntil { // with a full budget all would send at once in an overload
 			e.coldBudget, e.budgetAt = -unit(s.seed, uint64(e.ID))*s.pools[e.role].uncached, s.now
 		}
-		e.coldUntil = till
+		e.coldUntil = until
 	}
 }
 
--- a/brain/readers.go
+++ b/brain/readers.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// updateShares sets each engine's share of the prefix keys. Readers lean towards cells with more writers for
-// each reader, so that state need not leave its cell. Mixed servers count for their part of the work.
+// updateShares sets each engine's share of the prefix keys. Readers in cells with more writers for each
+// reader get more, so that state need not leave its cell. Mixed servers count for their part of the work.
 func (s *Scheduler) updateShares() {
 	cells, all := map[int][Mixed + 1]float64{}, [Mixed + 1]float64{}
 	for _, e := range s.order {
@@ -29,9 +29,9 @@
 	}
 }
 
-// read sends the prompt to the first engine in hash order that would finish it in time, else to the soonest.
-// It refuses the request at once if even that would be too late (admission).
-func (s *Scheduler) read(r *request) {
+// prefill sends the prompt to the first engine in hash order that would finish it in time, else to the
+// soonest. It refuses the request at once if even that would be too late (admission).
+func (s *Scheduler) prefill(r *request) {
 	limit := spillShare * r.aim().Seconds()
 	var best *engine
 	bestCost := math.Inf(1)
--- a/brain/requests.go
+++ b/brain/requests.go
@@ -39,9 +39,9 @@
 	if s.now >= r.deadline || !s.mayRepeat(r) || pinned { // pinned: a new prefill would only add to the load
 		s.giveUp(r, s.set.MaxHoldOff, Exhausted)
 	} else if r.holder != nil || r.PromptTokens < s.set.MinPrefillTokens {
-		s.write(r)
+		s.decode(r)
 	} else {
-		s.read(r)
+		s.prefill(r)
 	}
 }
 
--- a/brain/writers.go
+++ b/brain/writers.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// write sends a request with waiting state, or a short prompt, to the writer with the lowest projected
+// decode sends a request with waiting state, or a short prompt, to the writer with the lowest projected
 // memory. Near equals rank by the reader's cell, its zone and a draw. The first with memory free is taken.
-func (s *Scheduler) write(r *request) {
+func (s *Scheduler) decode(r *request) {
 	list := s.eligible(r, func(e *engine) bool { return e.role == Writer })
 	if len(list) == 0 {
 		list = s.eligible(r, func(e *engine) bool { return e.role == Mixed })
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestServe(t *testing.T) {
-	about, zeros := "7800000003"+strings.Repeat("00", 59), func(n int) string { return strings.Repeat("00", n) }
+	header, zeros := "7800000003"+strings.Repeat("00", 59), func(n int) string { return strings.Repeat("00", n) }
 	for name, c := range map[string]struct {
 		in, out string
 		fails   bool
@@ -20,9 +20,9 @@
 		"end of input":      {"", "", false},
 		"empty batch":       {"40c06e20000000000000000400000000", "0000000400000000", false},
 		"truncated frame":   {"40c06e20000000000000000400000000" + "40c06e", "0000000400000000", true},
-		"bad settings":      {zeros(8) + "0000008500000002" + about + "0a" + zeros(8) + zeros(4) + "00000001" + zeros(47) + "7b", "", true},
-		"unknown instance":  {zeros(8) + "0000008400000002" + about + "3c" + zeros(63), "", true},
-		"detached instance": {zeros(8) + "0000008400000002" + about + "64" + zeros(63), "0000000400000000", false},
+		"bad settings":      {zeros(8) + "0000008500000002" + header + "0a" + zeros(8) + zeros(4) + "00000001" + zeros(47) + "7b", "", true},
+		"unknown instance":  {zeros(8) + "0000008400000002" + header + "3c" + zeros(63), "", true},
+		"detached instance": {zeros(8) + "0000008400000002" + header + "64" + zeros(63), "0000000400000000", false},
 	} {
 		in, err := hex.DecodeString(c.in)
 		if err != nil {
