--- a/brain/api.go
+++ b/brain/api.go
@@ -106,7 +106,7 @@
 	OverloadFor   time.Duration // over this time
 }
 
-// Load is an engine's load report. A negative value is missing from the report.
+// Load is an engine's load report. A negative value means that the report lacks it.
 type Load struct {
 	Known       bool
 	MemoryShare float64 // share of its memory in use
--- a/internal/core/aside.go
+++ b/internal/core/aside.go
@@ -11,9 +11,9 @@
 // as a Job does.
 func (c *Core) CallReady(ctx context.Context, id brain.EngineID, do func(ctx context.Context, w Worker, clear func() error) error) error {
 	c.mu.Lock()
-	w, last := c.workers[id], c.refusing
+	w, refusing := c.workers[id], c.refusing
 	c.mu.Unlock()
-	if w == nil || w.Availability != brain.Ready || last {
+	if w == nil || w.Availability != brain.Ready || refusing {
 		return &AttemptError{Stage: NotConnected, Err: ErrNotReady}
 	}
 	return do(ctx, *w, func() error {
