--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// Engines of the tests: two readers and two writers, a pair in each of two cells.
+// The engines of the tests: two readers and two writers, one pair in each of two cells.
 const (
 	r1, r2, w1, w2, m1 = EngineID(11), EngineID(12), EngineID(21), EngineID(22), EngineID(31)
 )
@@ -32,25 +32,25 @@
 		{ID: w1, Cell: 1, Kind: 1, Weight: 1}, {ID: w2, Cell: 2, Kind: 1, Weight: 1}}
 }
 
-// bench drives a Scheduler as a router would: it keeps the clock and the timers and collects the actions.
+// bench drives a Scheduler as a router would. It keeps the clock and the timers and collects the actions.
 type bench struct {
 	*testing.T
 	s      *Scheduler
 	now    time.Duration
 	timers []SetTimer
 	log    []Action
-	dead   map[EngineID]bool // do not answer probes
-	load   map[EngineID]Load // in answers to probes
+	silent map[EngineID]bool // engines that do not answer probes
+	load   map[EngineID]Load // reported in answers to probes
 }
 
 func newBench(t *testing.T, set Settings, engines []Engine) *bench {
 	b := &bench{T: t, s: New(set, 7), now: time.Second}
-	b.give(Listed{Kind: ListCached, Engines: engines})
+	b.handle(Listed{Kind: ListCached, Engines: engines})
 	return b
 }
 
-// give hands an event over and returns the actions but the timers.
-func (b *bench) give(ev Event) []Action {
+// handle passes an event to the scheduler and returns the actions except timers.
+func (b *bench) handle(ev Event) []Action {
 	b.Helper()
 	var seen []Action
 	for _, a := range b.s.Handle(b.now, ev, nil) {
@@ -64,20 +64,20 @@
 	for _, a := range slices.Clone(seen) {
 		if probe, ok := a.(Probe); !ok {
 			continue
-		} else if b.dead[probe.Engine] {
+		} else if b.silent[probe.Engine] {
 			b.timers = append(b.timers, SetTimer{At: b.now + 250*ms, Key: probeTimeout | uint64(probe.Engine)})
 		} else {
-			seen = append(seen, b.give(Probed{Engine: probe.Engine, Result: Served, Load: b.load[probe.Engine]})...)
+			seen = append(seen, b.handle(Probed{Engine: probe.Engine, Result: Served, Load: b.load[probe.Engine]})...)
 		}
 	}
 	return seen
 }
 
-// probeTimeout marks the bench's own timers for probes that nobody answers.
+// probeTimeout marks the bench's own timers for unanswered probes.
 const probeTimeout = 1 << 60
 
-// pass lets time go by and fires the timers that come due; it returns the actions of that time.
-func (b *bench) pass(d time.Duration) []Action {
+// advance moves the clock, fires the timers that come due and returns the actions of that time.
+func (b *bench) advance(d time.Duration) []Action {
 	b.Helper()
 	from, end := len(b.log), b.now+d
 	for {
@@ -94,10 +94,10 @@
 		b.timers = append(b.timers[:next:next], b.timers[next+1:]...)
 		b.now = max(b.now, timer.At)
 		if timer.Key>>60 == 1 {
-			b.give(Probed{Engine: EngineID(timer.Key &^ probeTimeout), Result: TimedOut, Took: 250 * ms})
+			b.handle(Probed{Engine: EngineID(timer.Key &^ probeTimeout), Result: TimedOut, Took: 250 * ms})
 			continue
 		}
-		b.give(TimerFired{Key: timer.Key})
+		b.handle(TimerFired{Key: timer.Key})
 	}
 	b.now = end
 	return b.log[from:]
@@ -105,12 +105,12 @@
 
 func (b *bench) arrive(id RequestID, class int, left time.Duration) EngineID {
 	b.Helper()
-	b.give(Arrived{Request: id, Class: class, Session: 1000 + uint64(id), Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500,
-		MaxTokens: 300, Left: left})
+	b.handle(Arrived{Request: id, Class: class, Session: 1000 + uint64(id), Prefix: 9, PromptTokens: 2000, PrefixTokens: 1500,
+		MaxTokens: 300, Timeout: left})
 	return b.sentTo(id)
 }
 
-// sentTo is the engine of the request's newest Send, 0 without one.
+// sentTo returns the engine of the request's newest Send, 0 if there is none.
 func (b *bench) sentTo(id RequestID) (engine EngineID) {
 	for _, a := range b.log {
 		if send, ok := a.(Send); ok && send.Request == id {
@@ -127,13 +127,13 @@
 	if result == Full {
 		took = ms
 	}
-	return b.give(Ended{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
+	return b.handle(Ended{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
 		Engine: b.sentTo(id), Result: result, NoState: noState, Took: took, Last: result == Served})
 }
 
 func (b *bench) start(id RequestID) []Action {
 	b.Helper()
-	return b.give(Started{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
+	return b.handle(Started{Request: id, Attempt: count[Send](b.log, func(a Send) bool { return a.Request == id }) - 1,
 		Engine: b.sentTo(id), Took: 50 * ms})
 }
 
@@ -160,95 +160,95 @@
 	}
 }
 
-// silence lets time go by in which some engines answer nothing.
-func (b *bench) silence(d time.Duration, silent ...EngineID) {
+// advanceSilent moves the clock while some engines answer nothing.
+func (b *bench) advanceSilent(d time.Duration, silent ...EngineID) {
 	b.Helper()
-	b.dead = map[EngineID]bool{}
+	b.silent = map[EngineID]bool{}
 	for _, id := range silent {
-		b.dead[id] = true
+		b.silent[id] = true
 	}
-	b.pass(d)
+	b.advance(d)
 }
 
 func TestOrdinaryPath(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	reader := b.arrive(1, 0, 3*time.Second)
-	b.must(reader == r1 || reader == r2, "the prompt went to %d, not to a reader", reader)
+	b.must(reader == r1 || reader == r2, "prompt sent to %d, which is not a reader", reader)
 	b.end(1, Read, false)
 	writer := b.sentTo(1)
-	b.must(writer == w1 && reader == r1 || writer == w2 && reader == r2, "state of %d went to %d", reader, writer)
+	b.must(writer == w1 && reader == r1 || writer == w2 && reader == r2, "state of reader %d sent to %d, which is not the writer of its cell", reader, writer)
 	b.start(1)
 	b.end(1, Served, false)
-	b.pass(10 * time.Second)
-	b.must(b.finals(1) == 0 && !has[Release](b.log) && !has[Cancel](b.log), "a served request needs nothing more")
+	b.advance(10 * time.Second)
+	b.must(b.finals(1) == 0 && !has[Release](b.log) && !has[Cancel](b.log), "a served request caused a final answer, a release or a cancellation")
 }
 
 func TestEqualEventsEqualActions(t *testing.T) {
 	run := func() []Action {
 		b := newBench(t, testSettings(), fleet())
 		for id := RequestID(1); id < 50; id++ {
-			b.give(Arrived{Request: id, Class: int(id) % 3, Session: uint64(id % 7), Prefix: uint64(id % 3),
-				PromptTokens: float64(100 * id), PrefixTokens: 90, MaxTokens: 300, Left: 3 * time.Second})
-			b.pass(10 * ms)
+			b.handle(Arrived{Request: id, Class: int(id) % 3, Session: uint64(id % 7), Prefix: uint64(id % 3),
+				PromptTokens: float64(100 * id), PrefixTokens: 90, MaxTokens: 300, Timeout: 3 * time.Second})
+			b.advance(10 * ms)
 			b.end(id, []Result{Read, Full, Errored, ConnectFailed}[id%4], false)
 		}
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		return b.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("equal events gave other actions")
+		t.Fatal("equal events led to different actions")
 	}
 }
 
-func TestSubscribesWhereTheListMustBeAsked(t *testing.T) {
+func TestSubscribesWithAskForList(t *testing.T) {
 	set := testSettings()
 	set.AskForList = true
 	b := &bench{T: t, s: New(set, 1), now: time.Second}
-	b.must(has[Subscribe](b.give(Listed{Kind: ListCached, Engines: fleet()})), "did not subscribe")
-	b.give(Listed{Kind: ListFailed})
-	b.must(has[Subscribe](b.pass(6*time.Second)), "did not ask again after a failure")
+	b.must(has[Subscribe](b.handle(Listed{Kind: ListCached, Engines: fleet()})), "no Subscribe after the first list")
+	b.handle(Listed{Kind: ListFailed})
+	b.must(has[Subscribe](b.advance(6*time.Second)), "no Subscribe within 6 s after a failed list")
 }
 
 func TestListChangesMidRequest(t *testing.T) {
 	b := newBench(t, testSettings(), fleet())
 	b.arrive(1, 0, 3*time.Second)
-	b.give(Listed{Kind: ListWhole, Engines: fleet()[2:3]}) // its reader, the other one and a writer are gone
+	b.handle(Listed{Kind: ListComplete, Engines: fleet()[2:3]}) // its reader, the other reader and one writer are gone
 	b.end(1, Read, false)
-	b.must(b.sentTo(1) == w1, "the state went to %d, not to the writer that is left", b.sentTo(1))
-	b.end(1, Moot, false)
-	b.pass(3 * time.Second)
+	b.must(b.sentTo(1) == w1, "state sent to %d, not to the only writer left", b.sentTo(1))
+	b.end(1, NotSent, false)
+	b.advance(3 * time.Second)
 	b.end(1, Cancelled, false)
-	b.must(b.finals(1) == 1 && has[Release](b.log), "want one answer and the state let go")
+	b.must(b.finals(1) == 1 && has[Release](b.log), "want one final answer and a Release")
 }
 
-// manyRouters drives routers of a large fleet side by side: each sees one request every few seconds.
+// manyRouters runs the routers of a large fleet side by side. Each sees one request every few seconds.
 func manyRouters(t *testing.T, routers int, engines []Engine, warmUp, length time.Duration, cold func(now time.Duration) []Engine) []*bench {
 	set := testSettings()
 	all := make([]*bench, routers)
 	for i := range all {
 		all[i] = &bench{T: t, s: New(set, uint64(i)*7919), now: time.Second}
-		all[i].give(Listed{Kind: ListCached, Engines: engines})
+		all[i].handle(Listed{Kind: ListCached, Engines: engines})
 	}
-	id, told := RequestID(1), false
+	id, listed := RequestID(1), false
 	for at := time.Duration(0); at < warmUp+length; at += 20 * ms {
-		if at >= warmUp && !told {
-			told = true
+		if at >= warmUp && !listed {
+			listed = true
 			for _, b := range all {
 				b.log = nil
-				b.give(Listed{Kind: ListDelta, Engines: cold(b.now)})
+				b.handle(Listed{Kind: ListDelta, Engines: cold(b.now)})
 			}
 		}
 		for range 2 { // 100 requests a second over all routers
 			b := all[int(id)*37%routers]
-			b.give(Arrived{Request: id, Session: uint64(id), Prefix: 1 + uint64(id)%97, PromptTokens: 2000,
-				PrefixTokens: 1500, MaxTokens: 300, Left: 3 * time.Second})
+			b.handle(Arrived{Request: id, Session: uint64(id), Prefix: 1 + uint64(id)%97, PromptTokens: 2000,
+				PrefixTokens: 1500, MaxTokens: 300, Timeout: 3 * time.Second})
 			b.end(id, Read, false)
 			b.start(id)
 			b.end(id, Served, false)
 			id++
 		}
 		for _, b := range all {
-			b.pass(20 * ms)
+			b.advance(20 * ms)
 		}
 	}
 	return all
@@ -261,7 +261,7 @@
 	return engines
 }
 
-// Settings and lists with absent or absurd figures lead to no panic.
+// Settings and lists with missing or absurd values cause no panic.
 func TestAbsurdSettings(t *testing.T) {
 	engines := []Engine{{ID: 1, Kind: 7}, {ID: 2, Kind: -1}, {ID: 3, Kind: 0, Weight: -4, StartedAt: -time.Second}, {ID: 4, Kind: 1}}
 	for _, set := range []Settings{{}, {Kinds: make([]Kind, 2), Probing: true},
@@ -273,7 +273,7 @@
 			b.end(id, Read, false)
 			b.end(id, Full, false)
 		}
-		b.pass(3 * time.Second)
-		b.must(b.finals(1) == 1, "%d final answers", b.finals(1))
+		b.advance(3 * time.Second)
+		b.must(b.finals(1) == 1, "%d final answers, want 1", b.finals(1))
 	}
 }
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -6,10 +6,10 @@
 	"sumacloft/internal/wire"
 )
 
-// field puts one value of a report where the scheduler looks for it.
+// field stores one value of a report in a load.
 type field func(*brain.Load, float64)
 
-// reportFields names the values that the scheduler knows; x1 comes in thousands of tokens.
+// reportFields maps the names of reported values that the scheduler uses; x1 is in thousands of tokens.
 var reportFields = map[string]field{
 	"backlog": func(l *brain.Load, v float64) { l.Queue = v },
 	"x0":      func(l *brain.Load, v float64) { l.MemoryShare = v },
@@ -25,19 +25,19 @@
 }
 
 var (
-	listKinds = [...]brain.ListKind{brain.ListFailed, brain.ListWhole, brain.ListCached, brain.ListDelta}
+	listKinds = [...]brain.ListKind{brain.ListFailed, brain.ListComplete, brain.ListCached, brain.ListDelta}
 	results   = map[uint16]brain.Result{
 		wire.OutcomeOK: brain.Served, wire.OutcomeMiss: brain.Read, wire.OutcomeError: brain.Errored,
 		wire.OutcomeFull: brain.Full, wire.OutcomeTimeout: brain.TimedOut,
 		wire.OutcomeConnectFailed: brain.ConnectFailed, wire.OutcomeReset: brain.Broke,
-		wire.OutcomeCancelled: brain.Cancelled, wire.OutcomeMoot: brain.Moot,
+		wire.OutcomeCancelled: brain.Cancelled, wire.OutcomeMoot: brain.NotSent,
 	}
 )
 
-// The bits of an Accept's bitmap: its estimate is valid; its client came again after a break.
-const flagHint, flagAgain = 1, 16
+// The bits of an Accept's bitmap: its estimate is valid; its client returned after a broken answer.
+const flagHint, flagResumed = 1, 16
 
-// translate returns nil for what the scheduler has no use for.
+// translate returns nil for events that the scheduler does not use.
 func (in *instance) translate(ev *wire.Event) brain.Event {
 	call, engine := brain.RequestID(ev.Call), brain.EngineID(ev.Engine)
 	switch ev.Code {
@@ -53,11 +53,11 @@
 		if e.Result == brain.Full {
 			e.NoState = ev.Note == 1
 		} else {
-			e.Kept = float64(ev.Note)
+			e.CachedTokens = float64(ev.Note)
 		}
 		return e
 	case wire.EvVanished:
-		return brain.Gone{Request: call}
+		return brain.ClientGone{Request: call}
 	case wire.EvElapsed:
 		return brain.TimerFired{Key: ev.Token}
 	case wire.EvProbeDone:
@@ -69,8 +69,8 @@
 
 func (in *instance) arrived(ev *wire.Event) brain.Event {
 	a := brain.Arrived{Request: brain.RequestID(ev.Call), Class: ev.Class, Session: ev.Session, Prefix: ev.Prefix,
-		PromptTokens: ev.Prompt, PrefixTokens: ev.PrefixLen, MaxTokens: ev.MaxTokens, Left: config.Millis(ev.GraceMs),
-		Resumed: ev.Flags&flagAgain != 0}
+		PromptTokens: ev.Prompt, PrefixTokens: ev.PrefixLen, MaxTokens: ev.MaxTokens, Timeout: config.Millis(ev.GraceMs),
+		Resumed: ev.Flags&flagResumed != 0}
 	if aim := in.tokenAim(ev.Class); ev.Flags&flagHint != 0 && aim > 0 {
 		a.HintTokens = ev.EstimateMs / aim
 	}
@@ -96,7 +96,7 @@
 	return l
 }
 
-// tokenAim is the class's aim for the time between tokens, 0 where there is none.
+// tokenAim is the class's target for the time between tokens, in ms; 0 if there is none.
 func (in *instance) tokenAim(class int) float64 {
 	if class < len(in.tokenAimMs) {
 		return in.tokenAimMs[class]
--- a/internal/core/release_test.go
+++ b/internal/core/release_test.go
@@ -12,19 +12,19 @@
 	"sumacloft/internal/standin"
 )
 
-// hushed is a job whose releases only one worker answers: the others are behind a cut.
-type hushed struct {
+// mostlySilentJob is a job whose releases only one worker answers. The others are cut off.
+type mostlySilentJob struct {
 	*fake
-	answers brain.EngineID
-	asked   atomic.Int64
-	most    atomic.Int64
+	answering brain.EngineID
+	asked     atomic.Int64
+	most      atomic.Int64
 }
 
-// Release serves Job.
-func (f *hushed) Release(ctx context.Context, w Worker) error {
+// Release implements Job.
+func (f *mostlySilentJob) Release(ctx context.Context, w Worker) error {
 	f.most.Store(max(f.most.Load(), f.asked.Add(1)))
 	defer f.asked.Add(-1)
-	if w.ID == f.answers {
+	if w.ID == f.answering {
 		time.Sleep(2 * time.Millisecond)
 		return nil
 	}
@@ -32,8 +32,8 @@
 	return ctx.Err()
 }
 
-// With all but one of nine workers cut off, what is held is let go within 500 ms, whichever is asked first, and no more
-// than a few are asked at once. (One after the other, each given 120 ms, took up to 960 ms.)
+// With all but one of nine workers cut off, state is released within 500 ms, whichever is asked first, and only a few
+// workers are asked at once. Asking in sequence, with 120 ms for each, took up to 960 ms.
 func TestReleasePastSilentWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(brain.Settings{}, 1, &fake{}, standin.Log())
@@ -41,7 +41,7 @@
 			c.workers[i] = &Worker{Engine: brain.Engine{ID: i}}
 		}
 		for i := range 200 {
-			job := &hushed{answers: brain.EngineID(i % 9)}
+			job := &mostlySilentJob{answering: brain.EngineID(i % 9)}
 			began := time.Now()
 			c.release(job)
 			if took := time.Since(began); took > 300*time.Millisecond {
@@ -49,37 +49,38 @@
 			}
 			synctest.Wait()
 			if n := job.most.Load(); n > 5 {
-				t.Fatalf("%d workers were asked at once", n)
+				t.Fatalf("%d workers were asked at once, want at most 5", n)
 			}
 		}
 	})
 }
 
-// A call aside goes to a worker that is ready only, which is looked at again as it is written; what is out at workers is told.
-func TestAside(t *testing.T) {
-	c, list := begin(t, "r1", "w1")
+// CallReady calls only a ready worker, and checks that again just before the write. OpenAttempts counts attempts by
+// worker.
+func TestCallReady(t *testing.T) {
+	c, list := startCore(t, "r1", "w1")
 	ctx := t.Context()
 	asked := 0
 	call := func(_ context.Context, w Worker, clear func() error) error {
 		asked++
 		if w.Name != "r1" {
-			t.Errorf("asked of %s", w.Name)
+			t.Errorf("called at %s", w.Name)
 		}
 		return clear()
 	}
-	if err := c.Aside(ctx, list[0].ID, call); err != nil || asked != 1 {
-		t.Errorf("a worker that is ready: %v, asked %d times", err, asked)
+	if err := c.CallReady(ctx, list[0].ID, call); err != nil || asked != 1 {
+		t.Errorf("ready worker: error %v, called %d times", err, asked)
 	}
 	drains := list[0]
 	drains.Availability = brain.Draining
-	if err := c.Aside(ctx, list[0].ID, func(ctx context.Context, w Worker, clear func() error) error {
-		c.Listed(brain.ListDelta, []Worker{drains}) // while it is dialled
+	if err := c.CallReady(ctx, list[0].ID, func(ctx context.Context, w Worker, clear func() error) error {
+		c.Listed(brain.ListDelta, []Worker{drains}) // during the dial
 		return call(ctx, w, clear)
 	}); !errors.Is(err, ErrNotReady) {
-		t.Errorf("one that drains meanwhile: %v", err)
+		t.Errorf("worker that drains during the dial: error %v", err)
 	}
-	if err := c.Aside(ctx, list[0].ID, call); !errors.Is(err, ErrNotReady) || asked != 2 {
-		t.Errorf("one that drains: %v, asked %d times", err, asked)
+	if err := c.CallReady(ctx, list[0].ID, call); !errors.Is(err, ErrNotReady) || asked != 2 {
+		t.Errorf("draining worker: error %v, called %d times", err, asked)
 	}
 	hold := make(chan struct{})
 	job := &fake{left: 2 * time.Second, try: func(context.Context, Worker, func() error) (Reply, error) {
@@ -89,15 +90,15 @@
 	c.Listed(brain.ListDelta, list[:1])
 	done := make(chan struct{})
 	go func() { defer close(done); c.Do(ctx, job, job) }()
-	standin.Eventually(t, time.Second, "one is out", func() bool { return c.Busy()["r1"] == 1 })
+	standin.Eventually(t, time.Second, "one attempt is out", func() bool { return c.OpenAttempts()["r1"] == 1 })
 	close(hold)
 	<-done
-	standin.Eventually(t, time.Second, "none is out", func() bool { return len(c.Busy()) == 0 })
+	standin.Eventually(t, time.Second, "no attempt is out", func() bool { return len(c.OpenAttempts()) == 0 })
 }
 
-// What is let out is empty once what it had has ended, whoever still comes.
-func TestEmptiedOfWhatItHad(t *testing.T) {
-	c, _ := begin(t, "r1", "w1")
+// TrackOpen counts down to 0 once the requests open at its call have ended, whatever arrives later.
+func TestTrackOpen(t *testing.T) {
+	c, _ := startCore(t, "r1", "w1")
 	ask := func() (end func()) {
 		hold, done := make(chan struct{}), make(chan struct{})
 		job := &fake{left: 5 * time.Second, try: func(context.Context, Worker, func() error) (Reply, error) {
@@ -106,22 +107,22 @@
 		}}
 		open := c.Open()
 		go func() { defer close(done); c.Do(context.Background(), job, job) }()
-		standin.Eventually(t, time.Second, "it is taken", func() bool { return c.Open() == open+1 })
+		standin.Eventually(t, time.Second, "the request is open", func() bool { return c.Open() == open+1 })
 		return func() { close(hold); <-done }
 	}
-	if left := c.Emptied(); left() != 0 {
-		t.Error("one that has nothing is not empty")
+	if left := c.TrackOpen(); left() != 0 {
+		t.Error("requests counted though none is open")
 	}
 	before := ask()
-	left := c.Emptied()
+	left := c.TrackOpen()
 	after := ask()
 	if left() != 1 {
-		t.Errorf("%d left", left())
+		t.Errorf("%d requests counted, want 1", left())
 	}
 	before()
-	standin.Eventually(t, time.Second, "what it had has ended", func() bool { return left() == 0 })
+	standin.Eventually(t, time.Second, "the tracked request has ended", func() bool { return left() == 0 })
 	if c.Open() != 1 {
-		t.Errorf("%d open", c.Open())
+		t.Errorf("%d requests open, want 1", c.Open())
 	}
 	after()
 }
