--- a/internal/chat/samples.go
+++ b/internal/chat/samples.go
@@ -63,7 +63,7 @@
 	now := fl.h.Samples.Of(from.worker)
 	said := tell(a.Body, fl.job.stream)
 	s := samples.Sample{Key: samples.Key(cmp.Or(fl.job.idempotency, fl.entry.Record().Key)), Worker: from.as.Name, Boot: from.as.Boot, Site: from.as.Site,
-		Label: from.as.Label, Version: from.as.Label, Began: fl.epoch, AgeMs: took.Milliseconds(), TookMs: took.Milliseconds(), Tokens: said.tokens, Accepted: said.accepted}
+		Label: from.as.Label, Version: from.as.Label, StartEpoch: fl.epoch, AgeMs: took.Milliseconds(), TookMs: took.Milliseconds(), Tokens: said.tokens, Accepted: said.accepted}
 	if now.Boot == from.as.Boot {
 		s.End = now.Label
 	}
--- a/internal/chat/samples_test.go
+++ b/internal/chat/samples_test.go
@@ -48,7 +48,7 @@
 }
 
 func (s *sampler) Written(one samples.Sample) *pb.RequestOp {
-	return etcd.Put(fmt.Sprintf("/ended/%d", s.epoch), []byte(fmt.Sprint(one.Began)), 0)
+	return etcd.Put(fmt.Sprintf("/ended/%d", s.epoch), []byte(fmt.Sprint(one.StartEpoch)), 0)
 }
 
 func (s *sampler) seen() (inHand int, ended []samples.Sample) {
@@ -94,7 +94,7 @@
 	hb.Book.Seen([]ledger.Owner{{Name: "b", Boot: "1"}}, math.MaxInt64)
 	standin.Eventually(t, 10*time.Second, "the survivor makes it", func() bool { _, ended := sb.seen(); return len(ended) == 1 })
 	_, ended := sb.seen()
-	if s := ended[0]; s.Key != samples.Key("key-1") || s.Began != 3 || s.Version != 3 || s.Label != 4 || s.End != 0 || s.Tokens != 9 || !s.Accepted {
+	if s := ended[0]; s.Key != samples.Key("key-1") || s.StartEpoch != 3 || s.Version != 3 || s.Label != 4 || s.End != 0 || s.Tokens != 9 || !s.Accepted {
 		t.Errorf("%+v", s)
 	}
 	if got := askKeyed(t, b, "query", "key-1", "make one", false); got.status != 200 {
--- a/internal/config/samples_test.go
+++ b/internal/config/samples_test.go
@@ -22,7 +22,7 @@
 
 func TestSamplesTable(t *testing.T) {
 	m, classes, err := SamplesOf(samplesPolicy)
-	if err != nil || m == nil || m.Batch != 32 || m.ClerksMost != 0.1 || len(classes) != 1 || !classes["rollout"] {
+	if err != nil || m == nil || m.Batch != 32 || m.InteractiveFailedMax != 0.1 || len(classes) != 1 || !classes["rollout"] {
 		t.Fatalf("%+v %v %v", m, classes, err)
 	}
 	again, _, err := SamplesOf(mustRead(t, samplesPolicy).Text())
--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -16,17 +16,17 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// lease is how long a registration outlives its router's last sign of life; patience how long a router that runs waits until a
-// write is given up; believed for how long the decider believes a report.
-const lease, patience, believed = 3 * time.Second, time.Second, 8 * time.Second
+// lease is how long a registration outlives its router's last sign of life; writeTimeout how long a router that runs waits until a
+// write is given up; reportValidity for how long the decider believes a report.
+const lease, writeTimeout, reportValidity = 3 * time.Second, time.Second, 8 * time.Second
 
 type router struct {
 	name, region string
 	boot         int
 	token        int64 // of its registration, 0: it has none
-	halted       time.Duration
+	stoppedAt    time.Duration
 	stopped      bool
-	made         []time.Duration // when its process made its reports
+	reportedAt   []time.Duration // when its process made its reports
 	sender       Sender
 	gatherer     *Gatherer[outage.Report]
 	pending      *Record[outage.Report] // decided, not yet written
@@ -34,23 +34,23 @@
 	waited       time.Duration // since it was decided, while the router ran
 }
 
-// life is a fleet of two regions, one server that is always well, a store of two records and one decider.
-type life struct {
-	now, looked time.Duration
-	terms       Terms
-	broken      Fault
-	routers     []*router
-	store       map[string]*Record[outage.Report]
-	written     map[string]time.Duration
-	first       map[int64]time.Duration // when the decider saw a revision first
-	rev         int64
-	decider     outage.Decider
-	state       *outage.State
-	stood       turn.Stood
+// simulation is a fleet of two regions, one server that is always well, a store of two records and one decider.
+type simulation struct {
+	now, lastLook time.Duration
+	terms         Settings
+	broken        Fault
+	routers       []*router
+	store         map[string]*Record[outage.Report]
+	written       map[string]time.Duration
+	firstSeen     map[int64]time.Duration // when the decider saw a revision first
+	rev           int64
+	decider       outage.Decider
+	state         *outage.State
+	ages          turn.RevisionAges
 }
 
-func newLife(broken Fault) *life {
-	l := &life{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, first: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
+func newSimulation(broken Fault) *simulation {
+	l := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
 	for _, name := range []string{"a0", "a1", "a2", "a3", "b0", "b1"} {
 		r := &router{name: name, region: name[:1]}
 		l.routers = append(l.routers, r)
@@ -59,13 +59,13 @@
 	return l
 }
 
-func (l *life) start(r *router) {
+func (l *simulation) start(r *router) {
 	l.rev++
 	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: l.rev, sender: Sender{Region: r.region}}
 	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: l.broken}
 }
 
-func (l *life) live(region string) map[string]string {
+func (l *simulation) live(region string) map[string]string {
 	out := map[string]string{}
 	for _, r := range l.routers {
 		if r.token != 0 && (region == "" || r.region == region) {
@@ -75,7 +75,7 @@
 	return out
 }
 
-func (l *life) by(name string) *router {
+func (l *simulation) find(name string) *router {
 	for _, r := range l.routers {
 		if r.name == name {
 			return r
@@ -84,29 +84,29 @@
 	return nil
 }
 
-func (l *life) pass(d time.Duration) {
+func (l *simulation) advance(d time.Duration) {
 	l.now += d
 	for _, r := range l.routers {
 		if !r.stopped {
 			r.waited += d
-		} else if l.now-r.halted >= lease {
+		} else if l.now-r.stoppedAt >= lease {
 			r.token = 0
 		}
 	}
 }
 
 // report has a router make one and send it.
-func (l *life) report(r *router) {
+func (l *simulation) report(r *router) {
 	if r.stopped || r.token == 0 {
 		return
 	}
 	live := l.live(r.region)
-	to := l.by(r.sender.To(Order(r.region, keys(live)), l.terms, l.now))
-	r.made = append(r.made, l.now)
+	to := l.find(r.sender.Target(Order(r.region, keys(live)), l.terms, l.now))
+	r.reportedAt = append(r.reportedAt, l.now)
 	if to == nil || to.stopped {
 		return
 	}
-	to.gatherer.Take(r.name, Line[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.made)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, l.now)
+	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, l.now)
 	r.sender.Answered(to.name, to.gatherer.Holder(l.store[r.region], live, l.terms, l.now), l.now)
 }
 
@@ -118,7 +118,7 @@
 }
 
 // decide has a router read and decide; write has it write, if nothing stands against that.
-func (l *life) decide(r *router) {
+func (l *simulation) decide(r *router) {
 	if !r.stopped && r.pending == nil && r.gatherer.Watches(l.store[r.region], l.live(r.region), l.terms, l.now) {
 		if last := l.store[r.region]; last != nil {
 			r.read = last.Rev
@@ -127,14 +127,14 @@
 	}
 }
 
-func (l *life) write(r *router) error {
+func (l *simulation) write(r *router) error {
 	next := r.pending
 	if r.stopped || next == nil {
 		return nil
 	}
 	r.pending = nil
 	last := l.store[r.region]
-	if r.waited > patience || l.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
+	if r.waited > writeTimeout || l.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
 		return nil
 	}
 	if l.rev++; l.rev%8 == 0 { // as the store would have it
@@ -149,8 +149,8 @@
 	next.Rev = l.rev
 	l.store[r.region], l.written[r.region] = next, l.now
 	if last != nil {
-		for name, was := range last.Lines {
-			if is := next.Lines[name]; is.Boot == was.Boot && is.Number < was.Number {
+		for name, was := range last.Entries {
+			if is := next.Entries[name]; is.Boot == was.Boot && is.Number < was.Number {
 				return fmt.Errorf("%s: report %d stands in the place of %d", name, is.Number, was.Number)
 			}
 		}
@@ -158,14 +158,14 @@
 	return nil
 }
 
-// look has the decider decide, and checks what it believes.
-func (l *life) look() (fresh map[string]bool, err error) {
+// decideAndCheck has the decider decide, and checks what it believes.
+func (l *simulation) decideAndCheck() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
-	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(believed) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registered{}}
 	for _, r := range l.store {
 		records = append(records, r)
-		if l.first[r.Rev] == 0 {
-			l.first[r.Rev] = l.now
+		if l.firstSeen[r.Rev] == 0 {
+			l.firstSeen[r.Rev] = l.now
 		}
 	}
 	boots := l.live("")
@@ -173,16 +173,16 @@
 		v.Routers[name] = outage.Registered{Boot: boot, Live: true}
 	}
 	v.Reports, fresh = Reports(records, boots, l.broken), map[string]bool{}
-	for _, one := range v.Reports {
-		r := l.by(one.Router)
-		line := l.store[r.region].Lines[one.Router]
-		if line.Boot != fmt.Sprint(r.boot) || time.Duration(one.AgeMs*float64(time.Millisecond))+l.stood.For(one.Router, one.Rev, l.now) > believed {
+	for _, report := range v.Reports {
+		r := l.find(report.Router)
+		entry := l.store[r.region].Entries[report.Router]
+		if entry.Boot != fmt.Sprint(r.boot) || time.Duration(report.AgeMs*float64(time.Millisecond))+l.ages.Age(report.Router, report.Rev, l.now) > reportValidity {
 			continue
 		}
-		fresh[one.Router] = true
-		unseen := l.first[one.Rev] - l.written[r.region] // the record had stood so long when this decider saw it first
-		if age := l.now - r.made[line.Number-1] - unseen; age > believed+lease+patience {
-			return nil, fmt.Errorf("%s: a report is believed that is %v old", one.Router, age)
+		fresh[report.Router] = true
+		ageWhenSeen := l.firstSeen[report.Rev] - l.written[r.region] // the record had stood so long when this decider saw it first
+		if age := l.now - r.reportedAt[entry.Number-1] - ageWhenSeen; age > reportValidity+lease+writeTimeout {
+			return nil, fmt.Errorf("%s: a report is believed that is %v old", report.Router, age)
 		}
 	}
 	if next := l.decider.Next(v, l.now); next != nil {
@@ -199,8 +199,8 @@
 	return fresh, nil
 }
 
-// walk takes one act.
-func (l *life) walk(draw func(n int) int) error {
+// randomStep takes one act.
+func (l *simulation) randomStep(draw func(n int) int) error {
 	r := l.routers[draw(len(l.routers))]
 	switch draw(16) {
 	case 0, 1, 2, 3:
@@ -210,15 +210,15 @@
 	case 7, 8, 9:
 		return l.write(r)
 	case 10, 11, 12:
-		l.pass(time.Duration(50+draw(1500)) * time.Millisecond)
-		_, err := l.look()
+		l.advance(time.Duration(50+draw(1500)) * time.Millisecond)
+		_, err := l.decideAndCheck()
 		return err
 	case 13:
 		if !r.stopped {
-			r.stopped, r.halted = true, l.now
+			r.stopped, r.stoppedAt = true, l.now
 		}
 	case 14:
-		return l.goOn(r)
+		return l.resume(r)
 	case 15:
 		if draw(4) == 0 {
 			l.start(r)
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// goOn has a stopped router go on where it was: a write that was on its way goes first, then it registers again.
-func (l *life) goOn(r *router) (err error) {
+// resume has a stopped router go on where it was: a write that was on its way goes first, then it registers again.
+func (l *simulation) resume(r *router) (err error) {
 	if r.stopped {
 		r.stopped = false
 		err = l.write(r)
@@ -240,16 +240,16 @@
 	return err
 }
 
-// calm has all routers run again: within a takeover and some periods everybody is believed.
-func (l *life) calm() error {
+// converge has all routers run again: within a takeover and some periods everybody is believed.
+func (l *simulation) converge() error {
 	for _, r := range l.routers {
-		if err := l.goOn(r); err != nil {
+		if err := l.resume(r); err != nil {
 			return err
 		}
 	}
 	var fresh map[string]bool
 	for range 20 {
-		l.pass(500 * time.Millisecond)
+		l.advance(500 * time.Millisecond)
 		for _, r := range l.routers {
 			l.report(r)
 			l.decide(r)
@@ -258,7 +258,7 @@
 			}
 		}
 		var err error
-		if fresh, err = l.look(); err != nil {
+		if fresh, err = l.decideAndCheck(); err != nil {
 			return err
 		}
 	}
@@ -268,40 +268,40 @@
 	return nil
 }
 
-func (l *life) run(acts int, draw func(n int) int) error {
-	for range acts {
-		if err := l.walk(draw); err != nil {
+func (l *simulation) run(steps int, draw func(n int) int) error {
+	for range steps {
+		if err := l.randomStep(draw); err != nil {
 			return err
 		}
 	}
-	return l.calm()
+	return l.converge()
 }
 
 func TestGathering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newLife("").run(60, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }); err != nil {
+		if err := newSimulation("").run(60, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // The same lives by seeds: none breaks a rule, and with each fault some do.
-func TestFaultsAreFound(t *testing.T) {
-	lives, long := uint64(8), os.Getenv("LAB_LONG") != ""
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	runs, long := uint64(8), os.Getenv("LAB_LONG") != ""
 	if long {
-		lives = 300
+		runs = 300
 	}
-	for _, broken := range []Fault{"", NoFence, NoAges, Silence, Trusts} {
-		found, says := 0, ""
-		for seed := uint64(0); seed < lives && (long || found == 0); seed++ {
+	for _, broken := range []Fault{"", NoFence, NoAges, AgedSilence, TrustsLast} {
+		found, example := 0, ""
+		for seed := uint64(0); seed < runs && (long || found == 0); seed++ {
 			rng := rand.New(rand.NewPCG(seed, 31))
-			if err := newLife(broken).run(400, rng.IntN); err != nil {
-				found, says = found+1, fmt.Sprintf("seed %d: %v", seed, err)
+			if err := newSimulation(broken).run(400, rng.IntN); err != nil {
+				found, example = found+1, fmt.Sprintf("seed %d: %v", seed, err)
 			}
 		}
-		t.Logf("%q: found in %d of %d lives; %s", broken, found, lives, says)
+		t.Logf("%q: found in %d of %d lives; %s", broken, found, runs, example)
 		if (found > 0) != (broken != "") {
-			t.Errorf("%q: found in %d of %d lives; %s", broken, found, lives, says)
+			t.Errorf("%q: found in %d of %d lives; %s", broken, found, runs, example)
 		}
 	}
 }
@@ -310,11 +310,11 @@
 func TestTrim(t *testing.T) {
 	g := Gatherer[int]{Me: "a", Boot: "1", Region: "x"}
 	for i, name := range []string{"b", "c", "a"} {
-		g.Take(name, Line[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
+		g.Receive(name, Entry[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
 	}
-	g.Take("c", Line[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // the same again
-	next := g.Next(nil, map[string]string{"a": "1"}, Terms{Lines: 1}, 10*time.Second)
-	if next == nil || len(next.Lines) != 2 || next.Lines["c"].AgeMs != 9000 || next.Lines["a"].AgeMs != 8000 {
+	g.Receive("c", Entry[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // the same again
+	next := g.Next(nil, map[string]string{"a": "1"}, Settings{MaxGone: 1}, 10*time.Second)
+	if next == nil || len(next.Entries) != 2 || next.Entries["c"].AgeMs != 9000 || next.Entries["a"].AgeMs != 8000 {
 		t.Errorf("%+v", next)
 	}
 }
@@ -322,19 +322,19 @@
 // What is packed comes out as it went in, whatever routers see differently.
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Lines: map[string]Line[outage.Report]{}}
+	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Entries: map[string]Entry[outage.Report]{}}
 	for i := range 9 {
-		one := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
+		report := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
 		for k := range 40 {
 			s := outage.Sight{Site: "x", Weight: 1, Label: "v1", Asked: true}
 			if rng.IntN(6) == 0 {
 				s.SilentMs = float64(rng.IntN(1000))
 			}
 			if rng.IntN(6) > 0 {
-				one.Sees[fmt.Sprint("s", k)] = s
+				report.Sees[fmt.Sprint("s", k)] = s
 			}
 		}
-		r.Lines[one.Router] = Line[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: one}
+		r.Entries[report.Router] = Entry[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: report}
 	}
 	data, err := Pack(r, MaxPacked)
 	if err != nil {
@@ -344,34 +344,34 @@
 	if err != nil || len(short) > len(data)*4/5 {
 		t.Fatalf("%d bytes of %d: %v", len(short), len(data), err)
 	}
-	cut, err := Unpack("a", short)
-	if err != nil || len(cut.Lines) != len(r.Lines) {
-		t.Fatalf("%+v: %v", cut, err)
+	reduced, err := Unpack("a", short)
+	if err != nil || len(reduced.Entries) != len(r.Entries) {
+		t.Fatalf("%+v: %v", reduced, err)
 	}
 	dropped := 0
-	for name, l := range cut.Lines {
-		if l.Report.Seen != r.Lines[name].Report.Seen || !l.Late && len(maps.Collect(l.Report.All)) != len(r.Lines[name].Report.Sees) {
-			t.Errorf("%s: %+v", name, l)
+	for name, entry := range reduced.Entries {
+		if entry.Report.Seen != r.Entries[name].Report.Seen || !entry.Late && len(maps.Collect(entry.Report.All)) != len(r.Entries[name].Report.Sees) {
+			t.Errorf("%s: %+v", name, entry)
 		}
-		if l.Late {
+		if entry.Late {
 			dropped++
 		}
 	}
-	if dropped < 2 || dropped == len(r.Lines) {
-		t.Errorf("%d of %d do not say what they see", dropped, len(r.Lines))
+	if dropped < 2 || dropped == len(r.Entries) {
+		t.Errorf("%d of %d do not say what they see", dropped, len(r.Entries))
 	}
-	back, err := Unpack("a", data)
+	decoded, err := Unpack("a", data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, l := range back.Lines {
-		l.Report.Sees = maps.Collect(l.Report.All)
-		l.Report.Table, l.Report.Lacks = nil, nil
-		back.Lines[name] = l
+	for name, entry := range decoded.Entries {
+		entry.Report.Sees = maps.Collect(entry.Report.All)
+		entry.Report.Table, entry.Report.Lacks = nil, nil
+		decoded.Entries[name] = entry
 	}
-	if !reflect.DeepEqual(r, back) {
+	if !reflect.DeepEqual(r, decoded) {
 		a, _ := json.Marshal(r)
-		b, _ := json.Marshal(back)
+		b, _ := json.Marshal(decoded)
 		t.Errorf("%s\n%s", a, b)
 	}
 	if _, err := Unpack("b", data); err == nil {
--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -16,11 +16,11 @@
 // packed is a record on outages as it is written: what most of its routers see of each server stands once, and of each router
 // what it sees differently. Nothing is left out, so decisions on gathered reports are those on the reports themselves.
 type packed struct {
-	Record[apart]
+	Record[reportDifference]
 	Table map[string]outage.Sight `json:"table"`
 }
 
-type apart struct {
+type reportDifference struct {
 	outage.Report
 	Without []string `json:"without,omitempty"` // servers of the table that the router does not have
 }
@@ -52,57 +52,57 @@
 
 // Pack encodes a record: JSON, deflated. It has at most so many bytes: where it would have more, the routers that differ most from
 // the others are said without what they see, and count as late.
-func Pack(r *Record[outage.Report], most int) ([]byte, error) {
-	p := packed{Record[apart]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Line[apart]{}, 0}, table(r)}
-	for router, l := range r.Lines {
-		one := apart{Report: l.Report}
-		one.Sees = map[string]outage.Sight{}
-		seen := 0
-		for id, s := range l.Report.All {
-			common, is := p.Table[id]
-			if is {
-				seen++
+func Pack(r *Record[outage.Report], limit int) ([]byte, error) {
+	p := packed{Record[reportDifference]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Entry[reportDifference]{}, 0}, majorityTable(r)}
+	for router, entry := range r.Entries {
+		difference := reportDifference{Report: entry.Report}
+		difference.Sees = map[string]outage.Sight{}
+		found := 0
+		for id, s := range entry.Report.All {
+			common, ok := p.Table[id]
+			if ok {
+				found++
 			}
-			if !is || common != s {
-				one.Sees[id] = s
+			if !ok || common != s {
+				difference.Sees[id] = s
 			}
 		}
-		if seen < len(p.Table) {
+		if found < len(p.Table) {
 			for id := range p.Table {
-				if _, is := l.Report.Sight(id); !is {
-					one.Without = append(one.Without, id)
+				if _, ok := entry.Report.Sight(id); !ok {
+					difference.Without = append(difference.Without, id)
 				}
 			}
-			slices.Sort(one.Without)
+			slices.Sort(difference.Without)
 		}
-		p.Lines[router] = Line[apart]{l.Boot, l.Number, l.AgeMs, l.Late, one}
+		p.Entries[router] = Entry[reportDifference]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, difference}
 	}
-	odd := slices.SortedFunc(maps.Keys(p.Lines), func(a, b string) int {
-		size := func(name string) int { return len(p.Lines[name].Report.Sees) + len(p.Lines[name].Report.Without) }
+	byDifference := slices.SortedFunc(maps.Keys(p.Entries), func(a, b string) int {
+		size := func(name string) int { return len(p.Entries[name].Report.Sees) + len(p.Entries[name].Report.Without) }
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b))
 	})
 	for {
-		data, err := deflated(p)
+		data, err := deflate(p)
 		if err != nil {
 			return nil, &RecordError{r.Region, err}
 		}
-		if len(data) <= most {
+		if len(data) <= limit {
 			return data, nil
 		}
-		if len(odd) == 0 {
-			return nil, &RecordError{r.Region, fmt.Errorf("%d bytes, %d at most", len(data), most)}
+		if len(byDifference) == 0 {
+			return nil, &RecordError{r.Region, fmt.Errorf("%d bytes, %d at most", len(data), limit)}
 		}
-		n := (len(odd) + 7) / 8
-		for _, router := range odd[:n] {
-			l := p.Lines[router]
-			l.Late, l.Report.Sees, l.Report.Without = true, nil, nil
-			p.Lines[router] = l
+		n := (len(byDifference) + 7) / 8
+		for _, router := range byDifference[:n] {
+			entry := p.Entries[router]
+			entry.Late, entry.Report.Sees, entry.Report.Without = true, nil, nil
+			p.Entries[router] = entry
 		}
-		odd = odd[n:]
+		byDifference = byDifference[n:]
 	}
 }
 
-func deflated(p packed) ([]byte, error) {
+func deflate(p packed) ([]byte, error) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return nil, err
@@ -121,31 +121,31 @@
 	return out.Bytes(), nil
 }
 
-// table is what most see of each server, by the majority vote of Boyer and Moore (1981); where there is no majority it may be
+// majorityTable is what most see of each server, by the majority vote of Boyer and Moore (1981); where there is no majority it may be
 // anybody's, and the others differ from it.
-func table(r *Record[outage.Report]) map[string]outage.Sight {
+func majorityTable(r *Record[outage.Report]) map[string]outage.Sight {
 	type vote struct {
-		s outage.Sight
-		n int
+		value outage.Sight
+		count int
 	}
 	votes := map[string]*vote{}
-	for _, router := range slices.Sorted(maps.Keys(r.Lines)) {
-		for id, s := range r.Lines[router].Report.All {
+	for _, router := range slices.Sorted(maps.Keys(r.Entries)) {
+		for id, s := range r.Entries[router].Report.All {
 			switch v := votes[id]; {
 			case v == nil:
 				votes[id] = &vote{s, 1}
-			case v.s == s:
-				v.n++
-			case v.n == 0:
-				v.s, v.n = s, 1
+			case v.value == s:
+				v.count++
+			case v.count == 0:
+				v.value, v.count = s, 1
 			default:
-				v.n--
+				v.count--
 			}
 		}
 	}
 	out := make(map[string]outage.Sight, len(votes))
 	for id, v := range votes {
-		out[id] = v.s
+		out[id] = v.value
 	}
 	return out
 }
@@ -163,40 +163,40 @@
 	if p.Region != region {
 		return nil, &RecordError{region, fmt.Errorf("it is of region %q", p.Region)}
 	}
-	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Line[outage.Report], len(p.Lines)), 0}
-	for router, l := range p.Lines {
-		one := l.Report.Report
-		one.Table, one.Lacks = p.Table, l.Report.Without
-		r.Lines[router] = Line[outage.Report]{l.Boot, l.Number, l.AgeMs, l.Late, one}
+	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Entry[outage.Report], len(p.Entries)), 0}
+	for router, entry := range p.Entries {
+		report := entry.Report.Report
+		report.Table, report.Lacks = p.Table, entry.Report.Without
+		r.Entries[router] = Entry[outage.Report]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, report}
 	}
 	return r, nil
 }
 
-// late is the age of what nobody knows the age of.
-const late = 1e12
+// unknownAge is the age of what nobody knows the age of.
+const unknownAge = 1e12
 
 // Reports are what a decider on outages goes by: of each router one report, with its age. boots are those of the routers that are
 // registered; what another process of a router reported stands only where the one that is registered has not reported.
 func Reports(records []*Record[outage.Report], boots map[string]string, broken Fault) []outage.Report {
 	best := map[string]outage.Report{}
 	for _, r := range records {
-		for router, l := range r.Lines {
-			one := l.Report
-			one.Router, one.Boot, one.Rev, one.AgeMs = router, l.Boot, r.Rev, l.AgeMs
-			if l.Late {
-				one.AgeMs = late
+		for router, entry := range r.Entries {
+			report := entry.Report
+			report.Router, report.Boot, report.Rev, report.AgeMs = router, entry.Boot, r.Rev, entry.AgeMs
+			if entry.Late {
+				report.AgeMs = unknownAge
 			}
-			if broken == Silence {
-				one.Sees, one.Table = maps.Collect(one.All), nil
-				for id, s := range one.Sees {
-					s.SilentMs += l.AgeMs
-					one.Sees[id] = s
+			if broken == AgedSilence {
+				report.Sees, report.Table = maps.Collect(report.All), nil
+				for id, s := range report.Sees {
+					s.SilentMs += entry.AgeMs
+					report.Sees[id] = s
 				}
 			}
-			if was, is := best[router]; is && (was.Boot == boots[router] && one.Boot != was.Boot || was.Boot == one.Boot && was.AgeMs <= one.AgeMs) {
+			if current, ok := best[router]; ok && (current.Boot == boots[router] && report.Boot != current.Boot || current.Boot == report.Boot && current.AgeMs <= report.AgeMs) {
 				continue
 			}
-			best[router] = one
+			best[router] = report
 		}
 	}
 	out := make([]outage.Report, 0, len(best))
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -32,8 +32,8 @@
 	Me     string
 	Broken Fault
 
-	stood turn.Stood
-	due   turn.Due
+	stood turn.RevisionAges
+	due   turn.WriteDelay
 	gave  struct { // the state that it gave last, and when: its times were right then
 		seq int64
 		at  time.Duration
@@ -56,28 +56,28 @@
 	for _, r := range v.Reports {
 		reported[r.Router] = true
 	}
-	d.stood.Keep(func(key string) bool { return reported[key] })
+	d.stood.Retain(func(key string) bool { return reported[key] })
 	rev := int64(0)
 	if v.Last != nil {
 		rev = v.Last.Rev
 	}
 	state := func() time.Duration {
-		stood := d.stood.For(stateKey, rev, now)
+		stood := d.stood.Age(stateKey, rev, now)
 		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.gave.seq { // it stood from before it was read
 			stood = max(stood, now-d.gave.at)
 		}
 		return stood
 	}
 	made := d.Step(v, Ages{State: state,
-		Report: func(router string, rev int64) time.Duration { return d.stood.For(router, rev, now) }})
+		Report: func(router string, rev int64) time.Duration { return d.stood.Age(router, rev, now) }})
 	switch {
 	case made.Next == nil:
-		d.due.Over()
+		d.due.Clear()
 		return nil
-	case !made.Most || !d.due.Now(turn.Rank("outage", d.Me, made.names), step, now):
+	case !made.Most || !d.due.Elapsed(turn.Rank("outage", d.Me, made.names), step, now):
 		return nil
 	}
-	d.due.Over()
+	d.due.Clear()
 	d.gave.seq, d.gave.at = made.Next.Seq, now
 	return made.Next
 }
@@ -101,7 +101,7 @@
 	f := look(v, m, ages.Report)
 	next := v.Last.clone()
 	next.Format, next.Version, next.By = Format, v.Version, d.Me
-	next.Wrote()
+	next.CountWrite()
 	next.age(ms(ages.State()))
 	w := &work{State: next, v: v, m: m, f: f, broken: d.Broken, me: d.Me, waits: map[string]bool{}}
 	w.Seq++
--- a/internal/decide/outage/hindsight.go
+++ b/internal/decide/outage/hindsight.go
@@ -12,7 +12,7 @@
 // Hindsight counts the halts that a new version's own counts gave, by what was seen of the version afterwards. Halts for
 // other reasons (losses, a target that did not return, an operator) say nothing of a version and are not counted.
 type Hindsight struct {
-	Halts turn.Judged `json:"halts"`
+	Halts turn.VerdictCounts `json:"halts"`
 	// Last are the last ones that were settled, the newest last.
 	Last []Hind `json:"last,omitempty"`
 }
@@ -186,7 +186,7 @@
 
 // hindsight looks at the count of halts that were settled: it goes on, and a halt in doubt is among those that are open.
 func (a *Auditor) hindsight(s, before *State) {
-	if bad := s.Hindsight.Halts.Follows(before.Hindsight.Halts); bad != "" {
+	if bad := s.Hindsight.Halts.CheckAgainst(before.Hindsight.Halts); bad != "" {
 		a.fault(s, "halts in hindsight: %s", bad)
 	}
 	if r := s.Release; r != nil && r.Doubt != nil && s.Hindsight.Halts.Open == 0 {
--- a/internal/decide/outage/hindsight_test.go
+++ b/internal/decide/outage/hindsight_test.go
@@ -20,13 +20,13 @@
 		after float64 // part of requests that the new version fails once it was halted
 		how   func(v outage.View) (*outage.State, error)
 		looks int64 // requests of the new version after the halt that are waited for
-		want  turn.Judged
+		want  turn.VerdictCounts
 	}{
-		{"taken back, as bad", 0.2, back, 300, turn.Judged{Right: 1}},
-		{"taken back, no worse", 0, back, 2000, turn.Judged{Wrong: 1}},
-		{"taken back at once", 0.2, back, 0, turn.Judged{Open: 1}},
-		{"resumed to the end", 0.002, resume, 0, turn.Judged{Wrong: 1}},
-		{"resumed, and halted again", 0.2, resume, 0, turn.Judged{Right: 1, Open: 1}},
+		{"taken back, as bad", 0.2, back, 300, turn.VerdictCounts{Right: 1}},
+		{"taken back, no worse", 0, back, 2000, turn.VerdictCounts{Wrong: 1}},
+		{"taken back at once", 0.2, back, 0, turn.VerdictCounts{Open: 1}},
+		{"resumed to the end", 0.002, resume, 0, turn.VerdictCounts{Wrong: 1}},
+		{"resumed, and halted again", 0.2, resume, 0, turn.VerdictCounts{Right: 1, Open: 1}},
 	} {
 		f := newFleet(3, plain, "")
 		f.badLabel, f.failing = "v2", 0.2
@@ -68,7 +68,7 @@
 		rate float64
 		n    int64
 	}{{0.002, 500}, {0.002, 2000}, {0.002, 8000}, {0.01, 500}, {0.01, 2000}, {0.05, 100}, {0.05, 500}} {
-		var sum turn.Judged
+		var sum turn.VerdictCounts
 		for seed := range uint64(40) {
 			f := newFleet(seed, plain, "")
 			f.badLabel, f.failing = "v2", 0.2
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -10,7 +10,7 @@
 )
 
 // Format is that of the states that this program writes.
-const Format = 1 + turn.Ahead
+const Format = 1 + turn.FormatsAhead
 
 // Kind is what can be taken out.
 type Kind string
@@ -57,7 +57,7 @@
 	// OverMs is how long losses alone have used up the budget.
 	OverMs float64 `json:"over_ms,omitempty"`
 	Over   bool    `json:"over,omitempty"`
-	turn.Later
+	turn.NextFormat
 	Rev int64 `json:"-"`
 }
 
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -11,8 +11,8 @@
 // the opening rests was wrong if it was asked for there within a lease, and right if not. Releases of what its region keeps by its
 // own use are not asked about: it is asked for there by what they say.
 type Hindsight struct {
-	Copies   turn.Judged `json:"copies,omitzero"`
-	Releases turn.Judged `json:"releases,omitzero"`
+	Copies   turn.VerdictCounts `json:"copies,omitzero"`
+	Releases turn.VerdictCounts `json:"releases,omitzero"`
 }
 
 // found notes a copy's first use.
@@ -75,9 +75,9 @@
 	}
 	for _, one := range []struct {
 		what   string
-		is, on turn.Judged
+		is, on turn.VerdictCounts
 	}{{"copies", s.Hindsight.Copies, was.Copies}, {"releases", s.Hindsight.Releases, was.Releases}} {
-		if bad := one.is.Follows(one.on); bad != "" {
+		if bad := one.is.CheckAgainst(one.on); bad != "" {
 			a.fault(s, "%s in hindsight: %s", one.what, bad)
 		}
 	}
--- a/internal/decide/reuse/hindsight_test.go
+++ b/internal/decide/reuse/hindsight_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name             string
 		after            func(f *fleet)
-		copies, releases turn.Judged
+		copies, releases turn.VerdictCounts
 	}{
 		{"found", func(f *fleet) {
 			for _, r := range []string{"b", "c"} {
@@ -26,8 +26,8 @@
 				f.meters[r].Use(crowd, 3000, f.now)
 			}
 			quiet(f, 90)
-		}, turn.Judged{Right: 2}, turn.Judged{Right: 2}},
-		{"not found, and not asked for", func(f *fleet) { quiet(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
+		}, turn.VerdictCounts{Right: 2}, turn.VerdictCounts{Right: 2}},
+		{"not found, and not asked for", func(f *fleet) { quiet(f, 130) }, turn.VerdictCounts{Wrong: 2}, turn.VerdictCounts{Right: 2}},
 		{"not found, asked for afterwards", func(f *fleet) {
 			for f.to("b", crowd) != nil {
 				quiet(f, 1)
@@ -35,13 +35,13 @@
 			quiet(f, 20)
 			f.meters["b"].Use(crowd, 3000, f.now)
 			quiet(f, 90)
-		}, turn.Judged{Wrong: 2}, turn.Judged{Right: 1, Wrong: 1}},
+		}, turn.VerdictCounts{Wrong: 2}, turn.VerdictCounts{Right: 1, Wrong: 1}},
 		{"its server starts again", func(f *fleet) {
 			for i := range f.servers {
 				f.servers[i].Boot = "2"
 			}
 			quiet(f, 1)
-		}, turn.Judged{Void: 2}, turn.Judged{}},
+		}, turn.VerdictCounts{Void: 2}, turn.VerdictCounts{}},
 	} {
 		f := newFleet("")
 		f.m.LeaseMs = 40_000
@@ -55,7 +55,7 @@
 		for _, fault := range f.audit.Faults {
 			t.Errorf("%s: %s", c.name, fault)
 		}
-		for _, broken := range []Hindsight{{}, {Copies: turn.Judged{Open: 9, Right: 9, Wrong: 9, Void: 9}, Releases: h.Releases}} {
+		for _, broken := range []Hindsight{{}, {Copies: turn.VerdictCounts{Open: 9, Right: 9, Wrong: 9, Void: 9}, Releases: h.Releases}} {
 			s := *f.last
 			s.Seq, s.Hindsight = s.Seq+1, broken
 			b := &Auditor{Model: f.m}
--- a/internal/decide/samples/acts.go
+++ b/internal/decide/samples/acts.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Acts are what follows from a board for those that carry it out.
-type Acts struct {
-	// Part is the part of the requests for samples that are taken, from 0 to 1.
-	Part float64 `json:"part"`
+// Actions are what follows from a board for those that carry it out.
+type Actions struct {
+	// AdmitFraction is the part of the requests for samples that are taken, from 0 to 1.
+	AdmitFraction float64 `json:"part"`
 	// Shares are the parts of its prompts that each worker is given, from 0 to 1; the choice stays in the decision module.
 	Shares map[string]float64 `json:"shares,omitempty"`
 	// Reloads are the workers that should load the newest version, in the order of what that gains. They are wishes: who
 	// is let out, and when, is decided with all other outages.
-	Reloads []Wish `json:"reloads,omitempty"`
-	Said    string `json:"said,omitempty"` // what an operator should know
+	Reloads []Reload `json:"reloads,omitempty"`
+	Notice  string   `json:"said,omitempty"` // what an operator should know
 }
 
-// Wish asks for a permit to have a worker reload.
-type Wish struct {
+// Reload asks for a permit to have a worker reload.
+type Reload struct {
 	Worker string  `json:"worker"`
 	Boot   string  `json:"boot"`
 	From   int64   `json:"from"`
@@ -27,80 +27,80 @@
 	Gain   float64 `json:"gain"` // accepted tokens a second that weigh again
 }
 
-// act fills in the acts; it tells whether they say anything new.
-func (s *State) act(m Model, reports []Report) bool {
-	before := s.Acts
-	s.Part, s.Said = s.part(m, reports)
-	if room := s.room(m); room < 1 {
-		if s.Part *= room; s.Said == "" {
-			s.Said = "samples give way: clerks' requests are refused or late"
+// updateActions fills in the acts; it tells whether they say anything new.
+func (s *State) updateActions(m Model, reports []Report) bool {
+	before := s.Actions
+	s.AdmitFraction, s.Notice = s.admitFraction(m, reports)
+	if fraction := s.sampleFraction(m); fraction < 1 {
+		if s.AdmitFraction *= fraction; s.Notice == "" {
+			s.Notice = "samples give way: clerks' requests are refused or late"
 		}
 	}
-	if s.Part > 0 && s.Part < 1 && math.Abs(s.Part-before.Part) < m.Hysteresis-1e-9 && before.Part > 0 {
-		s.Part = before.Part
+	if s.AdmitFraction > 0 && s.AdmitFraction < 1 && math.Abs(s.AdmitFraction-before.AdmitFraction) < m.Hysteresis-1e-9 && before.AdmitFraction > 0 {
+		s.AdmitFraction = before.AdmitFraction
 	}
-	news := s.Part != before.Part || s.Said != before.Said
+	changed := s.AdmitFraction != before.AdmitFraction || s.Notice != before.Notice
 	shares := map[string]float64{}
 	for name, w := range s.Workers {
-		share, was := 1.0, 0.0
+		share, previous := 1.0, 0.0
 		switch {
-		case m.fresh(float64(s.Version-w.Label), 0) == 0:
+		case m.freshness(float64(s.Version-w.Label), 0) == 0:
 			share = 0
-		case w.Held != "":
+		case w.HoldReason != "":
 			share = m.ShareLeast
 		default:
 			share = min(max(w.Score, m.ShareLeast), 1)
 		}
-		was, is := before.Shares[name]
-		if is && share > 0 && was > 0 && math.Abs(share-was) < m.Hysteresis && (share < 1 || was == 1) {
-			share = was
+		previous, ok := before.Shares[name]
+		if ok && share > 0 && previous > 0 && math.Abs(share-previous) < m.Hysteresis && (share < 1 || previous == 1) {
+			share = previous
 		}
-		news = news || !is || share != was
+		changed = changed || !ok || share != previous
 		shares[name] = share
 	}
-	news = news || len(shares) != len(before.Shares)
+	changed = changed || len(shares) != len(before.Shares)
 	s.Shares = shares
-	s.Reloads = s.wishes(m)
-	return news || !slices.EqualFunc(s.Reloads, before.Reloads, func(a, b Wish) bool { return a.Worker == b.Worker && a.Boot == b.Boot && a.To == b.To })
+	s.Reloads = s.reloadRequests(m)
+	return changed || !slices.EqualFunc(s.Reloads, before.Reloads, func(a, b Reload) bool { return a.Worker == b.Worker && a.Boot == b.Boot && a.To == b.To })
 }
 
-// part is the part of requests for samples that are taken: whole until one batch is left of what generation may be ahead
+// admitFraction is the admitFraction of requests for samples that are taken: whole until one batch is left of what generation may be ahead
 // by, and none past that. What routers have in hand counts as made.
-func (s *State) part(m Model, reports []Report) (float64, string) {
+func (s *State) admitFraction(m Model, reports []Report) (float64, string) {
 	stale := 0
 	for _, w := range s.Workers {
-		if m.fresh(float64(s.Version-w.Label), 0) == 0 {
+		if m.freshness(float64(s.Version-w.Label), 0) == 0 {
 			stale++
 		}
 	}
 	if stale > 0 && stale == len(s.Workers) {
 		return 0, "all workers are past the bound of staleness: their samples would weigh nothing, none are asked for until one has reloaded"
 	}
-	hand := s.inside(m)
+	inFlight := s.eligibleCount(m)
 	for _, r := range reports {
-		waiting := r.First + int64(len(r.Samples)) - 1 - s.Marks[r.mark()].Seq // reported, not yet counted
-		if !r.Silent {                                                         // what one had in hand that is lost is taken over, and in another's hand
-			hand += min(r.InHand, MaxKeys)
+		uncounted := r.First + int64(len(r.Samples)) - 1 - s.Watermarks[r.watermarkKey()].Seq // reported, not yet counted
+		if !r.Silent {                                                                        // what one had in hand that is lost is taken over, and in another's hand
+			inFlight += min(r.InFlight, MaxKeys)
 		}
-		hand += int(min(max(waiting, 0), int64(len(r.Samples))))
+		inFlight += int(min(max(uncounted, 0), int64(len(r.Samples))))
 	}
-	ahead := float64(s.last()-s.Taken) + float64(hand)/float64(m.Batch)
-	part := min(max(float64(m.Ahead)-ahead, 0), 1)
-	if part == 0 {
+	ahead := float64(s.lastClosed()-s.Taken) + float64(inFlight)/float64(m.Batch)
+	fraction := min(max(float64(m.Ahead)-ahead, 0), 1)
+	if fraction == 0 {
 		return 0, "generation is as many batches ahead of the tuner as it may be"
 	}
-	return part, ""
+	return fraction, ""
 }
 
-// wishes are the reloads of workers past the bound. What a reload gains is the worker's throughput, all of which weighs
+// reloadRequests are the reloads of workers past the bound. What a reload gains is the worker's throughput, all of which weighs
 // nothing now; gains are compared in steps of the hysteresis, so that the order does not change with every sample.
-func (s *State) wishes(m Model) (out []Wish) {
+func (s *State) reloadRequests(m Model) (out []Reload) {
 	for name, w := range s.Workers {
-		if s.Version > w.Label && m.fresh(float64(s.Version-w.Label), 0) == 0 {
-			out = append(out, Wish{Worker: name, Boot: w.Boot, From: w.Label, To: s.Version, Gain: w.Rate})
+		if s.Version > w.Label && m.freshness(float64(s.Version-w.Label), 0) == 0 {
+			out = append(out, Reload{Worker: name, Boot: w.Boot, From: w.Label, To: s.Version, Gain: w.Rate})
 		}
 	}
-	step := func(w Wish) float64 { return math.Round(math.Log(max(w.Gain, 1e-3)) / m.Hysteresis) }
-	slices.SortFunc(out, func(a, b Wish) int { return cmp.Or(cmp.Compare(step(b), step(a)), cmp.Compare(a.Worker, b.Worker)) })
+	step := func(w Reload) float64 { return math.Round(math.Log(max(w.Gain, 1e-3)) / m.Hysteresis) }
+	slices.SortFunc(out, func(a, b Reload) int { return cmp.Or(cmp.Compare(step(b), step(a)), cmp.Compare(a.Worker, b.Worker)) })
 	return out
 }
--- a/internal/decide/samples/audit.go
+++ b/internal/decide/samples/audit.go
@@ -26,16 +26,16 @@
 // reported is what was counted, late, repeated or beyond, a closed epoch stays as it is, its weights have a mean of 1 and
 // keep to bound, caps and floor, and no worker is trusted with more than it has shown. An error is an *AuditError.
 func Audit(history []*State) error {
-	a := auditor{epochs: map[int64]Epoch{}, place: map[uint64]int64{}, shown: map[shown]int{}}
+	a := auditor{epochs: map[int64]Epoch{}, placed: map[uint64]int64{}, made: map[workerVersion]int{}}
 	for _, s := range history {
-		if err := a.state(s); err != nil {
+		if err := a.checkState(s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-type shown struct {
+type workerVersion struct {
 	worker, boot string
 	version      int64
 }
@@ -43,67 +43,67 @@
 type auditor struct {
 	last   *State
 	epochs map[int64]Epoch
-	place  map[uint64]int64 // the epoch of each key, those of late ones below 0
-	shown  map[shown]int
+	placed map[uint64]int64 // the epoch of each key, those of late ones below 0
+	made   map[workerVersion]int
 }
 
-func (a *auditor) state(s *State) error {
+func (a *auditor) checkState(s *State) error {
 	fault := func(rule string, epoch int64, why string, args ...any) error {
 		return &AuditError{Rule: rule, Seq: s.Seq, Epoch: epoch, Why: fmt.Sprintf(why, args...)}
 	}
 	if t := s.Totals; t.Reported != t.Counted+t.Late+t.Repeated+t.Beyond {
 		return fault("places", s.Open.Number, "%d reported, %d counted, %d late, %d repeated, %d beyond", t.Reported, t.Counted, t.Late, t.Repeated, t.Beyond)
 	}
-	if s.Yield < 0 || s.Yield > 1 || s.Part < 0 || s.Part > 1 || s.Yield == 1 && s.Part > 0 {
-		return fault("clerks", s.Open.Number, "samples give up %g to clerks, and %g of them are taken", s.Yield, s.Part)
+	if s.Backoff < 0 || s.Backoff > 1 || s.AdmitFraction < 0 || s.AdmitFraction > 1 || s.Backoff == 1 && s.AdmitFraction > 0 {
+		return fault("clerks", s.Open.Number, "samples give up %g to clerks, and %g of them are taken", s.Backoff, s.AdmitFraction)
 	}
 	if l := a.last; l != nil && (s.Seq != l.Seq+1 || s.Open.Number < l.Open.Number || s.Open.Number > l.Open.Number+MaxAhead || s.Version < l.Version || s.Taken < l.Taken) {
 		return fault("numbers", s.Open.Number, "after board %d with epoch %d, version %d, %d taken: version %d, %d taken", l.Seq, l.Open.Number, l.Version, l.Taken, s.Version, s.Taken)
 	}
 	for _, e := range s.Closed {
-		if known, is := a.epochs[e.Number]; is {
-			if known.N != e.N || known.Mix != e.Mix || known.Late != e.Late || known.Repeated != e.Repeated || known.Beyond != e.Beyond || !sameKeys(known, e) {
+		if known, ok := a.epochs[e.Number]; ok {
+			if known.Counted != e.Counted || known.Weighting != e.Weighting || known.Late != e.Late || known.Repeated != e.Repeated || known.Beyond != e.Beyond || !sameKeys(known, e) {
 				return fault("closed", e.Number, "it was closed, and is another now")
 			}
 			continue
 		}
-		if err := a.closed(s, e); err != nil {
+		if err := a.checkClosed(s, e); err != nil {
 			return err
 		}
 	}
-	if err := a.conserved(s); err != nil {
+	if err := a.checkTotals(s); err != nil {
 		return err
 	}
-	if err := a.hindsight(s); err != nil {
+	if err := a.checkHindsight(s); err != nil {
 		return err
 	}
 	a.last = s
 	return nil
 }
 
-// conserved compares the totals with the epochs.
-func (a *auditor) conserved(s *State) error {
+// checkTotals compares the totals with the epochs.
+func (a *auditor) checkTotals(s *State) error {
 	var sum Totals
 	for number := int64(1); number < s.Open.Number; number++ {
-		e, is := a.epochs[number]
-		if !is {
+		e, ok := a.epochs[number]
+		if !ok {
 			return nil // the history does not begin with the board
 		}
-		sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+int64(e.N), sum.Late+int64(e.Late), sum.Repeated+int64(e.Repeated), sum.Beyond+int64(e.Beyond)
+		sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+int64(e.Counted), sum.Late+int64(e.Late), sum.Repeated+int64(e.Repeated), sum.Beyond+int64(e.Beyond)
 	}
-	o := s.Open
-	if t := s.Totals; t.Counted != sum.Counted+int64(o.N) || t.Late != sum.Late+int64(o.Late) || t.Repeated != sum.Repeated+int64(o.Repeated) || t.Beyond != sum.Beyond+int64(o.Beyond) {
-		return &AuditError{Rule: "places", Seq: s.Seq, Epoch: o.Number, Why: fmt.Sprintf("all epochs have %+v, the totals say %+v", sum, t)}
+	open := s.Open
+	if t := s.Totals; t.Counted != sum.Counted+int64(open.Counted) || t.Late != sum.Late+int64(open.Late) || t.Repeated != sum.Repeated+int64(open.Repeated) || t.Beyond != sum.Beyond+int64(open.Beyond) {
+		return &AuditError{Rule: "places", Seq: s.Seq, Epoch: open.Number, Why: fmt.Sprintf("all epochs have %+v, the totals say %+v", sum, t)}
 	}
 	return nil
 }
 
 func sameKeys(a, b Epoch) bool {
 	known := map[uint64]int{}
-	for key := range a.Placed {
+	for key := range a.AllKeys {
 		known[key]++
 	}
-	for key := range b.Placed {
+	for key := range b.AllKeys {
 		known[key]--
 	}
 	for _, n := range known {
@@ -114,73 +114,73 @@
 	return true
 }
 
-// closed looks at an epoch when it is first seen closed.
-func (a *auditor) closed(s *State, e Epoch) error {
+// checkClosed looks at an epoch when it is first seen checkClosed.
+func (a *auditor) checkClosed(s *State, e Epoch) error {
 	fault := func(rule, why string, args ...any) error {
 		return &AuditError{Rule: rule, Seq: s.Seq, Epoch: e.Number, Why: fmt.Sprintf(why, args...)}
 	}
-	for key := range e.Placed {
-		if other, twice := a.place[key]; twice {
+	for key := range e.AllKeys {
+		if other, seen := a.placed[key]; seen {
 			return fault("places", "sample %x was counted in epoch %d already", key, other)
 		}
-		a.place[key] = e.Number
+		a.placed[key] = e.Number
 	}
 	a.epochs[e.Number] = e
 	if len(e.Groups) == 0 {
 		return nil
 	}
-	n, weighed, sum, squares := 0, 0, 0.0, 0.0
+	counted, weighed, sum, squares := 0, 0, 0.0, 0.0
 	parts := [3]map[string]float64{{}, {}, {}}
 	for _, g := range e.Groups {
-		if g.N != len(g.Keys) {
-			return fault("places", "%s has %d samples and %d keys", g.Worker, g.N, len(g.Keys))
+		if g.Count != len(g.Keys) {
+			return fault("places", "%s has %d samples and %d keys", g.Worker, g.Count, len(g.Keys))
 		}
-		a.shown[shown{g.Worker, g.Boot, g.Version}] += g.N
-		n += g.N
+		a.made[workerVersion{g.Worker, g.Boot, g.Version}] += g.Count
+		counted += g.Count
 		if g.Weight == 0 {
 			continue
 		}
-		if math.IsNaN(g.Weight) || g.Weight < 0 || e.Bounds == nil || g.lag(e.Version) > e.Bounds.Stale || g.spread() > e.Bounds.Spread || g.Held != "" || g.Aged {
-			return fault("bound", "%s, version %d of %d, held %q: its samples weigh %g", g.Worker, g.Version, e.Version, g.Held, g.Weight)
+		if math.IsNaN(g.Weight) || g.Weight < 0 || e.Bounds == nil || g.lag(e.Version) > e.Bounds.Stale || g.spread() > e.Bounds.Spread || g.HoldReason != "" || g.Aged {
+			return fault("bound", "%s, version %d of %d, held %q: its samples weigh %g", g.Worker, g.Version, e.Version, g.HoldReason, g.Weight)
 		}
-		mass := float64(g.N) * g.Weight
-		weighed, sum, squares = weighed+g.N, sum+mass, squares+mass*g.Weight
-		for f, member := range []string{g.Worker, g.Site, fmt.Sprint(g.Version)} {
-			parts[f][member] += mass
+		mass := float64(g.Count) * g.Weight
+		weighed, sum, squares = weighed+g.Count, sum+mass, squares+mass*g.Weight
+		for dimension, member := range []string{g.Worker, g.Site, fmt.Sprint(g.Version)} {
+			parts[dimension][member] += mass
 		}
 	}
 	switch {
 	case e.Bounds == nil:
 		return fault("weights", "it does not say by which bounds it was weighed")
-	case n != e.N || weighed != e.Weighed:
-		return fault("places", "%d samples, %d of them weighed; it says %d and %d", n, weighed, e.N, e.Weighed)
+	case counted != e.Counted || weighed != e.Weighed:
+		return fault("places", "%d samples, %d of them weighed; it says %d and %d", counted, weighed, e.Counted, e.Weighed)
 	case math.Abs(sum-float64(weighed)) > 1e-6*float64(weighed):
 		return fault("weights", "%d samples weigh %g together", weighed, sum)
-	case weighed > 0 && math.Abs(sum*sum/squares-e.Size) > 1e-6*e.Size:
-		return fault("size", "its effective size is %g; it says %g", sum*sum/squares, e.Size)
-	case weighed > 0 && e.Size < e.Bounds.Floor*float64(weighed)*(1-1e-6):
-		return fault("size", "its effective size is %g of %d, the floor is %g", e.Size, weighed, e.Bounds.Floor)
-	}
-	for f, members := range parts {
-		most := max(e.Bounds.Caps[f], 1/float64(max(len(members), 1)))
-		most += e.Relaxed * (1 - most)
+	case weighed > 0 && math.Abs(sum*sum/squares-e.EffectiveSize) > 1e-6*e.EffectiveSize:
+		return fault("size", "its effective size is %g; it says %g", sum*sum/squares, e.EffectiveSize)
+	case weighed > 0 && e.EffectiveSize < e.Bounds.Floor*float64(weighed)*(1-1e-6):
+		return fault("size", "its effective size is %g of %d, the floor is %g", e.EffectiveSize, weighed, e.Bounds.Floor)
+	}
+	for dimension, members := range parts {
+		limit := max(e.Bounds.Caps[dimension], 1/float64(max(len(members), 1)))
+		limit += e.CapsRelaxed * (1 - limit)
 		for member, mass := range members {
-			if mass > sum*most*(1+1e-6) {
-				return fault("caps", "%q has %.4f of its weight, at most %.4f", member, mass/sum, most)
+			if mass > sum*limit*(1+1e-6) {
+				return fault("caps", "%q has %.4f of its weight, at most %.4f", member, mass/sum, limit)
 			}
 		}
 	}
-	return a.anew(e, fault)
+	return a.checkTrust(e, fault)
 }
 
-// anew checks that no worker is trusted with what it showed before it started anew.
-func (a *auditor) anew(e Epoch, fault func(rule, why string, args ...any) error) error {
-	if _, whole := a.epochs[1]; !whole {
+// checkTrust checks that no worker is trusted with what it showed before it started checkTrust.
+func (a *auditor) checkTrust(e Epoch, fault func(rule, why string, args ...any) error) error {
+	if _, complete := a.epochs[1]; !complete {
 		return nil
 	}
 	for _, g := range e.Groups {
-		if most := a.shown[shown{g.Worker, g.Boot, g.Version}]; g.Seen > float64(most)*(1+1e-9) {
-			return fault("anew", "%s, boot %s, version %d, is trusted with %.1f samples and has made %d", g.Worker, g.Boot, g.Version, g.Seen, most)
+		if made := a.made[workerVersion{g.Worker, g.Boot, g.Version}]; g.WorkerSamples > float64(made)*(1+1e-9) {
+			return fault("anew", "%s, boot %s, version %d, is trusted with %.1f samples and has made %d", g.Worker, g.Boot, g.Version, g.WorkerSamples, made)
 		}
 	}
 	return nil
--- a/internal/decide/samples/board_test.go
+++ b/internal/decide/samples/board_test.go
@@ -14,7 +14,7 @@
 	"sumacloft/internal/standin"
 )
 
-func dice(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 23)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 23)) }
 
 func asKey(err error, e **KeyError) bool { return errors.As(err, e) }
 
@@ -36,31 +36,31 @@
 	tuner   *Published
 	rev     int64
 	workers []Worker
-	runs    map[string]int64 // what a worker really runs
-	routers []*source
+	running map[string]int64 // what a worker really runs
+	routers []*router
 	key     uint64
 	ended   map[uint64]bool
 	broken  Fault
 }
 
-type source struct {
-	report  Report
-	cut     bool
-	decider Decider
-	pending *State // decided, not yet written
-	read    int    // how many boards there were when it was read
+type router struct {
+	report   Report
+	isolated bool
+	decider  Decider
+	pending  *State // decided, not yet written
+	read     int    // how many boards there were when it was read
 }
 
 func newFleet(seed uint64, routers, workers int) *fleet {
-	f := &fleet{rng: dice(seed), runs: map[string]int64{}, ended: map[uint64]bool{}, tuner: &Published{Version: 1}, rev: 1,
+	f := &fleet{rng: newRand(seed), running: map[string]int64{}, ended: map[uint64]bool{}, tuner: &Published{Version: 1}, rev: 1,
 		model: Model{Batch: 20, EpochMs: 1000, LateEpochs: 2, HoldMs: 1000}}
 	for i := range workers {
 		name := fmt.Sprint("w", i)
 		f.workers = append(f.workers, Worker{Name: name, Boot: "1", Site: fmt.Sprint("s", i%3), Kind: "k", Label: 1})
-		f.runs[name] = 1
+		f.running[name] = 1
 	}
 	for i := range routers {
-		f.routers = append(f.routers, &source{report: Report{Router: fmt.Sprint("r", i), Boot: "1", First: 1}, decider: Decider{Me: fmt.Sprint("r", i)}})
+		f.routers = append(f.routers, &router{report: Report{Router: fmt.Sprint("r", i), Boot: "1", First: 1}, decider: Decider{Me: fmt.Sprint("r", i)}})
 	}
 	return f
 }
@@ -74,10 +74,10 @@
 
 // view is what a decider reads: what was last written by each router, cut off or not.
 func (f *fleet) view() View {
-	v := View{Model: f.model, Policy: 1, Last: f.last(), Tuner: f.tuner, Rev: f.rev, Workers: f.workers}
+	v := View{Model: f.model, Policy: 1, Last: f.last(), Tuner: f.tuner, TunerRev: f.rev, Workers: f.workers}
 	for _, r := range f.routers {
 		one := r.report
-		if r.cut {
+		if r.isolated {
 			one = Report{Router: one.Router, Boot: one.Boot, Silent: true}
 		}
 		v.Reports = append(v.Reports, one)
@@ -86,36 +86,36 @@
 }
 
 // sample has a worker make one, begun under an epoch.
-func (f *fleet) sample(w Worker, began int64) Sample {
+func (f *fleet) sample(w Worker, epoch int64) Sample {
 	f.key++
 	f.ended[f.key] = true
-	return Sample{Key: f.key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: f.runs[w.Name], Began: began, AgeMs: 1000,
+	return Sample{Key: f.key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: f.running[w.Name], StartEpoch: epoch, AgeMs: 1000,
 		Tokens: 400 + f.rng.IntN(200), TookMs: 4000 + int64(f.rng.IntN(2000)), Accepted: true}
 }
 
-func (f *fleet) open() int64 {
+func (f *fleet) openEpoch() int64 {
 	if s := f.last(); s != nil {
 		return s.Open.Number
 	}
 	return 1
 }
 
-// busy has each router end n samples.
-func (f *fleet) busy(n int) {
+// produce has each router end n samples.
+func (f *fleet) produce(n int) {
 	for _, r := range f.routers {
 		for range n {
-			f.end(r, f.sample(f.workers[f.rng.IntN(len(f.workers))], f.open()))
+			f.finish(r, f.sample(f.workers[f.rng.IntN(len(f.workers))], f.openEpoch()))
 		}
 	}
 }
 
-func (f *fleet) end(r *source, s Sample) { r.report.Samples = append(r.report.Samples, s) }
+func (f *fleet) finish(r *router, s Sample) { r.report.Samples = append(r.report.Samples, s) }
 
-// confirm has routers drop what the board has counted.
-func (f *fleet) confirm() {
+// acknowledge has routers drop what the board has counted.
+func (f *fleet) acknowledge() {
 	for _, r := range f.routers {
-		if mark, is := f.last().Marks[r.report.mark()]; is && !r.cut {
-			n := min(max(mark.Seq-r.report.First+1, 0), int64(len(r.report.Samples)))
+		if watermark, ok := f.last().Watermarks[r.report.watermarkKey()]; ok && !r.isolated {
+			n := min(max(watermark.Seq-r.report.First+1, 0), int64(len(r.report.Samples)))
 			r.report.First, r.report.Samples = r.report.First+n, r.report.Samples[n:]
 		}
 	}
@@ -136,7 +136,7 @@
 			panic(err)
 		}
 		f.history = append(f.history, s)
-		f.confirm()
+		f.acknowledge()
 	}
 	r.pending = nil
 }
@@ -153,7 +153,7 @@
 	for i := range f.workers {
 		for _, name := range names {
 			if w := &f.workers[i]; w.Name == name {
-				w.Label, f.runs[name] = version, version
+				w.Label, f.running[name] = version, version
 			}
 		}
 	}
@@ -165,47 +165,47 @@
 	f.rev++
 }
 
-// placed checks that each sample that ended stands at one place, or in a report still.
-func (f *fleet) placed(beyond bool) error {
-	at := map[uint64]bool{}
+// checkPlaced checks that each sample that ended stands at one place, or in a report still.
+func (f *fleet) checkPlaced(tolerate bool) error {
+	found := map[uint64]bool{}
 	seen := map[int64]bool{}
-	note := func(e Epoch) {
-		for key := range e.Placed {
-			at[key] = true
+	collect := func(e Epoch) {
+		for key := range e.AllKeys {
+			found[key] = true
 		}
 	}
 	for _, s := range f.history {
 		for _, e := range s.Closed {
 			if !seen[e.Number] {
 				seen[e.Number] = true
-				note(e)
+				collect(e)
 			}
 		}
 	}
 	if s := f.last(); s != nil {
-		note(s.Open)
+		collect(s.Open)
 	}
 	for _, r := range f.routers {
 		for _, s := range r.report.Samples {
-			at[s.Key] = true
+			found[s.Key] = true
 		}
 	}
 	for key := range f.ended {
-		if !at[key] && !beyond {
+		if !found[key] && !tolerate {
 			return fmt.Errorf("sample %d stands nowhere", key)
 		}
 	}
 	return nil
 }
 
-// walk takes one act at random.
-func (f *fleet) walk(draw func(int) int) {
+// randomStep takes one act at random.
+func (f *fleet) randomStep(draw func(int) int) {
 	i := draw(len(f.routers))
 	r, w := f.routers[i], &f.workers[draw(len(f.workers))]
 	switch draw(12) {
 	case 0, 1, 2:
 		for range 1 + draw(12) {
-			f.end(r, f.sample(f.workers[draw(len(f.workers))], max(f.open()-int64(draw(4)), 1)))
+			f.finish(r, f.sample(f.workers[draw(len(f.workers))], max(f.openEpoch()-int64(draw(4)), 1)))
 		}
 	case 3, 4, 5:
 		f.now += time.Duration(draw(400)) * time.Millisecond
@@ -214,66 +214,66 @@
 		f.write(i)
 	case 9: // another has taken over what this one reported, and reports it too
 		if n := len(r.report.Samples); n > 0 {
-			f.end(f.routers[draw(len(f.routers))], r.report.Samples[draw(n)])
+			f.finish(f.routers[draw(len(f.routers))], r.report.Samples[draw(n)])
 		}
 	case 10:
 		switch draw(4) {
 		case 0:
-			f.publish(f.tuner.Version+int64(draw(3)), max(f.open()-1-int64(draw(2)), 0))
+			f.publish(f.tuner.Version+int64(draw(3)), max(f.openEpoch()-1-int64(draw(2)), 0))
 		case 1:
 			f.publish(max(f.tuner.Version-1, 0), 0)
 		case 2:
 			w.Label = f.tuner.Version
-			f.runs[w.Name] = max(w.Label-int64(draw(2)), 0) // some do not run what they claim
+			f.running[w.Name] = max(w.Label-int64(draw(2)), 0) // some do not run what they claim
 		case 3:
 			w.Boot += "x"
 		}
 	case 11:
-		r.cut = !r.cut
-		r.report.Clerks = Met{N: 40, Bad: float64(5 * i)}
+		r.isolated = !r.isolated
+		r.report.Interactive = Load{Total: 40, Failed: float64(5 * i)}
 	}
 }
 
 // The board holds through whatever order of reads and writes, takings over, restarts and losses.
-func TestBoard(t *testing.T) {
+func TestStateInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(1, 3, 5)
 		for range rapid.IntRange(1, 200).Draw(t, "acts") {
-			f.walk(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
+			f.randomStep(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
 		}
-		if err := errors.Join(Audit(f.history), f.placed(f.last() != nil && f.last().Totals.Beyond > 0)); err != nil {
+		if err := errors.Join(Audit(f.history), f.checkPlaced(f.last() != nil && f.last().Totals.Beyond > 0)); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // Ten walks of each: the checker finds each rule that is broken on purpose, and nothing where none is.
-func TestAuditFindsFaults(t *testing.T) {
+func TestAuditDetectsInjectedFaults(t *testing.T) {
 	rules := map[Fault]string{CountsTwice: "places", NoCompare: "numbers places closed", NoBound: "bound", NoReset: "anew", "": ""}
 	for fault, rule := range rules {
-		found, sum := map[string]int{}, Totals{}
+		violations, sum := map[string]int{}, Totals{}
 		for seed := range uint64(10) {
 			f := newFleet(seed, 3, 5)
 			f.broken = fault
 			for range 400 {
-				f.walk(f.rng.IntN)
+				f.randomStep(f.rng.IntN)
 			}
-			o := f.last().Totals
-			sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+o.Counted, sum.Late+o.Late, sum.Repeated+o.Repeated, sum.Beyond+o.Beyond
+			totals := f.last().Totals
+			sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+totals.Counted, sum.Late+totals.Late, sum.Repeated+totals.Repeated, sum.Beyond+totals.Beyond
 			var e *AuditError
 			if err := Audit(f.history); errors.As(err, &e) {
-				found[e.Rule]++
+				violations[e.Rule]++
 				if !strings.Contains(rule, e.Rule) {
 					t.Errorf("%q, seed %d: %v", fault, seed, err)
 				}
 			}
 		}
-		t.Logf("fault %q: found in %v of 10 walks, %+v", fault, found, sum)
+		t.Logf("fault %q: found in %v of 10 walks, %+v", fault, violations, sum)
 		if fault == "" && (sum.Late == 0 || sum.Repeated == 0 || sum.Beyond == 0) {
 			t.Errorf("the walks never came there: %+v", sum)
 		}
-		if fault != "" && len(found) == 0 {
+		if fault != "" && len(violations) == 0 {
 			t.Errorf("fault %q was not found", fault)
 		}
 	}
@@ -282,7 +282,7 @@
 func FuzzRead(f *testing.F) {
 	g := newFleet(1, 2, 3)
 	for range 6 {
-		g.busy(8)
+		g.produce(8)
 		g.step(0, "")
 	}
 	f.Add(encode(g.last()), []byte(`{"router":"a","boot":"1","first":1,"samples":[{"key":1,"worker":"w0"}]}`), []byte("7"))
--- a/internal/decide/samples/cases_test.go
+++ b/internal/decide/samples/cases_test.go
@@ -16,7 +16,7 @@
 	if err := Audit(f.history); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.placed(false); err != nil {
+	if err := f.checkPlaced(false); err != nil {
 		t.Fatal(err)
 	}
 	return f.last()
@@ -24,58 +24,58 @@
 
 // A tuner that writes the same twice changes nothing, one that goes backwards is not followed and named, one that claims
 // an epoch that is not closed takes none.
-func TestTunerTwiceAndBackwards(t *testing.T) {
+func TestTunerRepeatsAndRegresses(t *testing.T) {
 	f := newFleet(1, 2, 4)
-	f.busy(30)
+	f.produce(30)
 	s := f.settle(t)
-	if s.last() < 1 || s.Taken != 0 {
-		t.Fatalf("%d closed, %d taken", s.last(), s.Taken)
+	if s.lastClosed() < 1 || s.Taken != 0 {
+		t.Fatalf("%d closed, %d taken", s.lastClosed(), s.Taken)
 	}
 	f.publish(5, 1)
 	f.settle(t)
 	f.publish(5, 1)
-	if s = f.settle(t); s.Version != 5 || s.Taken != 1 || s.Twice != 1 || s.Tuner != "" {
-		t.Errorf("version %d, %d taken, twice %d, %q", s.Version, s.Taken, s.Twice, s.Tuner)
+	if s = f.settle(t); s.Version != 5 || s.Taken != 1 || s.Republished != 1 || s.TunerFault != "" {
+		t.Errorf("version %d, %d taken, twice %d, %q", s.Version, s.Taken, s.Republished, s.TunerFault)
 	}
 	f.publish(4, 1)
-	if s = f.settle(t); s.Version != 5 || s.Back != 1 || !strings.Contains(s.Tuner, "version 4 after 5") {
-		t.Errorf("version %d, back %d, %q", s.Version, s.Back, s.Tuner)
+	if s = f.settle(t); s.Version != 5 || s.OlderPublished != 1 || !strings.Contains(s.TunerFault, "version 4 after 5") {
+		t.Errorf("version %d, back %d, %q", s.Version, s.OlderPublished, s.TunerFault)
 	}
 	f.publish(6, 99)
-	if s = f.settle(t); s.Version != 6 || s.Taken != 1 || !strings.Contains(s.Tuner, "epoch 99") {
-		t.Errorf("version %d, %d taken, %q", s.Version, s.Taken, s.Tuner)
+	if s = f.settle(t); s.Version != 6 || s.Taken != 1 || !strings.Contains(s.TunerFault, "epoch 99") {
+		t.Errorf("version %d, %d taken, %q", s.Version, s.Taken, s.TunerFault)
 	}
 	f.publish(7, 0) // plain versions take one epoch each
-	if s = f.settle(t); s.Taken != 2 || s.Tuner != "" {
-		t.Errorf("%d taken, %q", s.Taken, s.Tuner)
+	if s = f.settle(t); s.Taken != 2 || s.TunerFault != "" {
+		t.Errorf("%d taken, %q", s.Taken, s.TunerFault)
 	}
 }
 
 // An epoch is closed by its time while half of the routers are cut off. What they have counts under a later one while it
 // is not too late, and as late after that; nothing is lost.
-func TestClosedWhileHalfIsCutOff(t *testing.T) {
+func TestEpochClosesWhileHalfTheRoutersAreIsolated(t *testing.T) {
 	f := newFleet(1, 4, 4)
 	f.model.Batch, f.model.Ahead = 100, 4
-	f.busy(5)
-	f.routers[2].cut, f.routers[3].cut = true, true
+	f.produce(5)
+	f.routers[2].isolated, f.routers[3].isolated = true, true
 	f.settle(t)
 	f.now += 2 * time.Second
 	s := f.settle(t)
-	if len(s.Closed) != 1 || s.Closed[0].N != 10 || s.Closed[0].Silent != 2 || s.Closed[0].Heard != 2 || s.Closed[0].Why != "its time is over" {
+	if len(s.Closed) != 1 || s.Closed[0].Counted != 10 || s.Closed[0].Silent != 2 || s.Closed[0].Reporting != 2 || s.Closed[0].CloseReason != "its time is over" {
 		t.Fatalf("%+v", s.Closed)
 	}
-	f.routers[2].cut = false
-	if s = f.settle(t); s.Open.N != 5 || s.Open.Late != 0 {
-		t.Errorf("one that returns in time: %d counted, %d late", s.Open.N, s.Open.Late)
+	f.routers[2].isolated = false
+	if s = f.settle(t); s.Open.Counted != 5 || s.Open.Late != 0 {
+		t.Errorf("one that returns in time: %d counted, %d late", s.Open.Counted, s.Open.Late)
 	}
 	for range 2 {
-		f.end(f.routers[0], f.sample(f.workers[0], f.open()))
+		f.finish(f.routers[0], f.sample(f.workers[0], f.openEpoch()))
 		f.now += 2 * time.Second
 		f.settle(t)
 		f.now += 2 * time.Second
 		f.settle(t)
 	}
-	f.routers[3].cut = false
+	f.routers[3].isolated = false
 	if s = f.settle(t); s.Totals.Late != 5 || s.Totals.Counted != 17 || s.Totals.Reported != 22 {
 		t.Errorf("one that returns too late: %+v, epoch %d", s.Totals, s.Open.Number)
 	}
@@ -83,13 +83,13 @@
 
 // With all workers past the bound nothing is weighed and it is said so; none are asked for, and reloads are wished for,
 // the quickest first. The first that reloads is asked again.
-func TestAllPastTheBound(t *testing.T) {
+func TestAllWorkersBeyondStalenessBound(t *testing.T) {
 	f := newFleet(1, 2, 4)
 	for i := range f.workers {
 		for range 12 {
 			s := f.sample(f.workers[i], 1)
 			s.TookMs /= int64(1 + 3*i)
-			f.end(f.routers[0], s)
+			f.finish(f.routers[0], s)
 		}
 	}
 	f.model.Batch, f.model.Outlier = 100, 100
@@ -97,53 +97,53 @@
 	f.settle(t)
 	f.now += 2 * time.Second
 	s := f.settle(t)
-	if len(s.Closed) != 1 || s.Closed[0].Weighed != 0 || s.Taken != 1 || !strings.Contains(s.Closed[0].Why, "nothing of it weighs") {
+	if len(s.Closed) != 1 || s.Closed[0].Weighed != 0 || s.Taken != 1 || !strings.Contains(s.Closed[0].CloseReason, "nothing of it weighs") {
 		t.Fatalf("%+v", s.Closed)
 	}
-	if s.Part != 0 || !strings.Contains(s.Said, "past the bound") || len(s.Reloads) != 4 || s.Reloads[0].Worker != "w3" || s.Reloads[3].Worker != "w0" || s.Shares["w3"] != 0 {
-		t.Errorf("part %g, %q, %+v", s.Part, s.Said, s.Reloads)
+	if s.AdmitFraction != 0 || !strings.Contains(s.Notice, "past the bound") || len(s.Reloads) != 4 || s.Reloads[0].Worker != "w3" || s.Reloads[3].Worker != "w0" || s.Shares["w3"] != 0 {
+		t.Errorf("part %g, %q, %+v", s.AdmitFraction, s.Notice, s.Reloads)
 	}
 	f.relabel(9, "w3")
-	if s = f.settle(t); s.Part != 1 || len(s.Reloads) != 3 || s.Shares["w3"] != 1 || s.Workers["w3"].N != 0 {
-		t.Errorf("part %g, %d reloads, %v, %+v", s.Part, len(s.Reloads), s.Shares, s.Workers["w3"])
+	if s = f.settle(t); s.AdmitFraction != 1 || len(s.Reloads) != 3 || s.Shares["w3"] != 1 || s.Workers["w3"].Samples != 0 {
+		t.Errorf("part %g, %d reloads, %v, %+v", s.AdmitFraction, len(s.Reloads), s.Shares, s.Workers["w3"])
 	}
 }
 
 // A worker that runs an older version than it claims is held and named until it starts anew; its samples stand at their
 // place and weigh nothing.
-func TestClaimsWhatItDoesNotRun(t *testing.T) {
+func TestMislabeledWorkerIsHeld(t *testing.T) {
 	f := newFleet(1, 2, 4)
 	f.publish(3, 0)
 	f.relabel(3, "w0", "w1", "w2", "w3")
-	f.runs["w2"] = 2
-	f.busy(20)
+	f.running["w2"] = 2
+	f.produce(20)
 	s := f.settle(t)
-	if held := s.Workers["w2"].Held; held != "it claims version 3 and runs 2" || s.held() != "w2" {
-		t.Errorf("%q, held %q", held, s.held())
+	if held := s.Workers["w2"].HoldReason; held != "it claims version 3 and runs 2" || s.heldWorkers() != "w2" {
+		t.Errorf("%q, held %q", held, s.heldWorkers())
 	}
 	for _, g := range s.Closed[0].Groups {
 		if (g.Weight == 0) != (g.Worker == "w2") {
 			t.Errorf("%+v", g)
 		}
 	}
-	f.workers[2].Boot, f.runs["w2"] = "2", 3
-	if s = f.settle(t); s.held() != "" || s.Workers["w2"].N != 0 {
+	f.workers[2].Boot, f.running["w2"] = "2", 3
+	if s = f.settle(t); s.heldWorkers() != "" || s.Workers["w2"].Samples != 0 {
 		t.Errorf("after its restart: %+v", s.Workers["w2"])
 	}
 }
 
 // Requests are taken in part from one batch below the bound on and not at all at it, with what is in hand; a share
 // changes by steps only.
-func TestActs(t *testing.T) {
+func TestActions(t *testing.T) {
 	f := newFleet(1, 1, 3)
 	for _, c := range []struct {
-		hand int
-		part float64
+		inFlight int
+		fraction float64
 	}{{0, 1}, {20, 1}, {30, 0.5}, {31, 0.5}, {36, 0.2}, {40, 0}, {39, 0.05}} {
-		f.routers[0].report.InHand = c.hand
+		f.routers[0].report.InFlight = c.inFlight
 		f.step(0, "")
-		if got := f.last().Part; math.Abs(got-c.part) > 1e-9 {
-			t.Errorf("%d in hand: part %g, want %g", c.hand, got, c.part)
+		if got := f.last().AdmitFraction; math.Abs(got-c.fraction) > 1e-9 {
+			t.Errorf("%d in hand: part %g, want %g", c.inFlight, got, c.fraction)
 		}
 	}
 	f = newFleet(1, 1, 3)
@@ -151,11 +151,11 @@
 	share := func(slow int64) float64 {
 		for range 20 {
 			for i, w := range f.workers {
-				s := f.sample(w, f.open())
+				s := f.sample(w, f.openEpoch())
 				if i == 0 {
 					s.TookMs = s.TookMs * slow / 10
 				}
-				f.end(f.routers[0], s)
+				f.finish(f.routers[0], s)
 			}
 		}
 		return f.settle(t).Shares["w0"]
--- a/internal/decide/samples/hindsight.go
+++ b/internal/decide/samples/hindsight.go
@@ -12,42 +12,42 @@
 type Hindsight struct {
 	// Holds are of outliers: wrong where a worker's samples agreed with its kind's when it was let go or started anew, right where
 	// they still did not, or where it was found to run another version than it claims, void where too few came to say.
-	Holds turn.Judged `json:"holds,omitzero"`
+	Holds turn.VerdictCounts `json:"holds,omitzero"`
 	// Weights are those above the mean that a closed epoch gave to a worker's samples: wrong where they were past the bound of
 	// staleness by the time that the tuner took the epoch, or where their worker was found to claim what it does not run.
-	Weights turn.Judged `json:"weights,omitzero"`
+	Weights turn.VerdictCounts `json:"weights,omitzero"`
 }
 
-// high is the weight of a sample from which on its worker was trusted more than others; their mean is 1.
-const high = 1.1
+// highWeight is the weight of a sample from which on its worker was trusted more than others; their mean is 1.
+const highWeight = 1.1
 
-// trusted is how many groups of an epoch weigh much.
-func (e Epoch) trusted() (n int64) {
+// highWeightGroups is how many groups of an epoch weigh much.
+func (e Epoch) highWeightGroups() (n int64) {
 	for _, g := range e.Groups {
-		if g.Weight > high {
+		if g.Weight > highWeight {
 			n++
 		}
 	}
 	return n
 }
 
-// closing counts the weights that an epoch gave as it was closed.
-func (s *State) closing(e Epoch) {
-	s.Hindsight.Weights.Open += e.trusted()
+// openWeights counts the weights that an epoch gave as it was closed.
+func (s *State) openWeights(e Epoch) {
+	s.Hindsight.Weights.Open += e.highWeightGroups()
 }
 
-// judge settles the weights of the epochs that the tuner took since one, when the newest version was so.
-func (s *State) judge(m Model, since, newest int64) {
+// settleWeights settles the weights of the epochs that the tuner took since one, when the newest version was so.
+func (s *State) settleWeights(m Model, takenBefore, newest int64) {
 	for _, e := range s.Closed {
-		if e.Number <= since || e.Number > s.Taken {
+		if e.Number <= takenBefore || e.Number > s.Taken {
 			continue
 		}
 		for _, g := range e.Groups {
-			if g.Weight <= high {
+			if g.Weight <= highWeight {
 				continue
 			}
 			w := s.Workers[g.Worker]
-			if m.fresh(g.lag(newest), g.spread()) == 0 || w != nil && w.Boot == g.Boot && w.Claims {
+			if m.freshness(g.lag(newest), g.spread()) == 0 || w != nil && w.Boot == g.Boot && w.Mislabeled {
 				s.Hindsight.Weights.Settle(turn.Wrong)
 			} else {
 				s.Hindsight.Weights.Settle(turn.Right)
@@ -56,84 +56,84 @@
 	}
 }
 
-// Doubt is how a worker that is held as an outlier stands beside its kind since.
-type Doubt string
+// HoldReview is how a worker that is held as an outlier stands beside its kind since.
+type HoldReview string
 
 // The doubts. The empty one is of a worker that is not held, or whose hold is settled.
 const (
-	Unseen    Doubt = "unseen"    // too few samples came since, or too few others have any to compare
-	Agrees    Doubt = "agrees"    // it is near the others by now
-	Disagrees Doubt = "disagrees" // it is not
+	Unseen    HoldReview = "unseen"    // too few samples came since, or too few others have any to compare
+	Agrees    HoldReview = "agrees"    // it is near the others by now
+	Disagrees HoldReview = "disagrees" // it is not
 )
 
-// holds follows which workers are held as outliers, once they were compared anew.
-func (s *State) holds() {
+// updateHolds follows which workers are held as outliers, once they were compared anew.
+func (s *State) updateHolds() {
 	for _, name := range slices.Sorted(maps.Keys(s.Workers)) {
 		w := s.Workers[name]
-		if w.Doubt != "" && w.After >= outlierSeen && w.compared {
-			if w.Doubt = Agrees; w.off {
-				w.Doubt = Disagrees
+		if w.Review != "" && w.SinceHold >= outlierMinSamples && w.compared {
+			if w.Review = Agrees; w.deviates {
+				w.Review = Disagrees
 			}
 		}
 		switch {
-		case w.Doubt != "" && w.Claims:
+		case w.Review != "" && w.Mislabeled:
 			s.settle(w, turn.Right)
-		case w.Doubt != "" && w.Held == "":
-			s.anew(w)
-		case w.Doubt == "" && w.Held != "" && !w.Claims:
-			w.Doubt, w.After = Unseen, 0
+		case w.Review != "" && w.HoldReason == "":
+			s.settleByReview(w)
+		case w.Review == "" && w.HoldReason != "" && !w.Mislabeled:
+			w.Review, w.SinceHold = Unseen, 0
 			s.Hindsight.Holds.Begin()
 		}
 	}
 }
 
-func (s *State) settle(w *Seen, v turn.Verdict) {
-	if w != nil && w.Doubt != "" {
-		w.Doubt, w.After = "", 0
+func (s *State) settle(w *WorkerStats, v turn.Verdict) {
+	if w != nil && w.Review != "" {
+		w.Review, w.SinceHold = "", 0
 		s.Hindsight.Holds.Settle(v)
 	}
 }
 
-// anew settles the hold of a worker that is let go or starts anew, by how it stood at the last look.
-func (s *State) anew(w *Seen) {
+// settleByReview settles the hold of a worker that is let go or starts settleByReview, by how it stood at the last look.
+func (s *State) settleByReview(w *WorkerStats) {
 	if w != nil {
-		s.settle(w, map[Doubt]turn.Verdict{Unseen: turn.Void, Agrees: turn.Wrong, Disagrees: turn.Right}[w.Doubt])
+		s.settle(w, map[HoldReview]turn.Verdict{Unseen: turn.Void, Agrees: turn.Wrong, Disagrees: turn.Right}[w.Review])
 	}
 }
 
-// hindsight compares the counts with what the auditor itself has seen: the epochs that it saw closed, and who is held.
-func (a *auditor) hindsight(s *State) error {
+// checkHindsight compares the counts with what the auditor itself has seen: the epochs that it saw closed, and who is held.
+func (a *auditor) checkHindsight(s *State) error {
 	fault := func(why string, args ...any) error {
 		return &AuditError{Rule: "hindsight", Seq: s.Seq, Epoch: s.Open.Number, Why: fmt.Sprintf(why, args...)}
 	}
-	was := Hindsight{}
+	previous := Hindsight{}
 	if a.last != nil {
-		was = a.last.Hindsight
+		previous = a.last.Hindsight
 	}
-	if bad := s.Hindsight.Holds.Follows(was.Holds); bad != "" {
-		return fault("holds: %s", bad)
+	if problem := s.Hindsight.Holds.CheckAgainst(previous.Holds); problem != "" {
+		return fault("holds: %s", problem)
 	}
-	if bad := s.Hindsight.Weights.Follows(was.Weights); bad != "" {
-		return fault("weights: %s", bad)
+	if problem := s.Hindsight.Weights.CheckAgainst(previous.Weights); problem != "" {
+		return fault("weights: %s", problem)
 	}
-	doubted, open, settled := int64(0), int64(0), int64(0)
+	underReview, open, settled := int64(0), int64(0), int64(0)
 	for _, w := range s.Workers {
-		if w.Doubt != "" {
-			doubted++
+		if w.Review != "" {
+			underReview++
 		}
 	}
-	if s.Hindsight.Holds.Open > doubted {
-		return fault("%d holds are open, and %d workers are held as outliers", s.Hindsight.Holds.Open, doubted)
+	if s.Hindsight.Holds.Open > underReview {
+		return fault("%d holds are open, and %d workers are held as outliers", s.Hindsight.Holds.Open, underReview)
 	}
 	for number := int64(1); number < s.Open.Number; number++ {
-		e, is := a.epochs[number]
-		if !is || e.N > 0 && len(e.Groups) == 0 {
+		e, ok := a.epochs[number]
+		if !ok || e.Counted > 0 && len(e.Groups) == 0 {
 			return nil // the history does not begin with the board
 		}
 		if number > s.Taken {
-			open += e.trusted()
+			open += e.highWeightGroups()
 		} else {
-			settled += e.trusted()
+			settled += e.highWeightGroups()
 		}
 	}
 	if w := s.Hindsight.Weights; w.Open != open || w.Settled() != settled {
--- a/internal/decide/samples/hindsight_test.go
+++ b/internal/decide/samples/hindsight_test.go
@@ -8,21 +8,21 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// rounds have each worker end some samples, those of w0 so much longer than others', for some seconds.
-func (f *fleet) rounds(t *testing.T, n, longer int) *State {
+// runRounds have each worker end some samples, those of w0 so much longer than others', for some seconds.
+func (f *fleet) runRounds(t *testing.T, n, factor int) *State {
 	for range n {
 		for i, w := range f.workers {
 			for range 12 {
-				s := f.sample(w, f.open())
+				s := f.sample(w, f.openEpoch())
 				if i == 0 {
-					s.Tokens, s.TookMs = s.Tokens*longer, s.TookMs*int64(longer)
+					s.Tokens, s.TookMs = s.Tokens*factor, s.TookMs*int64(factor)
 				}
-				f.end(f.routers[0], s)
+				f.finish(f.routers[0], s)
 			}
 		}
 		f.now += 500 * time.Millisecond
 		f.settle(t)
-		f.publish(f.tuner.Version, f.open()-1)
+		f.publish(f.tuner.Version, f.openEpoch()-1)
 	}
 	return f.settle(t)
 }
@@ -32,20 +32,20 @@
 	for _, c := range []struct {
 		name  string
 		after func(f *fleet)
-		want  turn.Judged
+		want  turn.VerdictCounts
 	}{
-		{"it stays as it was", func(f *fleet) { f.rounds(t, 4, 8) }, turn.Judged{Open: 1}},
-		{"it agrees", func(f *fleet) { f.rounds(t, 40, 1) }, turn.Judged{Wrong: 1}},
+		{"it stays as it was", func(f *fleet) { f.runRounds(t, 4, 8) }, turn.VerdictCounts{Open: 1}},
+		{"it agrees", func(f *fleet) { f.runRounds(t, 40, 1) }, turn.VerdictCounts{Wrong: 1}},
 		{"it disagrees until it starts anew", func(f *fleet) {
-			f.rounds(t, 4, 8)
+			f.runRounds(t, 4, 8)
 			f.workers[0].Boot = "2"
-		}, turn.Judged{Right: 1}},
-		{"it starts anew at once", func(f *fleet) { f.workers[0].Boot = "2" }, turn.Judged{Void: 1}},
-		{"it leaves", func(f *fleet) { f.workers = f.workers[1:] }, turn.Judged{Void: 1}},
+		}, turn.VerdictCounts{Right: 1}},
+		{"it starts anew at once", func(f *fleet) { f.workers[0].Boot = "2" }, turn.VerdictCounts{Void: 1}},
+		{"it leaves", func(f *fleet) { f.workers = f.workers[1:] }, turn.VerdictCounts{Void: 1}},
 	} {
 		f := newFleet(1, 1, 7)
 		f.model.HalfLifeMs, f.model.HoldMs = 4000, 1000
-		if s := f.rounds(t, 1, 8); s.Workers["w0"].Held == "" {
+		if s := f.runRounds(t, 1, 8); s.Workers["w0"].HoldReason == "" {
 			t.Fatalf("not held: %+v", s.Workers["w0"])
 		}
 		c.after(f)
@@ -59,32 +59,32 @@
 // that is lost, and one that is not settled.
 func TestWeightsInHindsight(t *testing.T) {
 	for _, c := range []struct {
-		ahead int64 // versions published before the epoch is taken
-		want  func(w turn.Judged) bool
-	}{{0, func(w turn.Judged) bool { return w.Right > 0 && w.Wrong == 0 }}, {20, func(w turn.Judged) bool { return w.Right > 0 && w.Wrong > 0 }}} {
+		versionsAhead int64 // versions published before the epoch is taken
+		want          func(w turn.VerdictCounts) bool
+	}{{0, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong == 0 }}, {20, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong > 0 }}} {
 		f := newFleet(1, 1, 6)
 		f.model.WorkerCap, f.model.VersionCap, f.model.Floor = 0.5, 1, 0.1
 		f.publish(3, 0)
 		f.relabel(3, "w0", "w1")
-		f.busy(40)
+		f.produce(40)
 		f.settle(t)
 		if s := f.last(); s.Hindsight.Weights.Open == 0 || len(s.Closed) == 0 {
 			t.Fatalf("nothing weighs much: %+v", s.Closed)
 		}
-		for _, p := range []Published{{3, 1}, {3 + c.ahead, 1}, {4 + c.ahead, 2}} {
+		for _, p := range []Published{{3, 1}, {3 + c.versionsAhead, 1}, {4 + c.versionsAhead, 2}} {
 			f.publish(p.Version, p.Epoch)
 			f.settle(t)
 		}
-		f.publish(5+c.ahead, f.open()-1)
+		f.publish(5+c.versionsAhead, f.openEpoch()-1)
 		s := f.settle(t)
 		if w := s.Hindsight.Weights; !c.want(w) || w.Open != 0 {
-			t.Errorf("%d versions ahead: %v", c.ahead, w)
+			t.Errorf("%d versions ahead: %v", c.versionsAhead, w)
 		}
-		for name, broken := range map[string]turn.Judged{"lost": {}, "not settled": {Open: s.Hindsight.Weights.Settled()}} {
-			one := *s
-			one.Hindsight.Weights = broken
+		for name, counts := range map[string]turn.VerdictCounts{"lost": {}, "not settled": {Open: s.Hindsight.Weights.Settled()}} {
+			tampered := *s
+			tampered.Hindsight.Weights = counts
 			var e *AuditError
-			if err := Audit(append(f.history[:len(f.history)-1:len(f.history)-1], &one)); !errors.As(err, &e) || e.Rule != "hindsight" {
+			if err := Audit(append(f.history[:len(f.history)-1:len(f.history)-1], &tampered)); !errors.As(err, &e) || e.Rule != "hindsight" {
 				t.Errorf("a count that is %s: %v", name, err)
 			}
 		}
--- a/internal/decide/samples/model.go
+++ b/internal/decide/samples/model.go
@@ -44,11 +44,11 @@
 	HalfLifeMs float64 `toml:"half_life_ms,omitzero" json:"half_life_ms,omitzero"`
 	// ShareLeast is the part of its prompts that a worker keeps which is slow or held, so that it can be seen again.
 	ShareLeast float64 `toml:"share_least,omitzero" json:"share_least,omitzero"`
-	// ClerksMost is the part of clerks' requests that may be refused or late before samples give way to them, ClerksCalmMs
+	// InteractiveFailedMax is the part of clerks' requests that may be refused or late before samples give way to them, ClerksCalmMs
 	// how long it must be under half of that before samples return, ClerksRiseMs how long their return takes.
-	ClerksMost   float64 `toml:"clerks_most,omitzero" json:"clerks_most,omitzero"`
-	ClerksCalmMs float64 `toml:"clerks_calm_ms,omitzero" json:"clerks_calm_ms,omitzero"`
-	ClerksRiseMs float64 `toml:"clerks_rise_ms,omitzero" json:"clerks_rise_ms,omitzero"`
+	InteractiveFailedMax float64 `toml:"clerks_most,omitzero" json:"clerks_most,omitzero"`
+	InteractiveCalmMs    float64 `toml:"clerks_calm_ms,omitzero" json:"clerks_calm_ms,omitzero"`
+	InteractiveRiseMs    float64 `toml:"clerks_rise_ms,omitzero" json:"clerks_rise_ms,omitzero"`
 	// ReportMs is how often each router reports.
 	ReportMs float64 `toml:"report_ms,omitzero" json:"report_ms,omitzero"`
 }
@@ -56,7 +56,7 @@
 // Defaults are the settings that stand for those that a model does not state.
 var Defaults = Model{StaleMost: 4, StaleHalf: 2, SpreadMost: 3, AgeMostMs: 600_000, Trust: 4, WorkerCap: 0.2, SiteCap: 0.6, VersionCap: 0.95, Floor: 0.5,
 	Batch: 256, EpochMs: 30_000, LateEpochs: 4, Ahead: 2, Hysteresis: 0.1, Outlier: 6, HoldMs: 60_000, HalfLifeMs: 60_000, ShareLeast: 0.05,
-	ClerksMost: 0.05, ClerksCalmMs: 3000, ClerksRiseMs: 10_000, ReportMs: 1000}
+	InteractiveFailedMax: 0.05, InteractiveCalmMs: 3000, InteractiveRiseMs: 10_000, ReportMs: 1000}
 
 // Filled is the model with its defaults.
 func (m Model) Filled() Model {
@@ -67,7 +67,7 @@
 	m.Batch, m.EpochMs, m.LateEpochs, m.Ahead = cmp.Or(m.Batch, d.Batch), cmp.Or(m.EpochMs, d.EpochMs), cmp.Or(m.LateEpochs, d.LateEpochs), cmp.Or(m.Ahead, d.Ahead)
 	m.Hysteresis, m.Outlier, m.HoldMs = cmp.Or(m.Hysteresis, d.Hysteresis), cmp.Or(m.Outlier, d.Outlier), cmp.Or(m.HoldMs, d.HoldMs)
 	m.HalfLifeMs, m.ShareLeast, m.ReportMs = cmp.Or(m.HalfLifeMs, d.HalfLifeMs), cmp.Or(m.ShareLeast, d.ShareLeast), cmp.Or(m.ReportMs, d.ReportMs)
-	m.ClerksMost, m.ClerksCalmMs, m.ClerksRiseMs = cmp.Or(m.ClerksMost, d.ClerksMost), cmp.Or(m.ClerksCalmMs, d.ClerksCalmMs), cmp.Or(m.ClerksRiseMs, d.ClerksRiseMs)
+	m.InteractiveFailedMax, m.InteractiveCalmMs, m.InteractiveRiseMs = cmp.Or(m.InteractiveFailedMax, d.InteractiveFailedMax), cmp.Or(m.InteractiveCalmMs, d.InteractiveCalmMs), cmp.Or(m.InteractiveRiseMs, d.InteractiveRiseMs)
 	return m
 }
 
@@ -81,8 +81,8 @@
 		{"trust", m.Trust, 0.01, 10_000}, {"worker_cap", m.WorkerCap, 0.001, 1}, {"site_cap", m.SiteCap, 0.01, 1}, {"version_cap", m.VersionCap, 0.01, 1},
 		{"floor", m.Floor, 0.01, 1}, {"batch", float64(m.Batch), 1, MaxBatch}, {"epoch_ms", m.EpochMs, 100, 86_400_000}, {"late_epochs", float64(m.LateEpochs), 1, MaxLate},
 		{"ahead", float64(m.Ahead), 1, MaxAhead}, {"hysteresis", m.Hysteresis, 0.001, 0.5}, {"outlier", m.Outlier, 2, 100}, {"hold_ms", m.HoldMs, 100, 86_400_000},
-		{"half_life_ms", m.HalfLifeMs, 1000, 86_400_000}, {"share_least", m.ShareLeast, 0.001, 1}, {"clerks_most", m.ClerksMost, 0.001, 1},
-		{"clerks_calm_ms", m.ClerksCalmMs, 100, 3_600_000}, {"clerks_rise_ms", m.ClerksRiseMs, 100, 3_600_000}, {"report_ms", m.ReportMs, 50, 60_000}} {
+		{"half_life_ms", m.HalfLifeMs, 1000, 86_400_000}, {"share_least", m.ShareLeast, 0.001, 1}, {"clerks_most", m.InteractiveFailedMax, 0.001, 1},
+		{"clerks_calm_ms", m.InteractiveCalmMs, 100, 3_600_000}, {"clerks_rise_ms", m.InteractiveRiseMs, 100, 3_600_000}, {"report_ms", m.ReportMs, 50, 60_000}} {
 		if !(s.v >= s.min && s.v <= s.max) { // false for NaN
 			return &KeyError{Key: "samples." + s.key, Value: s.v, Least: s.min, Most: s.max}
 		}
@@ -141,9 +141,9 @@
 	return "look at what wrote it: it is left out, and nothing is decided from it until it is written anew"
 }
 
-// fresh is the factor of staleness: 1 for the newest, halved with each StaleHalf versions, 0 past the bound. A sample that
+// freshness is the factor of staleness: 1 for the newest, halved with each StaleHalf versions, 0 past the bound. A sample that
 // spans versions is taken by its oldest, and each version that it spans counts half a version more: it is of no one policy.
-func (m Model) fresh(lag, spread float64) float64 {
+func (m Model) freshness(lag, spread float64) float64 {
 	if lag > m.StaleMost || spread > m.SpreadMost {
 		return 0
 	}
--- a/internal/decide/samples/records.go
+++ b/internal/decide/samples/records.go
@@ -24,13 +24,13 @@
 	Label   int64 `json:"label"`
 	Version int64 `json:"version"`
 	End     int64 `json:"end,omitempty"`
-	// Began is the number of the epoch that was open when its request was first taken. It goes with the record of the
+	// StartEpoch is the number of the epoch that was open when its request was first taken. It goes with the record of the
 	// request to whoever takes that over.
-	Began    int64 `json:"began"`
-	AgeMs    int64 `json:"age_ms"`  // since it began
-	Tokens   int   `json:"tokens"`  // of its answer
-	TookMs   int64 `json:"took_ms"` // to make them
-	Accepted bool  `json:"accepted"`
+	StartEpoch int64 `json:"began"`
+	AgeMs      int64 `json:"age_ms"`  // since it began
+	Tokens     int   `json:"tokens"`  // of its answer
+	TookMs     int64 `json:"took_ms"` // to make them
+	Accepted   bool  `json:"accepted"`
 }
 
 // Key is the key of a sample, by that of its request.
@@ -38,13 +38,13 @@
 
 // Report is what one process of a router has to say. Samples stay in it until the board's mark has passed them.
 type Report struct {
-	Router  string   `json:"router"`
-	Boot    string   `json:"boot"`
-	First   int64    `json:"first"` // the number of the first of Samples; they count from 1 with each boot
-	Samples []Sample `json:"samples,omitempty"`
-	InHand  int      `json:"in_hand"` // requests for samples that were taken and have not ended
-	Clerks  Met      `json:"clerks,omitzero"`
-	Silent  bool     `json:"-"` // its carrier has not heard of the router for long
+	Router      string   `json:"router"`
+	Boot        string   `json:"boot"`
+	First       int64    `json:"first"` // the number of the first of Samples; they count from 1 with each boot
+	Samples     []Sample `json:"samples,omitempty"`
+	InFlight    int      `json:"in_hand"` // requests for samples that were taken and have not ended
+	Interactive Load     `json:"clerks,omitzero"`
+	Silent      bool     `json:"-"` // its carrier has not heard of the router for long
 }
 
 // Worker is a member's record, as far as samples go.
@@ -86,41 +86,41 @@
 func (r Report) check() error {
 	fault := func(why string) error { return &RecordError{What: r.Router, Why: why} }
 	switch {
-	case !named(r.Router) || !named(r.Boot):
-		return fault(fmt.Sprintf("router %q, boot %q: missing or longer than %d bytes", clip(r.Router), clip(r.Boot), MaxName))
+	case !validName(r.Router) || !validName(r.Boot):
+		return fault(fmt.Sprintf("router %q, boot %q: missing or longer than %d bytes", truncate(r.Router), truncate(r.Boot), MaxName))
 	case len(r.Samples) > MaxSamples:
 		return fault(fmt.Sprintf("%d samples, at most %d", len(r.Samples), MaxSamples))
-	case !r.Clerks.sound():
+	case !r.Interactive.valid():
 		return fault("what clerks met is no count")
-	case r.InHand < 0 || r.First < 0 || r.First == 0 && len(r.Samples) > 0:
+	case r.InFlight < 0 || r.First < 0 || r.First == 0 && len(r.Samples) > 0:
 		return fault("numbers below what they count from")
 	}
 	for i, s := range r.Samples {
-		if !named(s.Worker) || len(s.Boot) > MaxName || len(s.Site) > MaxName || s.Tokens < 0 || s.TookMs < 0 || s.AgeMs < 0 || s.Version < 0 || s.End < 0 || s.Label < 0 {
+		if !validName(s.Worker) || len(s.Boot) > MaxName || len(s.Site) > MaxName || s.Tokens < 0 || s.TookMs < 0 || s.AgeMs < 0 || s.Version < 0 || s.End < 0 || s.Label < 0 {
 			return fault(fmt.Sprintf("sample %d: a name is missing or too long, or a figure is below 0", i))
 		}
 	}
 	return nil
 }
 
-func named(s string) bool { return s != "" && len(s) <= MaxName }
+func validName(s string) bool { return s != "" && len(s) <= MaxName }
 
-func clip(s string) string { return s[:min(len(s), MaxName)] }
+func truncate(s string) string { return s[:min(len(s), MaxName)] }
 
 // View is what is known at one moment.
 type View struct {
-	Model   Model
-	Policy  int64  // the version of the policy that the model is of
-	Last    *State // nil: there was none
-	Tuner   *Published
-	Rev     int64 // the store's revision of what the tuner wrote
-	Workers []Worker
-	Reports []Report
+	Model    Model
+	Policy   int64  // the version of the policy that the model is of
+	Last     *State // nil: there was none
+	Tuner    *Published
+	TunerRev int64 // the store's revision of what the tuner wrote
+	Workers  []Worker
+	Reports  []Report
 }
 
-// Sound is the view without what can't be used, and a *RecordError for each of these. Lists come out in an order of their
+// Sanitize is the view without what can't be used, and a *RecordError for each of these. Lists come out in an order of their
 // own, so that all deciders count alike.
-func (v View) Sound() (View, []error) {
+func (v View) Sanitize() (View, []error) {
 	var faults []error
 	var reports []Report
 	for _, r := range v.Reports {
@@ -130,11 +130,11 @@
 		}
 		reports = append(reports, r)
 	}
-	slices.SortStableFunc(reports, func(a, b Report) int { return strings.Compare(a.mark(), b.mark()) })
+	slices.SortStableFunc(reports, func(a, b Report) int { return strings.Compare(a.watermarkKey(), b.watermarkKey()) })
 	var workers []Worker
 	for _, w := range v.Workers {
-		if !named(w.Name) || len(w.Boot) > MaxName || len(w.Site) > MaxName || len(w.Kind) > MaxName {
-			faults = append(faults, &RecordError{What: clip(w.Name), Why: "a worker whose names are missing or too long"})
+		if !validName(w.Name) || len(w.Boot) > MaxName || len(w.Site) > MaxName || len(w.Kind) > MaxName {
+			faults = append(faults, &RecordError{What: truncate(w.Name), Why: "a worker whose names are missing or too long"})
 			continue
 		}
 		workers = append(workers, w)
@@ -152,7 +152,7 @@
 	return v, faults
 }
 
-func (r Report) mark() string { return r.Router + " " + r.Boot }
+func (r Report) watermarkKey() string { return r.Router + " " + r.Boot }
 
 // Keys are the keys of samples; in JSON they are packed, eight bytes each, in base64.
 type Keys []uint64
--- a/internal/decide/samples/same_test.go
+++ b/internal/decide/samples/same_test.go
@@ -11,19 +11,19 @@
 
 // Decisions are those of the version before the step was made quicker, byte for byte, over lives that are drawn. Who changes a
 // decision on purpose changes the hash with it.
-func TestDecisionsAreAsBefore(t *testing.T) {
-	want, lives := "387 boards, 9e74b7a7cbe9b205", uint64(2)
+func TestDecisionsMatchRecordedHash(t *testing.T) {
+	want, runs := "387 boards, 9e74b7a7cbe9b205", uint64(2)
 	if os.Getenv("LAB_LONG") != "" {
-		want, lives = "2419 boards, 7a46f265cd48b85a", 12
+		want, runs = "2419 boards, 7a46f265cd48b85a", 12
 	}
 	hash, boards := xxhash.New(), 0
-	for seed := range lives {
+	for seed := range runs {
 		f := newFleet(seed, 4, 12)
 		if seed%3 == 0 {
 			f.model = Model{Batch: 64, EpochMs: 4000, LateEpochs: 4, Ahead: 3, HoldMs: 500}
 		}
 		for i := range 700 {
-			f.walk(f.rng.IntN)
+			f.randomStep(f.rng.IntN)
 			f.step(i%4, "")
 			if s := f.last(); i%60 == 59 && s != nil {
 				f.publish(f.tuner.Version+1, s.Open.Number-1)
@@ -33,7 +33,7 @@
 		for _, s := range f.history {
 			s.Hindsight = Hindsight{} // it decides nothing, and came later
 			for _, w := range s.Workers {
-				w.Doubt, w.After = "", 0
+				w.Review, w.SinceHold = "", 0
 			}
 			_, _ = hash.Write(encode(s))
 		}
--- a/internal/decide/samples/weigh.go
+++ b/internal/decide/samples/weigh.go
@@ -8,19 +8,19 @@
 
 // Group is the samples of an epoch that one process of a worker made under one version.
 type Group struct {
-	Worker  string `json:"worker"`
-	Boot    string `json:"boot"`
-	Site    string `json:"site,omitempty"`
-	Version int64  `json:"version"`       // when they began
-	End     int64  `json:"end,omitempty"` // when they ended, where that differs
-	Aged    bool   `json:"aged,omitempty"`
-	N       int    `json:"n"`
-	Tokens  int    `json:"tokens"`
-	Held    string `json:"held,omitempty"` // why they weigh nothing, but for staleness
-	Keys    Keys   `json:"keys,omitempty"`
-	// Seen is how much its worker had shown when the epoch was closed, Weight what each sample weighs.
-	Seen   float64 `json:"seen,omitempty"`
-	Weight float64 `json:"weight"`
+	Worker     string `json:"worker"`
+	Boot       string `json:"boot"`
+	Site       string `json:"site,omitempty"`
+	Version    int64  `json:"version"`       // when they began
+	End        int64  `json:"end,omitempty"` // when they ended, where that differs
+	Aged       bool   `json:"aged,omitempty"`
+	Count      int    `json:"n"`
+	Tokens     int    `json:"tokens"`
+	HoldReason string `json:"held,omitempty"` // why they weigh nothing, but for staleness
+	Keys       Keys   `json:"keys,omitempty"`
+	// WorkerSamples is how much its worker had shown when the epoch was closed, Weight what each sample weighs.
+	WorkerSamples float64 `json:"seen,omitempty"`
+	Weight        float64 `json:"weight"`
 }
 
 func (g Group) lag(newest int64) float64 { return float64(newest - g.Version) }
@@ -32,20 +32,20 @@
 	return math.Abs(float64(g.End - g.Version))
 }
 
-// Mix is what came of weighing a batch.
-type Mix struct {
+// Weighting is what came of weighing a batch.
+type Weighting struct {
 	Weighed int `json:"weighed"` // samples that weigh anything; their mean weight is 1
-	// Size is the effective sample size, of Kish (1965): the square of the sum over the sum of squares.
-	Size float64 `json:"size"`
-	// Flat is how much of equal weights was mixed in to keep Size at its floor.
-	Flat float64 `json:"flat,omitempty"`
-	// Relaxed is how far caps had to be moved towards 1, since no weights keep to them and the floor: 0 not at all, 1 wholly.
-	Relaxed float64 `json:"relaxed,omitempty"`
+	// EffectiveSize is the effective sample size, of Kish (1965): the square of the sum over the sum of squares.
+	EffectiveSize float64 `json:"size"`
+	// EqualPart is how much of equal weights was mixed in to keep Size at its floor.
+	EqualPart float64 `json:"flat,omitempty"`
+	// CapsRelaxed is how far caps had to be moved towards 1, since no weights keep to them and the floor: 0 not at all, 1 wholly.
+	CapsRelaxed float64 `json:"relaxed,omitempty"`
 }
 
-// inside tells whether a group's samples may weigh anything.
-func (m Model) inside(g Group, newest int64) bool {
-	return g.N > 0 && g.Held == "" && !g.Aged && m.fresh(g.lag(newest), g.spread()) > 0
+// eligible tells whether a group's samples may weigh anything.
+func (m Model) eligible(g Group, newest int64) bool {
+	return g.Count > 0 && g.HoldReason == "" && !g.Aged && m.freshness(g.lag(newest), g.spread()) > 0
 }
 
 // Weigh gives each group of a batch its weight, in place.
@@ -54,48 +54,48 @@
 // site or version has. The effective sample size is kept up by mixing with what equal weights under the same caps would
 // be: a mixture of two that keep to caps keeps to them too. Where that is not enough, caps would have a few samples stand for many: they
 // are moved towards 1, at which equal weights have the whole size.
-func (m Model) Weigh(groups []Group, newest int64, broken Fault) (mix Mix) {
+func (m Model) Weigh(groups []Group, newest int64, broken Fault) (mix Weighting) {
 	if broken == NoBound {
 		m.StaleMost, m.SpreadMost = math.MaxInt64, math.MaxInt64
 	}
-	var at []int
+	var indexes []int
 	for i := range groups {
 		groups[i].Weight = 0
-		if m.inside(groups[i], newest) {
-			at = append(at, i)
-			mix.Weighed += groups[i].N
+		if m.eligible(groups[i], newest) {
+			indexes = append(indexes, i)
+			mix.Weighed += groups[i].Count
 		}
 	}
-	if len(at) == 0 {
+	if len(indexes) == 0 {
 		return mix
 	}
-	c := caps{family: [3][]int{family(groups, at, func(g Group) string { return g.Worker }), family(groups, at, func(g Group) string { return g.Site }),
-		family(groups, at, func(g Group) int64 { return g.Version })}, most: [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}}
-	n, raw := make([]float64, len(at)), make([]float64, len(at))
-	for k, i := range at {
+	c := caps{dimensions: [3][]int{memberIndexes(groups, indexes, func(g Group) string { return g.Worker }), memberIndexes(groups, indexes, func(g Group) string { return g.Site }),
+		memberIndexes(groups, indexes, func(g Group) int64 { return g.Version })}, limits: [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}}
+	counts, desired := make([]float64, len(indexes)), make([]float64, len(indexes))
+	for k, i := range indexes {
 		g := groups[i]
-		n[k] = float64(g.N)
-		raw[k] = n[k] * m.fresh(g.lag(newest), g.spread()) * g.Seen / (g.Seen + m.Trust)
+		counts[k] = float64(g.Count)
+		desired[k] = counts[k] * m.freshness(g.lag(newest), g.spread()) * g.WorkerSamples / (g.WorkerSamples + m.Trust)
 	}
-	for f, list := range c.family { // k members can't have less than 1/k each
-		c.most[f] = max(c.most[f], 1/float64(slices.Max(list)+1))
+	for d, list := range c.dimensions { // k members can't have less than 1/k each
+		c.limits[d] = max(c.limits[d], 1/float64(slices.Max(list)+1))
 	}
-	var share, flat []float64
+	var share, equal []float64
 	// The sum of squares is convex along the mixture, so the mixtures that keep the floor are an interval: if equal weights
 	// do, bisection finds its lower end, that is the least of them that does.
 	mixed := func(part float64) (out []float64, size float64) {
 		out = make([]float64, len(share))
 		squares := 0.0
 		for k := range share {
-			out[k] = (1-part)*share[k] + part*flat[k]
-			squares += out[k] * out[k] / n[k]
+			out[k] = (1-part)*share[k] + part*equal[k]
+			squares += out[k] * out[k] / counts[k]
 		}
 		return out, 1 / squares
 	}
 	floor := m.Floor * float64(mix.Weighed)
-	mix.Relaxed = c.relax(func(relaxed float64) (kept bool) {
-		if share, kept = c.level(raw, relaxed); kept {
-			flat, kept = c.level(n, relaxed)
+	mix.CapsRelaxed = c.relax(func(relaxed float64) (kept bool) {
+		if share, kept = c.level(desired, relaxed); kept {
+			equal, kept = c.level(counts, relaxed)
 		}
 		return kept && second(mixed(1)) >= floor*(1-1e-9)
 	})
@@ -109,24 +109,24 @@
 				low = middle
 			}
 		}
-		mix.Flat = high
+		mix.EqualPart = high
 		out, size = mixed(high)
 	}
-	mix.Size = size
-	for k, i := range at {
-		groups[i].Weight = out[k] * float64(mix.Weighed) / n[k]
+	mix.EffectiveSize = size
+	for k, i := range indexes {
+		groups[i].Weight = out[k] * float64(mix.Weighed) / counts[k]
 	}
 	return mix
 }
 
 func second[A, B any](_ A, b B) B { return b }
 
-// family numbers groups by what of them is capped together.
-func family[K comparable](groups []Group, at []int, of func(Group) K) []int {
-	known, out := map[K]int{}, make([]int, len(at))
-	for k, i := range at {
+// memberIndexes numbers groups by what of them is capped together.
+func memberIndexes[K comparable](groups []Group, indexes []int, of func(Group) K) []int {
+	known, out := map[K]int{}, make([]int, len(indexes))
+	for k, i := range indexes {
 		member := of(groups[i])
-		if _, is := known[member]; !is {
+		if _, ok := known[member]; !ok {
 			known[member] = len(known)
 		}
 		out[k] = known[member]
@@ -136,18 +136,18 @@
 
 // caps are bounds on parts of the whole: family[f][k] is the member of family f that the k-th group belongs to.
 type caps struct {
-	family [3][]int
-	most   [3]float64
+	dimensions [3][]int
+	limits     [3]float64
 }
 
-// steps are those by which caps that can't be kept are relaxed.
-const steps = 32
+// relaxSteps are those by which caps that can't be kept are relaxed.
+const relaxSteps = 32
 
 // relax gives the least step by which caps are moved towards 1 so that all is kept. At 1 there are no caps, so it ends.
 func (c caps) relax(kept func(relaxed float64) bool) float64 {
-	for step := range steps {
-		if kept(float64(step) / steps) {
-			return float64(step) / steps
+	for step := range relaxSteps {
+		if kept(float64(step) / relaxSteps) {
+			return float64(step) / relaxSteps
 		}
 	}
 	kept(1)
@@ -161,7 +161,7 @@
 // at level S is S or more, its parts of the whole keep to the caps. The highest such level is sought by bisection;
 // whatever is found was tested, so nothing rests on what is left being monotone.
 func (c caps) level(mass []float64, relaxed float64) ([]float64, bool) {
-	sum, cut := 0.0, make([]float64, len(mass))
+	sum, remaining := 0.0, make([]float64, len(mass))
 	for _, v := range mass {
 		sum += v
 	}
@@ -170,17 +170,17 @@
 		mass[k] /= sum
 	}
 	try := func(level float64) (sum float64) {
-		copy(cut, mass)
-		for f := range c.family {
-			c.clip(cut, f, level*(c.most[f]+relaxed*(1-c.most[f])))
+		copy(remaining, mass)
+		for d := range c.dimensions {
+			c.clip(remaining, d, level*(c.limits[d]+relaxed*(1-c.limits[d])))
 		}
-		for _, v := range cut {
+		for _, v := range remaining {
 			sum += v
 		}
 		return sum
 	}
 	parts := func(sum float64) []float64 {
-		out := slices.Clone(cut)
+		out := slices.Clone(remaining)
 		for k := range out {
 			out[k] /= sum
 		}
@@ -208,14 +208,14 @@
 }
 
 // clip cuts each member of a family to what it may have.
-func (c caps) clip(mass []float64, f int, most float64) {
+func (c caps) clip(mass []float64, d int, limit float64) {
 	sums := make([]float64, len(mass))
 	for k, v := range mass {
-		sums[c.family[f][k]] += v
+		sums[c.dimensions[d][k]] += v
 	}
 	for k := range mass {
-		if sum := sums[c.family[f][k]]; sum > most {
-			mass[k] *= most / sum
+		if sum := sums[c.dimensions[d][k]]; sum > limit {
+			mass[k] *= limit / sum
 		}
 	}
 }
@@ -223,6 +223,6 @@
 // sortGroups puts groups in an order that is the same whoever counts.
 func sortGroups(list []Group) {
 	slices.SortFunc(list, func(a, b Group) int {
-		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Version, b.Version), cmp.Compare(a.End, b.End), cmp.Compare(a.Held, b.Held))
+		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Version, b.Version), cmp.Compare(a.End, b.End), cmp.Compare(a.HoldReason, b.HoldReason))
 	})
 }
--- a/internal/decide/samples/weigh_test.go
+++ b/internal/decide/samples/weigh_test.go
@@ -16,9 +16,9 @@
 	for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
 		n := rapid.IntRange(1, 60).Draw(t, "n")
 		list = append(list, Group{Worker: fmt.Sprint("w", rapid.IntRange(0, 7).Draw(t, "worker")), Boot: fmt.Sprint(i), Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")),
-			Version: 10 - int64(rapid.IntRange(0, 6).Draw(t, "lag")), N: n, Seen: float64(n) + rapid.Float64Range(0, 100).Draw(t, "seen")})
+			Version: 10 - int64(rapid.IntRange(0, 6).Draw(t, "lag")), Count: n, WorkerSamples: float64(n) + rapid.Float64Range(0, 100).Draw(t, "seen")})
 		if rapid.IntRange(0, 9).Draw(t, "held") == 0 {
-			list[i].Held = "why"
+			list[i].HoldReason = "why"
 		}
 	}
 	return list
@@ -26,23 +26,23 @@
 
 // Whatever the groups: nothing past the bound or held weighs, the mean is 1, caps and the floor are kept or it is said by
 // how much not.
-func TestWeighKeepsItsRules(t *testing.T) {
+func TestWeighInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(t *rapid.T) {
 		m := Model{WorkerCap: rapid.Float64Range(0.05, 1).Draw(t, "worker cap"), SiteCap: rapid.Float64Range(0.1, 1).Draw(t, "site cap"),
 			VersionCap: rapid.Float64Range(0.1, 1).Draw(t, "version cap"), Floor: rapid.Float64Range(0.05, 1).Draw(t, "floor")}.Filled()
 		groups := drawGroups(t)
 		mix := m.Weigh(groups, 10, "")
-		e := Epoch{Number: 1, Version: 10, Groups: groups, Mix: mix, Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
+		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: mix, Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
 		for i := range groups {
-			for k := range groups[i].N {
+			for k := range groups[i].Count {
 				groups[i].Keys = append(groups[i].Keys, uint64(i*1000+k))
 			}
-			groups[i].Seen = 1
-			e.N += groups[i].N
+			groups[i].WorkerSamples = 1
+			e.Counted += groups[i].Count
 		}
-		s := &State{Seq: 1, Version: 10, Open: Epoch{Number: 2}, Closed: []Epoch{e}, Totals: Totals{Reported: int64(e.N), Counted: int64(e.N)}}
-		s.closing(e)
+		s := &State{Seq: 1, Version: 10, Open: Epoch{Number: 2}, Closed: []Epoch{e}, Totals: Totals{Reported: int64(e.Counted), Counted: int64(e.Counted)}}
+		s.openWeights(e)
 		if err := Audit([]*State{s}); err != nil {
 			t.Fatal(err)
 		}
@@ -51,9 +51,9 @@
 
 // Figures worked out by hand.
 func TestWeigh(t *testing.T) {
-	weights := func(m Model, groups ...Group) ([]float64, Mix) {
+	weights := func(m Model, groups ...Group) ([]float64, Weighting) {
 		for i := range groups {
-			groups[i].Boot, groups[i].Seen = fmt.Sprint(i), 1e12
+			groups[i].Boot, groups[i].WorkerSamples = fmt.Sprint(i), 1e12
 		}
 		mix := m.Filled().Weigh(groups, 10, "")
 		var out []float64
@@ -62,8 +62,8 @@
 		}
 		return out, mix
 	}
-	open := Model{WorkerCap: 1, SiteCap: 1, VersionCap: 1, Floor: 0.01}
-	capped, floored := open, open
+	uncapped := Model{WorkerCap: 1, SiteCap: 1, VersionCap: 1, Floor: 0.01}
+	capped, floored := uncapped, uncapped
 	capped.WorkerCap, floored.Floor = 0.5, 0.95
 	for _, c := range []struct {
 		name   string
@@ -71,10 +71,10 @@
 		groups []Group
 		want   []float64
 	}{
-		{"each half life halves", open, []Group{{Worker: "a", Version: 10, N: 1}, {Worker: "b", Version: 8, N: 1}, {Worker: "c", Version: 6, N: 1}, {Worker: "d", Version: 5, N: 1}}, []float64{12. / 7, 6. / 7, 3. / 7, 0}},
-		{"what spans versions counts half of them more", open, []Group{{Worker: "a", Version: 9, N: 1}, {Worker: "b", Version: 10, End: 11, N: 1}}, []float64{2 / (1 + math.Sqrt2*math.Exp2(-0.25)), 2 - 2/(1+math.Sqrt2*math.Exp2(-0.25))}},
-		{"a cap on a worker", capped, []Group{{Worker: "a", Version: 10, N: 80}, {Worker: "b", Version: 10, N: 10}, {Worker: "c", Version: 10, N: 10}}, []float64{50. / 80, 2.5, 2.5}},
-		{"one alone has all", capped, []Group{{Worker: "a", Version: 10, N: 80}}, []float64{1}},
+		{"each half life halves", uncapped, []Group{{Worker: "a", Version: 10, Count: 1}, {Worker: "b", Version: 8, Count: 1}, {Worker: "c", Version: 6, Count: 1}, {Worker: "d", Version: 5, Count: 1}}, []float64{12. / 7, 6. / 7, 3. / 7, 0}},
+		{"what spans versions counts half of them more", uncapped, []Group{{Worker: "a", Version: 9, Count: 1}, {Worker: "b", Version: 10, End: 11, Count: 1}}, []float64{2 / (1 + math.Sqrt2*math.Exp2(-0.25)), 2 - 2/(1+math.Sqrt2*math.Exp2(-0.25))}},
+		{"a cap on a worker", capped, []Group{{Worker: "a", Version: 10, Count: 80}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}}, []float64{50. / 80, 2.5, 2.5}},
+		{"one alone has all", capped, []Group{{Worker: "a", Version: 10, Count: 80}}, []float64{1}},
 	} {
 		got, _ := weights(c.m, c.groups...)
 		for i := range got {
@@ -85,34 +85,34 @@
 		}
 	}
 	// Caps that would have 20 samples stand for 800 give way to the floor.
-	few, tight := []Group{{Worker: "a", Version: 10, N: 800}, {Worker: "b", Version: 10, N: 10}, {Worker: "c", Version: 10, N: 10}}, capped
+	few, tight := []Group{{Worker: "a", Version: 10, Count: 800}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}}, capped
 	tight.Floor = 0.5
-	if got, mix := weights(tight, few...); mix.Size < 410 || mix.Relaxed == 0 || mix.Relaxed == 1 || got[1] < 1.5 {
+	if got, mix := weights(tight, few...); mix.EffectiveSize < 410 || mix.CapsRelaxed == 0 || mix.CapsRelaxed == 1 || got[1] < 1.5 {
 		t.Errorf("%v, %+v", got, mix)
 	}
-	_, mix := weights(floored, Group{Worker: "a", Version: 10, N: 10}, Group{Worker: "b", Version: 6, N: 10})
+	_, mix := weights(floored, Group{Worker: "a", Version: 10, Count: 10}, Group{Worker: "b", Version: 6, Count: 10})
 	// Of two halves with weights 1 ± d the effective part is 1/(1+d²); 0.6 becomes 0.2294 at the floor of 0.95.
-	if math.Abs(mix.Size-19) > 1e-6 || math.Abs(mix.Flat-(1-math.Sqrt(1/0.95-1)/0.6)) > 1e-6 {
+	if math.Abs(mix.EffectiveSize-19) > 1e-6 || math.Abs(mix.EqualPart-(1-math.Sqrt(1/0.95-1)/0.6)) > 1e-6 {
 		t.Errorf("%+v", mix)
 	}
 }
 
 // A worker's rate is its kind's while nothing was seen of it, moves to its own with what is seen, and its error falls.
 func TestRatesShrink(t *testing.T) {
-	workers := map[string]*Seen{}
-	rng := dice(7)
+	workers := map[string]*WorkerStats{}
+	rng := newRand(7)
 	for i := range 8 {
-		w := &Seen{Kind: "k"}
+		w := &WorkerStats{Kind: "k"}
 		for range 200 {
 			speed := 100 * math.Exp(0.3*float64(i%2)) * math.Exp(0.2*rng.NormFloat64())
-			w.note(Sample{Tokens: int(speed * 10), TookMs: 10_000, Accepted: true})
+			w.observe(Sample{Tokens: int(speed * 10), TookMs: 10_000, Accepted: true})
 		}
 		workers[fmt.Sprint(i)] = w
 	}
-	few := &Seen{Kind: "k"}
-	few.note(Sample{Tokens: 8000, TookMs: 10_000, Accepted: true}) // 800 a second, once
-	workers["few"], workers["none"] = few, &Seen{Kind: "k"}
-	rates(workers)
+	few := &WorkerStats{Kind: "k"}
+	few.observe(Sample{Tokens: 8000, TookMs: 10_000, Accepted: true}) // 800 a second, once
+	workers["few"], workers["none"] = few, &WorkerStats{Kind: "k"}
+	estimateRates(workers)
 	if r := workers["none"].Rate; r < 100 || r > 150 {
 		t.Errorf("of nothing: %g", r)
 	}
@@ -122,8 +122,8 @@
 	if r := workers["1"].Rate / workers["0"].Rate; math.Abs(r-math.Exp(0.3)) > 0.08 {
 		t.Errorf("two that were well seen are %g apart", r)
 	}
-	if !(workers["0"].Err < workers["few"].Err && workers["few"].Err < workers["none"].Err) {
-		t.Errorf("errors %g, %g, %g", workers["0"].Err, workers["few"].Err, workers["none"].Err)
+	if !(workers["0"].RelError < workers["few"].RelError && workers["few"].RelError < workers["none"].RelError) {
+		t.Errorf("errors %g, %g, %g", workers["0"].RelError, workers["few"].RelError, workers["none"].RelError)
 	}
 }
 
@@ -131,17 +131,17 @@
 // again, and not before its time.
 func TestOutliers(t *testing.T) {
 	m := Model{}.Filled()
-	rng := dice(3)
-	workers := map[string]*Seen{}
+	rng := newRand(3)
+	workers := map[string]*WorkerStats{}
 	fill := func(name string, tokens, speed float64) {
 		w := workers[name]
 		if w == nil {
-			w = &Seen{Kind: "k"}
+			w = &WorkerStats{Kind: "k"}
 			workers[name] = w
 		}
 		for range 40 {
 			n := tokens * math.Exp(0.1*rng.NormFloat64())
-			w.note(Sample{Tokens: int(n), TookMs: int64(1000 * n / speed), Accepted: true})
+			w.observe(Sample{Tokens: int(n), TookMs: int64(1000 * n / speed), Accepted: true})
 		}
 	}
 	for i := range 9 {
@@ -150,19 +150,19 @@
 	fill("short", 20, 100)
 	fill("slow", 500, 12)
 	fill("quick", 500, 4000)
-	m.outliers(workers)
+	m.holdOutliers(workers)
 	for name, w := range workers {
-		if want := name == "short" || name == "quick"; (w.Held != "") != want {
-			t.Errorf("%s held: %q", name, w.Held)
+		if want := name == "short" || name == "quick"; (w.HoldReason != "") != want {
+			t.Errorf("%s held: %q", name, w.HoldReason)
 		}
 	}
-	*workers["short"] = Seen{Kind: "k", Held: workers["short"].Held, HeldMs: m.HoldMs - 1}
+	*workers["short"] = WorkerStats{Kind: "k", HoldReason: workers["short"].HoldReason, HeldMs: m.HoldMs - 1}
 	fill("short", 500, 100)
-	if m.outliers(workers); workers["short"].Held == "" {
+	if m.holdOutliers(workers); workers["short"].HoldReason == "" {
 		t.Error("let go before its time")
 	}
 	workers["short"].HeldMs++
-	if m.outliers(workers); workers["short"].Held != "" {
+	if m.holdOutliers(workers); workers["short"].HoldReason != "" {
 		t.Error("held for ever")
 	}
 }
@@ -190,11 +190,11 @@
 	f := newFleet(1, 100, 200)
 	f.model = Model{Batch: 1024, LateEpochs: 6, Ahead: 4}
 	for range 14 {
-		f.busy(10)
+		f.produce(10)
 		f.step(0, "")
-		f.publish(f.tuner.Version, max(f.open()-3, 0))
+		f.publish(f.tuner.Version, max(f.openEpoch()-3, 0))
 	}
-	f.busy(10)
+	f.produce(10)
 	v := f.view()
 	size := len(encode(v.Last))
 	defer func() { b.ReportMetric(float64(size), "B/state") }()
--- a/internal/decide/sites/decide.go
+++ b/internal/decide/sites/decide.go
@@ -53,11 +53,11 @@
 	Broken Fault
 
 	judge Judge
-	heard turn.Stood
+	heard turn.RevisionAges
 	learned
 	stepped time.Duration
 	settled time.Duration // until then the times of answers are a change's
-	due     turn.Due
+	due     turn.WriteDelay
 	states  map[string]State
 }
 
@@ -111,10 +111,10 @@
 	planned.Reserve = d.fit(m, situation)
 	next.plan(planned, last, situation, d.rises(), d.Broken)
 	if v.Last != nil && !differs(last, next) {
-		d.due.Over()
+		d.due.Clear()
 		return nil
 	}
-	if !d.due.Now(d.rank(fresh), step, now) {
+	if !d.due.Elapsed(d.rank(fresh), step, now) {
 		return nil
 	}
 	return &next
@@ -136,7 +136,7 @@
 // fresh are the reports that were written anew not long ago, by this router's clock.
 func (d *Decider) fresh(v View, m Model, now time.Duration) (out []Report) {
 	for _, r := range v.Reports {
-		if ms(d.heard.For(r.Router, r.Rev, now)) <= freshFor*m.ReportMs {
+		if ms(d.heard.Age(r.Router, r.Rev, now)) <= freshFor*m.ReportMs {
 			out = append(out, r)
 		}
 	}
--- a/internal/decide/turn/judged.go
+++ b/internal/decide/turn/judged.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Judged counts decisions by what was seen after them. One is open until it is known to have been right or wrong; one whose
+// VerdictCounts counts decisions by what was seen after them. One is open until it is known to have been right or wrong; one whose
 // question fell away (a server was lost, a list forgot it) is void. It stands in states, so it is as small as it can be, and a
 // program that does not know it may leave it out: what was open then is not settled, which Settle bears.
-type Judged struct {
+type VerdictCounts struct {
 	Open  int64 `json:"open"`
 	Right int64 `json:"right"`
 	Wrong int64 `json:"wrong"`
@@ -23,47 +23,47 @@
 )
 
 // Begin counts a decision that is open.
-func (j *Judged) Begin() { j.Open++ }
+func (c *VerdictCounts) Begin() { c.Open++ }
 
 // Settle counts what an open decision turned out to be; without a verdict it stays open. What was opened under a count that is
 // lost is not settled.
-func (j *Judged) Settle(v Verdict) {
-	if j.Open == 0 {
+func (c *VerdictCounts) Settle(v Verdict) {
+	if c.Open == 0 {
 		return
 	}
 	switch v {
 	case Right:
-		j.Right++
+		c.Right++
 	case Wrong:
-		j.Wrong++
+		c.Wrong++
 	case Void:
-		j.Void++
+		c.Void++
 	default:
 		return
 	}
-	j.Open--
+	c.Open--
 }
 
 // Settled is how many decisions were settled.
-func (j Judged) Settled() int64 { return j.Right + j.Wrong + j.Void }
+func (c VerdictCounts) Settled() int64 { return c.Right + c.Wrong + c.Void }
 
-// Follows tells what is wrong with a count after an earlier one; "": nothing. What was settled stays so, and none is below 0.
-func (j Judged) Follows(was Judged) string {
+// CheckAgainst tells what is wrong with a count after an earlier one; "": nothing. What was settled stays so, and none is below 0.
+func (c VerdictCounts) CheckAgainst(earlier VerdictCounts) string {
 	switch {
-	case j.Open < 0:
-		return fmt.Sprintf("%d decisions are open", j.Open)
-	case j.Right < was.Right || j.Wrong < was.Wrong || j.Void < was.Void:
-		return fmt.Sprintf("%v after %v: what was settled is not any more", j, was)
-	case j.Open+j.Settled() < was.Open+was.Settled():
-		return fmt.Sprintf("%v after %v: decisions are gone", j, was)
+	case c.Open < 0:
+		return fmt.Sprintf("%d decisions are open", c.Open)
+	case c.Right < earlier.Right || c.Wrong < earlier.Wrong || c.Void < earlier.Void:
+		return fmt.Sprintf("%v after %v: what was settled is not any more", c, earlier)
+	case c.Open+c.Settled() < earlier.Open+earlier.Settled():
+		return fmt.Sprintf("%v after %v: decisions are gone", c, earlier)
 	}
 	return ""
 }
 
-func (j Judged) String() string {
-	text := fmt.Sprintf("right %d, wrong %d, open %d", j.Right, j.Wrong, j.Open)
-	if j.Void > 0 {
-		text += fmt.Sprintf(", void %d", j.Void)
+func (c VerdictCounts) String() string {
+	text := fmt.Sprintf("right %d, wrong %d, open %d", c.Right, c.Wrong, c.Open)
+	if c.Void > 0 {
+		text += fmt.Sprintf(", void %d", c.Void)
 	}
 	return text
 }
--- a/internal/decide/turn/later.go
+++ b/internal/decide/turn/later.go
@@ -2,11 +2,11 @@
 
 package turn
 
-// Ahead is how many formats of states this build is ahead of the tree's.
-const Ahead = 0
+// FormatsAhead is how many formats of states this build is ahead of the tree's.
+const FormatsAhead = 0
 
-// Later is what states of the next format have beside: nothing in this build.
-type Later struct{}
+// NextFormat is what states of the next format have beside: nothing in this build.
+type NextFormat struct{}
 
-// Wrote notes that a decider made the state.
-func (*Later) Wrote() {}
+// CountWrite notes that a decider made the state.
+func (*NextFormat) CountWrite() {}
--- a/internal/decide/turn/turn.go
+++ b/internal/decide/turn/turn.go
@@ -9,62 +9,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stood remembers when revisions of records were first seen. No clock of another process is asked: what it gives is
+// RevisionAges remembers when revisions of records were first seen. No clock of another process is asked: what it gives is
 // never longer than the truth, so a decider that takes over from another may wait longer, never shorter.
-type Stood struct{ seen map[string]sighting }
+type RevisionAges struct{ seen map[string]observation }
 
-type sighting struct {
+type observation struct {
 	rev int64
 	at  time.Duration
 }
 
-// For tells for how long a record has been at a revision, as far as was seen.
-func (s *Stood) For(key string, rev int64, now time.Duration) time.Duration {
+// Age tells for how long a record has been at a revision, as far as was seen.
+func (s *RevisionAges) Age(key string, rev int64, now time.Duration) time.Duration {
 	if s.seen == nil {
-		s.seen = map[string]sighting{}
+		s.seen = map[string]observation{}
 	}
-	one, known := s.seen[key]
-	if !known || one.rev != rev {
-		one = sighting{rev, now}
-		s.seen[key] = one
+	first, known := s.seen[key]
+	if !known || first.rev != rev {
+		first = observation{rev, now}
+		s.seen[key] = first
 	}
-	return now - one.at
+	return now - first.at
 }
 
-// Keep forgets all records but those that are named by a test.
-func (s *Stood) Keep(is func(key string) bool) {
+// Retain forgets all records but those that are named by a test.
+func (s *RevisionAges) Retain(keep func(key string) bool) {
 	for key := range s.seen {
-		if !is(key) {
+		if !keep(key) {
 			delete(s.seen, key)
 		}
 	}
 }
 
 // Rank is a router's turn among others, by rendezvous hashing under a loop's salt: 0 is the first.
-func Rank(salt, me string, others []string) (rank int) {
+func Rank(salt, self string, others []string) (rank int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(salt + "\x00" + name) }
 	for _, name := range others {
-		if name != me && weight(name) < weight(me) {
+		if name != self && weight(name) < weight(self) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Due tells whether it is a router's turn to write what has been due for a while: each next router waits a step longer
+// WriteDelay tells whether it is a router's turn to write what has been due for a while: each next router waits a step longer
 // than the one before it.
-type Due struct {
-	waits bool
-	since time.Duration
+type WriteDelay struct {
+	pending bool
+	since   time.Duration
 }
 
-// Over says that nothing is due.
-func (d *Due) Over() { d.waits = false }
+// Clear says that nothing is due.
+func (d *WriteDelay) Clear() { d.pending = false }
 
-// Now says that something is due, and tells whether the router of a rank writes it.
-func (d *Due) Now(rank int, step, now time.Duration) bool {
-	if !d.waits {
-		d.waits, d.since = true, now
+// Elapsed says that something is due, and tells whether the router of a rank writes it.
+func (d *WriteDelay) Elapsed(rank int, step, now time.Duration) bool {
+	if !d.pending {
+		d.pending, d.since = true, now
 	}
 	return now >= d.since+time.Duration(rank)*step
 }
--- a/internal/fleet/reuse/agent.go
+++ b/internal/fleet/reuse/agent.go
@@ -56,13 +56,13 @@
 
 const (
 	root   = "/sumacloft/reuse/"
-	format = 1 + turn.Ahead // of states
+	format = 1 + turn.FormatsAhead // of states
 )
 
 // Record is a state as it stands in the store.
 type Record struct {
 	Format int `json:"format"`
-	turn.Later
+	turn.NextFormat
 	reuse.State
 }
 
@@ -75,9 +75,9 @@
 func record(last *Record, next *reuse.State) *Record {
 	r := &Record{Format: format, State: *next}
 	if last != nil {
-		r.Later = last.Later
+		r.NextFormat = last.NextFormat
 	}
-	r.Wrote()
+	r.CountWrite()
 	return r
 }
 
--- a/internal/fleet/samples/agent.go
+++ b/internal/fleet/samples/agent.go
@@ -39,8 +39,8 @@
 	store Store
 	zero  time.Time
 	says  loop.Complaints
-	stood turn.Stood
-	due   turn.Due
+	stood turn.RevisionAges
+	due   turn.WriteDelay
 	made  makers
 	met   met
 
@@ -175,7 +175,7 @@
 	ctx, done := context.WithTimeout(ctx, patience(period))
 	defer done()
 	a.mu.Lock()
-	r := samples.Report{Router: a.o.Name, Boot: a.o.Boot, First: a.first, Samples: slices.Clone(a.ended[:min(len(a.ended), samples.MaxSamples)]), InHand: a.inHand, Clerks: a.met.seen()}
+	r := samples.Report{Router: a.o.Name, Boot: a.o.Boot, First: a.first, Samples: slices.Clone(a.ended[:min(len(a.ended), samples.MaxSamples)]), InFlight: a.inHand, Interactive: a.met.seen()}
 	a.mu.Unlock()
 	if err := a.store.Say(ctx, a.name(), r); ctx.Err() == nil {
 		a.says.Fault("samples report", err)
@@ -192,21 +192,21 @@
 	}
 	all := a.store.Read(r)
 	if all.State != nil {
-		all.State.At = all.StateRev
+		all.State.Rev = all.StateRev
 		a.follow(all.State)
 	}
 }
 
 // follow takes up a board that is newer than the one it has, and lets go of the samples that it has counted.
 func (a *Agent) follow(next *samples.State) {
-	if next.Sound() != nil {
+	if next.Validate() != nil {
 		return
 	}
 	a.mu.Lock()
-	newer := a.state == nil || next.At > a.state.At
+	newer := a.state == nil || next.Rev > a.state.Rev
 	if newer {
 		a.state = next
-		n := min(max(next.Marks[a.o.Name+" "+a.o.Boot].Seq-a.first+1, 0), int64(len(a.ended)))
+		n := min(max(next.Watermarks[a.o.Name+" "+a.o.Boot].Seq-a.first+1, 0), int64(len(a.ended)))
 		for _, s := range a.ended[:n] {
 			a.gone = append(a.gone, a.taken[s.Key])
 		}
@@ -234,7 +234,7 @@
 	ctx, done := context.WithTimeout(ctx, patience(period))
 	defer done()
 	v, all, faults, err := a.store.board(ctx)
-	_, unsound := v.Sound()
+	_, unsound := v.Sanitize()
 	a.says.Fault("samples", errors.Join(append(append(faults, unsound...), err)...))
 	if err != nil {
 		return
@@ -254,14 +254,14 @@
 	for i := range v.Reports {
 		one := &v.Reports[i]
 		key := one.Router + "/" + one.Boot
-		one.Silent = a.stood.For(key, all.Reports[key].Rev, a.now()) > freshFor*period
+		one.Silent = a.stood.Age(key, all.Reports[key].Rev, a.now()) > freshFor*period
 		if !one.Silent {
 			others = append(others, one.Router)
 		}
 	}
 	a.clear(ctx, v, all, period)
 	a.adopt(all, others, period)
-	a.stood.Keep(func(key string) bool {
+	a.stood.Retain(func(key string) bool {
 		_, reports := all.Reports[key]
 		_, ended := all.Others[key]
 		return reports || ended
@@ -274,10 +274,10 @@
 	}
 	next := d.Next(v, a.now())
 	if next == nil {
-		a.due.Over()
+		a.due.Clear()
 		return
 	}
-	if !a.due.Now(turn.Rank("samples", a.o.Name, others), period/step, a.now()) && a.o.Broken != samples.NoCompare {
+	if !a.due.Elapsed(turn.Rank("samples", a.o.Name, others), period/step, a.now()) && a.o.Broken != samples.NoCompare {
 		return
 	}
 	var fence []*pb.Compare
@@ -297,7 +297,7 @@
 	if err != nil {
 		return
 	}
-	next.At = rev
+	next.Rev = rev
 	a.say(v.Last, next)
 	a.follow(next)
 }
@@ -310,7 +310,7 @@
 func (a *Agent) clear(ctx context.Context, v samples.View, all loop.View[samples.Report, samples.State], period time.Duration) {
 	for _, one := range v.Reports {
 		key := one.Router + "/" + one.Boot
-		if !one.Silent || v.Last == nil || a.stood.For(key, all.Reports[key].Rev, a.now()) <= clearFor*period || v.Last.Marks[one.Router+" "+one.Boot].Seq < one.First+int64(len(one.Samples))-1 {
+		if !one.Silent || v.Last == nil || a.stood.Age(key, all.Reports[key].Rev, a.now()) <= clearFor*period || v.Last.Watermarks[one.Router+" "+one.Boot].Seq < one.First+int64(len(one.Samples))-1 {
 			continue
 		}
 		full := a.store.Reports() + key
@@ -328,18 +328,18 @@
 	log := a.o.Log.WithFields(logrus.Fields{"board": next.Seq, "epoch": next.Open.Number})
 	for _, e := range next.Closed {
 		if e.Number >= last.Open.Number && e.Number > 0 && e.Bounds != nil && e.Number >= next.Taken {
-			log.WithFields(logrus.Fields{"closed": e.Number, "samples": e.N, "weighed": e.Weighed, "size": e.Size, "late": e.Late, "silent": e.Silent, "why": e.Why}).Info("samples: an epoch is closed")
+			log.WithFields(logrus.Fields{"closed": e.Number, "samples": e.Counted, "weighed": e.Weighed, "size": e.EffectiveSize, "late": e.Late, "silent": e.Silent, "why": e.CloseReason}).Info("samples: an epoch is closed")
 		}
 	}
 	for name, w := range next.Workers {
-		if was := last.Workers[name]; w.Held != "" && (was == nil || was.Held != w.Held) {
-			log.WithFields(logrus.Fields{"worker": name, "why": w.Held}).Warn("samples: a worker is held")
+		if was := last.Workers[name]; w.HoldReason != "" && (was == nil || was.HoldReason != w.HoldReason) {
+			log.WithFields(logrus.Fields{"worker": name, "why": w.HoldReason}).Warn("samples: a worker is held")
 		}
 	}
-	if next.Tuner != "" && next.Tuner != last.Tuner {
-		log.Warn("samples: the tuner is not followed: " + next.Tuner)
+	if next.TunerFault != "" && next.TunerFault != last.TunerFault {
+		log.Warn("samples: the tuner is not followed: " + next.TunerFault)
 	}
-	if next.Said != last.Said && next.Said != "" {
-		log.Warn("samples: " + next.Said)
+	if next.Notice != last.Notice && next.Notice != "" {
+		log.Warn("samples: " + next.Notice)
 	}
 }
--- a/internal/fleet/samples/clerks.go
+++ b/internal/fleet/samples/clerks.go
@@ -80,9 +80,9 @@
 	m.n, m.bad, m.at = m.n*factor, m.bad*factor, now
 }
 
-func (m *met) seen() samples.Met {
+func (m *met) seen() samples.Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fade()
-	return samples.Met{N: m.n, Bad: m.bad}
+	return samples.Load{Total: m.n, Failed: m.bad}
 }
--- a/internal/fleet/samples/ended.go
+++ b/internal/fleet/samples/ended.go
@@ -74,12 +74,12 @@
 func (a *Agent) adopt(all loop.View[samples.Report, samples.State], others []string, period time.Duration) {
 	for name, data := range all.Others {
 		owner, ended := strings.CutPrefix(name, endedPart)
-		if !ended || a.stood.For(name, 1, a.now()) <= freshFor*period {
+		if !ended || a.stood.Age(name, 1, a.now()) <= freshFor*period {
 			continue
 		}
 		owner = owner[:max(strings.LastIndexByte(owner, '/'), 0)]
 		mine := owner == a.name()
-		if r, reports := all.Reports[owner]; !mine && reports && a.stood.For(owner, r.Rev, a.now()) <= freshFor*period {
+		if r, reports := all.Reports[owner]; !mine && reports && a.stood.Age(owner, r.Rev, a.now()) <= freshFor*period {
 			continue
 		}
 		if !mine && turn.Rank(name, a.o.Name, others) != 0 {
--- a/internal/fleet/samples/ended_test.go
+++ b/internal/fleet/samples/ended_test.go
@@ -24,13 +24,13 @@
 	write := func(router string, key uint64) samples.Sample {
 		a := f.agents[router]
 		w := workers[int(key)%len(workers)]
-		s := samples.Sample{Key: key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, Began: a.Epoch(), Tokens: 500, TookMs: 5000, Accepted: true}
+		s := samples.Sample{Key: key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, StartEpoch: a.Epoch(), Tokens: 500, TookMs: 5000, Accepted: true}
 		if _, err := f.client.Txn(t.Context(), &pb.TxnRequest{Success: []*pb.RequestOp{a.Written(s)}}); err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	standin.Eventually(t, 10*time.Second, "all report", func() bool { s := f.agents["a"].Board(); return s != nil && len(s.Marks) == 3 })
+	standin.Eventually(t, 10*time.Second, "all report", func() bool { s := f.agents["a"].Board(); return s != nil && len(s.Watermarks) == 3 })
 	for range 3 {
 		write("c", f.next())
 	}
@@ -75,9 +75,9 @@
 	if len(told["w2"]) != 0 || set.Admitted[1] != 0.5 || a.Arrived("rollout") != 0 {
 		t.Fatalf("without a table: %+v %+v", told, set)
 	}
-	a.state = &samples.State{Open: samples.Epoch{Number: 4}, At: 1}
+	a.state = &samples.State{Open: samples.Epoch{Number: 4}, Rev: 1}
 	a.Took(Terms{On: true, Classes: map[string]bool{"rollout": true}})
-	next := &samples.State{Open: samples.Epoch{Number: 5}, At: 2, Acts: samples.Acts{Part: 0.5, Shares: map[string]float64{"w1": 0.5, "w2": 0}, Reloads: []samples.Wish{{Worker: "w1", To: 12}}}}
+	next := &samples.State{Open: samples.Epoch{Number: 5}, Rev: 2, Actions: samples.Actions{AdmitFraction: 0.5, Shares: map[string]float64{"w1": 0.5, "w2": 0}, Reloads: []samples.Reload{{Worker: "w1", To: 12}}}}
 	a.follow(next)
 	if set.Admitted[0] != 1 || set.Admitted[1] != 0.25 || told["w1"][1] != 0.25 || told["w1"][2] != 0 || told["w2"][1] != 0 || told["w2"][0] != 1 {
 		t.Errorf("%+v %v", told, set.Admitted)
@@ -94,7 +94,7 @@
 	}
 	a.Refused("query")
 	a.Answered("rollout", false)
-	if m := a.met.seen(); sum < 45 || sum > 55 || m.N < 0.9 || m.N > 1 || m.Bad != m.N {
+	if m := a.met.seen(); sum < 45 || sum > 55 || m.Total < 0.9 || m.Total > 1 || m.Failed != m.Total {
 		t.Errorf("ranks sum up to %g, %+v", sum, m)
 	}
 }
--- a/internal/fleet/samples/module.go
+++ b/internal/fleet/samples/module.go
@@ -19,12 +19,12 @@
 func (a *Agent) tune(set *brain.Settings, places map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.on || a.state == nil || a.state.Part == 1 {
+	if !a.on || a.state == nil || a.state.AdmitFraction == 1 {
 		return
 	}
 	for class := range a.classes {
 		if at, is := places[class]; is {
-			roster.Admit(set, at, a.state.Part)
+			roster.Admit(set, at, a.state.AdmitFraction)
 		}
 	}
 }
--- a/internal/fleet/samples/records.go
+++ b/internal/fleet/samples/records.go
@@ -54,8 +54,8 @@
 		faults = append(faults, f)
 	}
 	if v.Last = all.State; v.Last != nil {
-		v.Last.At = all.StateRev
-		if err := v.Last.Sound(); err != nil {
+		v.Last.Rev = all.StateRev
+		if err := v.Last.Validate(); err != nil {
 			return v, all, nil, err // of a board that can't be read nothing is decided
 		}
 	}
@@ -68,7 +68,7 @@
 			faults = append(faults, err)
 			continue
 		}
-		v.Tuner, v.Rev = &p, pair.ModRevision
+		v.Tuner, v.TunerRev = &p, pair.ModRevision
 	}
 	return v, all, faults, nil
 }
--- a/internal/fleet/samples/samples_test.go
+++ b/internal/fleet/samples/samples_test.go
@@ -82,7 +82,7 @@
 	w, a := workers[int(key)%len(workers)], f.agents[router]
 	epoch := a.Epoch()
 	a.Take()
-	a.Ended(&samples.Sample{Key: key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, Began: epoch, AgeMs: 10, Tokens: 500, TookMs: 5000, Accepted: true})
+	a.Ended(&samples.Sample{Key: key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, StartEpoch: epoch, AgeMs: 10, Tokens: 500, TookMs: 5000, Accepted: true})
 }
 
 func (f *fleet) next() uint64 {
--- a/internal/fleet/samples/schedule_test.go
+++ b/internal/fleet/samples/schedule_test.go
@@ -96,9 +96,9 @@
 				t.Fatal(err)
 			}
 			last := history[len(history)-1]
-			t.Logf("%d samples, %d boards, %d epochs, %d boots, %+v, twice %d, back %d", len(f.ran), len(history), last.Open.Number-1, boots["a"]+boots["b"]+boots["c"]+boots["d"], last.Totals, last.Twice, last.Back)
-			if last.Totals.Missing != 0 || last.Totals.Repeated == 0 || last.Back == 0 {
-				t.Errorf("%+v, back %d", last.Totals, last.Back)
+			t.Logf("%d samples, %d boards, %d epochs, %d boots, %+v, twice %d, back %d", len(f.ran), len(history), last.Open.Number-1, boots["a"]+boots["b"]+boots["c"]+boots["d"], last.Totals, last.Republished, last.OlderPublished)
+			if last.Totals.Missing != 0 || last.Totals.Repeated == 0 || last.OlderPublished == 0 {
+				t.Errorf("%+v, back %d", last.Totals, last.OlderPublished)
 			}
 		})
 	}
--- a/internal/lab/jointsite.go
+++ b/internal/lab/jointsite.go
@@ -89,7 +89,7 @@
 	}
 	for _, one := range d.Daemons {
 		for _, r := range all.Reports {
-			n, seq := int64(len(r.Value.Samples)), all.State.Marks[one.Name+" "+r.Value.Boot].Seq
+			n, seq := int64(len(r.Value.Samples)), all.State.Watermarks[one.Name+" "+r.Value.Boot].Seq
 			if r.Value.Router == one.Name && n > 0 && r.Value.First+n-1 > seq {
 				return one, true
 			}
--- a/internal/lab/tuning.go
+++ b/internal/lab/tuning.go
@@ -102,7 +102,7 @@
 	if !until(ctx, within, func() bool {
 		time.Sleep(50 * time.Millisecond)
 		last = f.Board(ctx)
-		return last != nil && len(last.Workers) == 9 && last.Version == 1 && len(last.Marks) == 6
+		return last != nil && len(last.Workers) == 9 && last.Version == 1 && len(last.Watermarks) == 6
 	}) {
 		return &NotSeenError{"a board with nine workers and six routers", fmt.Sprintf("%+v", last)}
 	}
@@ -132,7 +132,7 @@
 		f.fault("a board that can't be read: %v", err)
 		return nil
 	}
-	s.At = r.Kvs[0].ModRevision
+	s.Rev = r.Kvs[0].ModRevision
 	return s
 }
 
@@ -289,7 +289,7 @@
 func (t *tuner) repeat(ctx context.Context) {
 	before := t.awaitBoard(ctx, func(s *samples.State) bool { return s.Version == t.version })
 	t.insist(ctx)
-	t.awaitBoard(ctx, func(s *samples.State) bool { return s.Twice > before.Twice })
+	t.awaitBoard(ctx, func(s *samples.State) bool { return s.Republished > before.Republished })
 }
 
 // goBack publishes the version before the one that the board has, and waits until the board has counted that.
@@ -298,7 +298,7 @@
 	t.version--
 	t.insist(ctx)
 	t.version++
-	t.awaitBoard(ctx, func(s *samples.State) bool { return s.Back > before.Back })
+	t.awaitBoard(ctx, func(s *samples.State) bool { return s.OlderPublished > before.OlderPublished })
 }
 
 // awaitBoard waits for a condition on the board and returns the last board that it read. A condition that is not met in
--- a/internal/lab/tunrun.go
+++ b/internal/lab/tunrun.go
@@ -188,7 +188,7 @@
 		rep.Wrong = append(rep.Wrong, err.Error())
 	}
 	last := list[len(list)-1]
-	rep.Totals, rep.Epochs, rep.Version, rep.Boards, rep.Twice, rep.Back, rep.Taken = last.Totals, last.Open.Number-1, last.Version, len(list), last.Twice, last.Back, len(r.t.tuner.epochs)
+	rep.Totals, rep.Epochs, rep.Version, rep.Boards, rep.Twice, rep.Back, rep.Taken = last.Totals, last.Open.Number-1, last.Version, len(list), last.Republished, last.OlderPublished, len(r.t.tuner.epochs)
 	rep.Wrong = append(rep.Wrong, r.read(rep, list)...)
 	return nil
 }
@@ -197,7 +197,7 @@
 func (r *tunRun) placed(list []*samples.State, keys []string) (wrong []string) {
 	at := map[uint64]bool{}
 	note := func(e samples.Epoch) {
-		for key := range e.Placed {
+		for key := range e.AllKeys {
 			at[key] = true
 		}
 	}
@@ -250,14 +250,14 @@
 			}
 		}
 		for name, w := range s.Workers {
-			if w.Held != "" {
+			if w.HoldReason != "" {
 				r.held[name] = true
 			}
 		}
 	}
 	for i, e := range r.t.tuner.epochs {
-		if is := closed[e.Number]; e.Number != int64(i+1) || is.N != e.N || is.Mix != e.Mix {
-			wrong = append(wrong, fmt.Sprintf("the tuner read epoch %d as the %d., of %d samples; the board closed it with %d", e.Number, i+1, e.N, is.N))
+		if is := closed[e.Number]; e.Number != int64(i+1) || is.Counted != e.Counted || is.Weighting != e.Weighting {
+			wrong = append(wrong, fmt.Sprintf("the tuner read epoch %d as the %d., of %d samples; the board closed it with %d", e.Number, i+1, e.Counted, is.Counted))
 		}
 	}
 	return wrong
@@ -290,7 +290,7 @@
 		return &NotSeenError{what, "not read"}
 	}
 	return &NotSeenError{what, fmt.Sprintf("board %d by %s, epoch %d of %d, taken %d, version %d, part %.2f, %q, totals %+v, reloads %+v, shares %v", last.Seq, last.By,
-		last.Open.Number, last.Open.N, last.Taken, last.Version, last.Part, last.Said, last.Totals, last.Reloads, last.Shares)}
+		last.Open.Number, last.Open.Counted, last.Taken, last.Version, last.AdmitFraction, last.Notice, last.Totals, last.Reloads, last.Shares)}
 }
 
 func (r *tunRun) step(w []string) error {
@@ -360,24 +360,24 @@
 		case "other":
 			return s.By != was
 		case "stalled":
-			return s.Part == 0
+			return s.AdmitFraction == 0
 		case "reloaded":
 			st := r.State(r.ctx)
 			return st != nil && slices.ContainsFunc(st.Past, func(p outage.Past) bool { return p.For == outage.ForReload && p.End == "back" })
 		case "bound":
-			return s.Part == 0 && strings.Contains(s.Said, "past the bound")
+			return s.AdmitFraction == 0 && strings.Contains(s.Notice, "past the bound")
 		case "part":
-			return s.Part > 0
+			return s.AdmitFraction > 0
 		case "held":
-			return s.Workers[arg] != nil && s.Workers[arg].Held != ""
+			return s.Workers[arg] != nil && s.Workers[arg].HoldReason != ""
 		case "silent":
 			return len(s.Closed) > 0 && s.Closed[len(s.Closed)-1].Silent > 0
 		case "back":
-			return s.Back > 0
+			return s.OlderPublished > 0
 		case "twice":
-			return s.Twice > 0
+			return s.Republished > 0
 		case "inhand": // a router has samples in hand: those of the open epoch are being made
-			return s.Part > 0 && s.Open.N > 0
+			return s.AdmitFraction > 0 && s.Open.Counted > 0
 		}
 		return true
 	})
--- a/internal/world/fleet/draw.go
+++ b/internal/world/fleet/draw.go
@@ -107,12 +107,12 @@
 // has what the board has not counted at its last step, and the tuner takes an epoch as it is closed.
 func Samples(s Size, seed uint64) samples.View {
 	rng := rand.New(rand.NewPCG(seed, 22))
-	v := samples.View{Policy: 7, Tuner: &samples.Published{Version: 41}, Rev: 1}
+	v := samples.View{Policy: 7, Tuner: &samples.Published{Version: 41}, TunerRev: 1}
 	for i := range s.Tuning {
 		v.Workers = append(v.Workers, samples.Worker{Name: s.server(i), Boot: s.sight(i).Boot, Site: s.region(i), Kind: "chat", Label: 41})
 	}
 	for i := range s.Routers {
-		v.Reports = append(v.Reports, samples.Report{Router: s.router(i), Boot: "boot-" + s.router(i), First: 1, InHand: 1, Clerks: samples.Met{N: 400 + float64(rng.IntN(100)), Bad: 2}})
+		v.Reports = append(v.Reports, samples.Report{Router: s.router(i), Boot: "boot-" + s.router(i), First: 1, InFlight: 1, Interactive: samples.Load{Total: 400 + float64(rng.IntN(100)), Failed: 2}})
 	}
 	d := samples.Decider{Me: s.router(0)}
 	period := time.Duration(samples.Defaults.ReportMs) * time.Millisecond
@@ -120,11 +120,11 @@
 		if v.Last != nil { // what was counted is let go of
 			for i := range v.Reports {
 				r := &v.Reports[i]
-				n := min(max(v.Last.Marks[r.Router+" "+r.Boot].Seq-r.First+1, 0), int64(len(r.Samples)))
+				n := min(max(v.Last.Watermarks[r.Router+" "+r.Boot].Seq-r.First+1, 0), int64(len(r.Samples)))
 				r.First, r.Samples = r.First+n, slices.Clone(r.Samples[n:])
 			}
 			if n := v.Last.Open.Number - 1; n > v.Tuner.Epoch {
-				v.Tuner, v.Rev = &samples.Published{Version: v.Tuner.Version + 1, Epoch: n}, v.Rev+1
+				v.Tuner, v.TunerRev = &samples.Published{Version: v.Tuner.Version + 1, Epoch: n}, v.TunerRev+1
 				for i := range v.Workers {
 					if v.Workers[i].Label < v.Tuner.Version-2 {
 						v.Workers[i].Label = v.Tuner.Version
@@ -138,7 +138,7 @@
 			if v.Last != nil {
 				open = v.Last.Open.Number
 			}
-			r.Samples = append(r.Samples, samples.Sample{Key: rng.Uint64(), Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, Began: open, AgeMs: 4000,
+			r.Samples = append(r.Samples, samples.Sample{Key: rng.Uint64(), Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, StartEpoch: open, AgeMs: 4000,
 				Tokens: 400 + rng.IntN(200), TookMs: 4000 + rng.Int64N(2000), Accepted: rng.IntN(10) > 0})
 		}
 		if now+period < time.Minute { // the last round's reports are left to be counted
--- a/internal/world/fleet/gathered.go
+++ b/internal/world/fleet/gathered.go
@@ -19,9 +19,9 @@
 	var out []*gather.Record[outage.Report]
 	for i, r := range v.Reports {
 		if i < s.Regions {
-			out = append(out, &gather.Record[outage.Report]{Format: gather.Format, Region: s.region(i), Seq: 1000, By: r.Router, Boot: r.Boot, Lines: map[string]gather.Line[outage.Report]{}})
+			out = append(out, &gather.Record[outage.Report]{Format: gather.Format, Region: s.region(i), Seq: 1000, By: r.Router, Boot: r.Boot, Entries: map[string]gather.Entry[outage.Report]{}})
 		}
-		out[i%s.Regions].Lines[r.Router] = gather.Line[outage.Report]{Boot: r.Boot, Number: 1000, AgeMs: 700, Report: r}
+		out[i%s.Regions].Entries[r.Router] = gather.Entry[outage.Report]{Boot: r.Boot, Number: 1000, AgeMs: 700, Report: r}
 	}
 	return out
 }
@@ -41,7 +41,7 @@
 // GatheredCost measures the loop on outages with reports gathered by region: a record of each region once a period, read by the
 // few routers that decide; all others read the state when it changes. Sent is what routers send to their gatherers.
 func GatheredCost(s Size, seed uint64) (Cost, error) {
-	t := gather.Terms{}.Filled()
+	t := gather.Settings{}.Filled()
 	v := Outages(s, seed)
 	c := Cost{Loop: "outages, gathered", Size: s, PeriodMs: t.PeriodMs, State: written(fleetoutage.StateKey, v.Last, fence(fleetoutage.StateKey, s.router(0))...)}
 	records := Gathered(s, v)
@@ -59,12 +59,12 @@
 	n, second := float64(len(records)), 1000/t.PeriodMs
 	c.Report, c.Writes, c.Written = total/n, n*second, total*second
 	readers := float64(min(deciders, s.Routers))
-	watchers := n * float64(min(t.Watch, s.Routers/len(records))) // who gathers and the next ones read their own region's record
+	watchers := n * float64(min(t.Watchers, s.Routers/len(records))) // who gathers and the next ones read their own region's record
 	c.Read = second * (readers*(total+float64(c.State)) + watchers*c.Report)
 	c.Change = float64(c.State) * float64(1+s.Routers)
 	one := *records[0]
-	for name, l := range records[0].Lines {
-		one.Lines = map[string]gather.Line[outage.Report]{name: l}
+	for name, l := range records[0].Entries {
+		one.Entries = map[string]gather.Entry[outage.Report]{name: l}
 	}
 	alone, err := gather.Pack(&one, gather.MaxPacked)
 	if err != nil {
--- a/internal/world/fleet/world.go
+++ b/internal/world/fleet/world.go
@@ -13,7 +13,7 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// Tick is how long a step of a day is: regions gather, and the decider decides, once in it (gather.Terms.PeriodMs).
+// Tick is how long a step of a day is: regions gather, and the decider decides, once in it (gather.Settings.PeriodMs).
 const Tick = 2 * time.Second
 
 // The terms of a day.
@@ -341,7 +341,7 @@
 	}
 	w.rev++
 	for i := range w.reports {
-		w.reports[i].Rev, w.reports[i].AgeMs = w.rev, gather.Terms{}.Filled().PeriodMs
+		w.reports[i].Rev, w.reports[i].AgeMs = w.rev, gather.Settings{}.Filled().PeriodMs
 	}
 	return v
 }
--- a/internal/world/tuning/tuner.go
+++ b/internal/world/tuning/tuner.go
@@ -41,15 +41,15 @@
 	}
 	lag, noise := 0.0, 0.0
 	for _, g := range e.Groups {
-		lag += float64(g.N) * g.Weight * float64(r.tuner.Version-g.Version)
-		noise += math.Sqrt(float64(g.N)) * g.Weight * r.noise.NormFloat64()
+		lag += float64(g.Count) * g.Weight * float64(r.tuner.Version-g.Version)
+		noise += math.Sqrt(float64(g.Count)) * g.Weight * r.noise.NormFloat64()
 	}
 	lag, noise = lag/float64(e.Weighed), noise/float64(e.Weighed)
 	for i, bias := range Biases {
 		off := bias*lag + noise
 		r.squares[i] += off * off
 	}
-	r.batches, r.size, r.lag = r.batches+1, r.size+e.Size, r.lag+lag
+	r.batches, r.size, r.lag = r.batches+1, r.size+e.EffectiveSize, r.lag+lag
 }
 
 // step moves the tuner's point against the mean of the samples' gradients, each taken at the point of its version: of half
@@ -71,9 +71,9 @@
 		if g.Weight == 0 {
 			continue
 		}
-		part := float64(g.N) * g.Weight / float64(e.Weighed)
+		part := float64(g.Count) * g.Weight / float64(e.Weighed)
 		for i := range gradient {
-			gradient[i] += part * (points[g.Version][i] + r.set.Noise*r.noise.NormFloat64()/math.Sqrt(float64(g.N)))
+			gradient[i] += part * (points[g.Version][i] + r.set.Noise*r.noise.NormFloat64()/math.Sqrt(float64(g.Count)))
 		}
 	}
 	return gradient
@@ -111,7 +111,7 @@
 	}
 	known := 0.0
 	for _, w := range r.workers {
-		if seen := r.state.Workers[w.Name]; seen.N >= 2 {
+		if seen := r.state.Workers[w.Name]; seen.Samples >= 2 {
 			known++
 			out.RateErr += math.Abs(seen.Rate/w.speed - 1)
 		}
--- a/internal/world/tuning/tuning.go
+++ b/internal/world/tuning/tuning.go
@@ -204,7 +204,7 @@
 	var list []free
 	part := 1.0
 	if r.state != nil {
-		part = r.state.Part
+		part = r.state.AdmitFraction
 	}
 	for _, w := range r.workers {
 		share := 1.0
@@ -259,7 +259,7 @@
 	if r.state != nil {
 		epoch = r.state.Open.Number
 	}
-	*s = slot{busy: true, left: tokens, pace: math.Exp(0.2 * r.rng.NormFloat64()), came: r.now, one: samples.Sample{Key: r.key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, Began: epoch, Tokens: int(tokens), Accepted: true}}
+	*s = slot{busy: true, left: tokens, pace: math.Exp(0.2 * r.rng.NormFloat64()), came: r.now, one: samples.Sample{Key: r.key, Worker: w.Name, Boot: w.Boot, Site: w.Site, Label: w.Label, Version: w.Label, StartEpoch: epoch, Tokens: int(tokens), Accepted: true}}
 }
 
 func (r *run) end(w *worker, s *slot) {
@@ -274,7 +274,7 @@
 
 // board has the decider look, and routers drop what it has counted.
 func (r *run) board() {
-	v := samples.View{Model: r.set.Model, Policy: 1, Last: r.state, Tuner: &r.tuner, Rev: r.rev}
+	v := samples.View{Model: r.set.Model, Policy: 1, Last: r.state, Tuner: &r.tuner, TunerRev: r.rev}
 	hand := 0
 	for _, w := range r.workers {
 		v.Workers = append(v.Workers, w.Worker)
@@ -286,7 +286,7 @@
 	}
 	for i := range r.reports {
 		one := r.reports[i]
-		one.InHand = (hand + i) / len(r.reports)
+		one.InFlight = (hand + i) / len(r.reports)
 		one.Samples = one.Samples[:min(len(one.Samples), samples.MaxSamples)]
 		v.Reports = append(v.Reports, one)
 	}
@@ -297,13 +297,13 @@
 	r.state = next
 	for i := range r.reports {
 		one := &r.reports[i]
-		n := next.Marks[one.Router+" "+one.Boot].Seq - one.First + 1
+		n := next.Watermarks[one.Router+" "+one.Boot].Seq - one.First + 1
 		one.First, one.Samples = one.First+n, one.Samples[n:]
 	}
 	for _, e := range next.Closed {
 		if !r.seen[e.Number] {
 			r.seen[e.Number] = true
-			r.all += float64(e.N + e.Late + e.Beyond)
+			r.all += float64(e.Counted + e.Late + e.Beyond)
 			r.part += float64(e.Weighed)
 			for _, g := range e.Groups {
 				if g.Weight > 0 {
--- a/internal/world/tuning/tuning_test.go
+++ b/internal/world/tuning/tuning_test.go
@@ -48,13 +48,13 @@
 		t.Skip("fifteen seconds: LAB_LONG=1")
 	}
 	for _, slow := range []int{0, 16} {
-		var holds, weights turn.Judged
+		var holds, weights turn.VerdictCounts
 		for seed := range uint64(10) {
 			set := Usual(64)
 			set.Slow, set.For, set.Seed = slow, 10*time.Minute, seed+11
 			h := Run(set).Hindsight
-			holds = turn.Judged{Open: holds.Open + h.Holds.Open, Right: holds.Right + h.Holds.Right, Wrong: holds.Wrong + h.Holds.Wrong, Void: holds.Void + h.Holds.Void}
-			weights = turn.Judged{Open: weights.Open + h.Weights.Open, Right: weights.Right + h.Weights.Right, Wrong: weights.Wrong + h.Weights.Wrong}
+			holds = turn.VerdictCounts{Open: holds.Open + h.Holds.Open, Right: holds.Right + h.Holds.Right, Wrong: holds.Wrong + h.Holds.Wrong, Void: holds.Void + h.Holds.Void}
+			weights = turn.VerdictCounts{Open: weights.Open + h.Weights.Open, Right: weights.Right + h.Weights.Right, Wrong: weights.Wrong + h.Weights.Wrong}
 		}
 		t.Logf("%d of 64 slow: holds %v, weights %v", slow, holds, weights)
 		if holds.Right > 2 || holds.Right > holds.Wrong {
