--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -50,24 +50,24 @@
 }
 
 func newSimulation(broken Fault) *simulation {
-	l := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
+	sim := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
 	for _, name := range []string{"a0", "a1", "a2", "a3", "b0", "b1"} {
 		r := &router{name: name, region: name[:1]}
-		l.routers = append(l.routers, r)
-		l.start(r)
+		sim.routers = append(sim.routers, r)
+		sim.start(r)
 	}
-	return l
+	return sim
 }
 
-func (l *simulation) start(r *router) {
-	l.rev++
-	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: l.rev, sender: Sender{Region: r.region}}
-	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: l.broken}
+func (sim *simulation) start(r *router) {
+	sim.rev++
+	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: sim.rev, sender: Sender{Region: r.region}}
+	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: sim.broken}
 }
 
-func (l *simulation) live(region string) map[string]string {
+func (sim *simulation) live(region string) map[string]string {
 	out := map[string]string{}
-	for _, r := range l.routers {
+	for _, r := range sim.routers {
 		if r.token != 0 && (region == "" || r.region == region) {
 			out[r.name] = fmt.Sprint(r.boot)
 		}
@@ -75,8 +75,8 @@
 	return out
 }
 
-func (l *simulation) find(name string) *router {
-	for _, r := range l.routers {
+func (sim *simulation) find(name string) *router {
+	for _, r := range sim.routers {
 		if r.name == name {
 			return r
 		}
@@ -84,30 +84,30 @@
 	return nil
 }
 
-func (l *simulation) advance(d time.Duration) {
-	l.now += d
-	for _, r := range l.routers {
+func (sim *simulation) advance(d time.Duration) {
+	sim.now += d
+	for _, r := range sim.routers {
 		if !r.stopped {
 			r.waited += d
-		} else if l.now-r.stoppedAt >= lease {
+		} else if sim.now-r.stoppedAt >= lease {
 			r.token = 0
 		}
 	}
 }
 
 // report has a router make one and send it.
-func (l *simulation) report(r *router) {
+func (sim *simulation) report(r *router) {
 	if r.stopped || r.token == 0 {
 		return
 	}
-	live := l.live(r.region)
-	to := l.find(r.sender.Target(Order(r.region, keys(live)), l.terms, l.now))
-	r.reportedAt = append(r.reportedAt, l.now)
+	live := sim.live(r.region)
+	to := sim.find(r.sender.Target(Order(r.region, keys(live)), sim.terms, sim.now))
+	r.reportedAt = append(r.reportedAt, sim.now)
 	if to == nil || to.stopped {
 		return
 	}
-	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, l.now)
-	r.sender.Answered(to.name, to.gatherer.Holder(l.store[r.region], live, l.terms, l.now), l.now)
+	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, sim.now)
+	r.sender.Answered(to.name, to.gatherer.Holder(sim.store[r.region], live, sim.terms, sim.now), sim.now)
 }
 
 func keys(m map[string]string) (out []string) {
@@ -118,26 +118,26 @@
 }
 
 // decide has a router read and decide; write has it write, if nothing stands against that.
-func (l *simulation) decide(r *router) {
-	if !r.stopped && r.pending == nil && r.gatherer.Watches(l.store[r.region], l.live(r.region), l.terms, l.now) {
-		if last := l.store[r.region]; last != nil {
+func (sim *simulation) decide(r *router) {
+	if !r.stopped && r.pending == nil && r.gatherer.Watches(sim.store[r.region], sim.live(r.region), sim.terms, sim.now) {
+		if last := sim.store[r.region]; last != nil {
 			r.read = last.Rev
 		}
-		r.waited, r.fence, r.pending = 0, r.token, r.gatherer.Next(l.store[r.region], l.live(r.region), l.terms, l.now)
+		r.waited, r.fence, r.pending = 0, r.token, r.gatherer.Next(sim.store[r.region], sim.live(r.region), sim.terms, sim.now)
 	}
 }
 
-func (l *simulation) write(r *router) error {
+func (sim *simulation) write(r *router) error {
 	next := r.pending
 	if r.stopped || next == nil {
 		return nil
 	}
 	r.pending = nil
-	last := l.store[r.region]
-	if r.waited > writeTimeout || l.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
+	last := sim.store[r.region]
+	if r.waited > writeTimeout || sim.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
 		return nil
 	}
-	if l.rev++; l.rev%8 == 0 { // as the store would have it
+	if sim.rev++; sim.rev%8 == 0 { // as the store would have it
 		data, err := Pack(next, MaxPacked)
 		if err != nil {
 			return err
@@ -146,12 +146,12 @@
 			return err
 		}
 	}
-	next.Rev = l.rev
-	l.store[r.region], l.written[r.region] = next, l.now
+	next.Rev = sim.rev
+	sim.store[r.region], sim.written[r.region] = next, sim.now
 	if last != nil {
 		for name, was := range last.Entries {
-			if is := next.Entries[name]; is.Boot == was.Boot && is.Number < was.Number {
-				return fmt.Errorf("%s: report %d stands in the place of %d", name, is.Number, was.Number)
+			if current := next.Entries[name]; current.Boot == was.Boot && current.Number < was.Number {
+				return fmt.Errorf("%s: report %d stands in the place of %d", name, current.Number, was.Number)
 			}
 		}
 	}
@@ -159,40 +159,40 @@
 }
 
 // decideAndCheck has the decider decide, and checks what it believes.
-func (l *simulation) decideAndCheck() (fresh map[string]bool, err error) {
+func (sim *simulation) decideAndCheck() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
-	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registered{}}
-	for _, r := range l.store {
+	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)}, Last: sim.state, Routers: map[string]outage.Registered{}}
+	for _, r := range sim.store {
 		records = append(records, r)
-		if l.firstSeen[r.Rev] == 0 {
-			l.firstSeen[r.Rev] = l.now
+		if sim.firstSeen[r.Rev] == 0 {
+			sim.firstSeen[r.Rev] = sim.now
 		}
 	}
-	boots := l.live("")
+	boots := sim.live("")
 	for name, boot := range boots {
 		v.Routers[name] = outage.Registered{Boot: boot, Live: true}
 	}
-	v.Reports, fresh = Reports(records, boots, l.broken), map[string]bool{}
+	v.Reports, fresh = Reports(records, boots, sim.broken), map[string]bool{}
 	for _, report := range v.Reports {
-		r := l.find(report.Router)
-		entry := l.store[r.region].Entries[report.Router]
-		if entry.Boot != fmt.Sprint(r.boot) || time.Duration(report.AgeMs*float64(time.Millisecond))+l.ages.Age(report.Router, report.Rev, l.now) > reportValidity {
+		r := sim.find(report.Router)
+		entry := sim.store[r.region].Entries[report.Router]
+		if entry.Boot != fmt.Sprint(r.boot) || time.Duration(report.AgeMs*float64(time.Millisecond))+sim.ages.Age(report.Router, report.Rev, sim.now) > reportValidity {
 			continue
 		}
 		fresh[report.Router] = true
-		ageWhenSeen := l.firstSeen[report.Rev] - l.written[r.region] // the record had stood so long when this decider saw it first
-		if age := l.now - r.reportedAt[entry.Number-1] - ageWhenSeen; age > reportValidity+lease+writeTimeout {
+		ageWhenSeen := sim.firstSeen[report.Rev] - sim.written[r.region] // the record had stood so long when this decider saw it first
+		if age := sim.now - r.reportedAt[entry.Number-1] - ageWhenSeen; age > reportValidity+lease+writeTimeout {
 			return nil, fmt.Errorf("%s: a report is believed that is %v old", report.Router, age)
 		}
 	}
-	if next := l.decider.Next(v, l.now); next != nil {
-		l.rev++
-		next.Rev, l.state = l.rev, next
+	if next := sim.decider.Next(v, sim.now); next != nil {
+		sim.rev++
+		next.Rev, sim.state = sim.rev, next
 	}
-	if l.state != nil && len(l.state.Lost) > 0 {
-		for thing := range l.state.Lost {
-			if kind, _ := outage.Split(thing); kind == outage.Server {
-				return nil, fmt.Errorf("%s is well and held to be lost", thing)
+	if sim.state != nil && len(sim.state.Lost) > 0 {
+		for member := range sim.state.Lost {
+			if kind, _ := outage.Split(member); kind == outage.Server {
+				return nil, fmt.Errorf("%s is well and held to be lost", member)
 			}
 		}
 	}
@@ -200,81 +200,81 @@
 }
 
 // randomStep takes one act.
-func (l *simulation) randomStep(draw func(n int) int) error {
-	r := l.routers[draw(len(l.routers))]
+func (sim *simulation) randomStep(draw func(n int) int) error {
+	r := sim.routers[draw(len(sim.routers))]
 	switch draw(16) {
 	case 0, 1, 2, 3:
-		l.report(r)
+		sim.report(r)
 	case 4, 5, 6:
-		l.decide(r)
+		sim.decide(r)
 	case 7, 8, 9:
-		return l.write(r)
+		return sim.write(r)
 	case 10, 11, 12:
-		l.advance(time.Duration(50+draw(1500)) * time.Millisecond)
-		_, err := l.decideAndCheck()
+		sim.advance(time.Duration(50+draw(1500)) * time.Millisecond)
+		_, err := sim.decideAndCheck()
 		return err
 	case 13:
 		if !r.stopped {
-			r.stopped, r.stoppedAt = true, l.now
+			r.stopped, r.stoppedAt = true, sim.now
 		}
 	case 14:
-		return l.resume(r)
+		return sim.resume(r)
 	case 15:
 		if draw(4) == 0 {
-			l.start(r)
+			sim.start(r)
 		}
 	}
 	return nil
 }
 
 // resume has a stopped router go on where it was: a write that was on its way goes first, then it registers again.
-func (l *simulation) resume(r *router) (err error) {
+func (sim *simulation) resume(r *router) (err error) {
 	if r.stopped {
 		r.stopped = false
-		err = l.write(r)
+		err = sim.write(r)
 	}
 	if r.token == 0 {
-		l.rev++
-		r.token = l.rev
+		sim.rev++
+		r.token = sim.rev
 	}
 	return err
 }
 
 // converge has all routers run again: within a takeover and some periods everybody is believed.
-func (l *simulation) converge() error {
-	for _, r := range l.routers {
-		if err := l.resume(r); err != nil {
+func (sim *simulation) converge() error {
+	for _, r := range sim.routers {
+		if err := sim.resume(r); err != nil {
 			return err
 		}
 	}
 	var fresh map[string]bool
 	for range 20 {
-		l.advance(500 * time.Millisecond)
-		for _, r := range l.routers {
-			l.report(r)
-			l.decide(r)
-			if err := l.write(r); err != nil {
+		sim.advance(500 * time.Millisecond)
+		for _, r := range sim.routers {
+			sim.report(r)
+			sim.decide(r)
+			if err := sim.write(r); err != nil {
 				return err
 			}
 		}
 		var err error
-		if fresh, err = l.decideAndCheck(); err != nil {
+		if fresh, err = sim.decideAndCheck(); err != nil {
 			return err
 		}
 	}
-	if len(fresh) != len(l.routers) {
-		return fmt.Errorf("10 s after all are well %v are believed of %d", fresh, len(l.routers))
+	if len(fresh) != len(sim.routers) {
+		return fmt.Errorf("10 s after all are well %v are believed of %d", fresh, len(sim.routers))
 	}
 	return nil
 }
 
-func (l *simulation) run(steps int, draw func(n int) int) error {
+func (sim *simulation) run(steps int, draw func(n int) int) error {
 	for range steps {
-		if err := l.randomStep(draw); err != nil {
+		if err := sim.randomStep(draw); err != nil {
 			return err
 		}
 	}
-	return l.converge()
+	return sim.converge()
 }
 
 func TestGathering(t *testing.T) {
--- a/internal/decide/samples/clerks.go
+++ b/internal/decide/samples/clerks.go
@@ -8,7 +8,7 @@
 	Failed float64 `json:"bad"` // of these, refused or answered late
 }
 
-func (m Load) valid() bool { return m.Total >= 0 && m.Failed >= 0 && !math.IsInf(m.Total+m.Failed, 0) }
+func (l Load) valid() bool { return l.Total >= 0 && l.Failed >= 0 && !math.IsInf(l.Total+l.Failed, 0) }
 
 // InteractiveBackoff is how far samples give way to clerks' requests. Yield is the part that they give up: all of it at once when
 // more of the others are refused or late than the model says, and back step by step only once it was calm for a while, so
--- a/internal/decide/samples/weigh.go
+++ b/internal/decide/samples/weigh.go
@@ -54,7 +54,7 @@
 // site or version has. The effective sample size is kept up by mixing with what equal weights under the same caps would
 // be: a mixture of two that keep to caps keeps to them too. Where that is not enough, caps would have a few samples stand for many: they
 // are moved towards 1, at which equal weights have the whole size.
-func (m Model) Weigh(groups []Group, newest int64, broken Fault) (mix Weighting) {
+func (m Model) Weigh(groups []Group, newest int64, broken Fault) (weighting Weighting) {
 	if broken == NoBound {
 		m.StaleMost, m.SpreadMost = math.MaxInt64, math.MaxInt64
 	}
@@ -63,11 +63,11 @@
 		groups[i].Weight = 0
 		if m.eligible(groups[i], newest) {
 			indexes = append(indexes, i)
-			mix.Weighed += groups[i].Count
+			weighting.Weighed += groups[i].Count
 		}
 	}
 	if len(indexes) == 0 {
-		return mix
+		return weighting
 	}
 	c := caps{dimensions: [3][]int{memberIndexes(groups, indexes, func(g Group) string { return g.Worker }), memberIndexes(groups, indexes, func(g Group) string { return g.Site }),
 		memberIndexes(groups, indexes, func(g Group) int64 { return g.Version })}, limits: [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}}
@@ -92,8 +92,8 @@
 		}
 		return out, 1 / squares
 	}
-	floor := m.Floor * float64(mix.Weighed)
-	mix.CapsRelaxed = c.relax(func(relaxed float64) (kept bool) {
+	floor := m.Floor * float64(weighting.Weighed)
+	weighting.CapsRelaxed = c.relax(func(relaxed float64) (kept bool) {
 		if share, kept = c.level(desired, relaxed); kept {
 			equal, kept = c.level(counts, relaxed)
 		}
@@ -109,14 +109,14 @@
 				low = middle
 			}
 		}
-		mix.EqualPart = high
+		weighting.EqualPart = high
 		out, size = mixed(high)
 	}
-	mix.EffectiveSize = size
+	weighting.EffectiveSize = size
 	for k, i := range indexes {
-		groups[i].Weight = out[k] * float64(mix.Weighed) / counts[k]
+		groups[i].Weight = out[k] * float64(weighting.Weighed) / counts[k]
 	}
-	return mix
+	return weighting
 }
 
 func second[A, B any](_ A, b B) B { return b }
--- a/internal/decide/samples/weigh_test.go
+++ b/internal/decide/samples/weigh_test.go
@@ -32,8 +32,8 @@
 		m := Model{WorkerCap: rapid.Float64Range(0.05, 1).Draw(t, "worker cap"), SiteCap: rapid.Float64Range(0.1, 1).Draw(t, "site cap"),
 			VersionCap: rapid.Float64Range(0.1, 1).Draw(t, "version cap"), Floor: rapid.Float64Range(0.05, 1).Draw(t, "floor")}.Filled()
 		groups := drawGroups(t)
-		mix := m.Weigh(groups, 10, "")
-		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: mix, Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
+		weighting := m.Weigh(groups, 10, "")
+		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: weighting, Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
 		for i := range groups {
 			for k := range groups[i].Count {
 				groups[i].Keys = append(groups[i].Keys, uint64(i*1000+k))
@@ -55,12 +55,12 @@
 		for i := range groups {
 			groups[i].Boot, groups[i].WorkerSamples = fmt.Sprint(i), 1e12
 		}
-		mix := m.Filled().Weigh(groups, 10, "")
+		weighting := m.Filled().Weigh(groups, 10, "")
 		var out []float64
 		for _, g := range groups {
 			out = append(out, g.Weight)
 		}
-		return out, mix
+		return out, weighting
 	}
 	uncapped := Model{WorkerCap: 1, SiteCap: 1, VersionCap: 1, Floor: 0.01}
 	capped, floored := uncapped, uncapped
@@ -87,13 +87,13 @@
 	// Caps that would have 20 samples stand for 800 give way to the floor.
 	few, tight := []Group{{Worker: "a", Version: 10, Count: 800}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}}, capped
 	tight.Floor = 0.5
-	if got, mix := weights(tight, few...); mix.EffectiveSize < 410 || mix.CapsRelaxed == 0 || mix.CapsRelaxed == 1 || got[1] < 1.5 {
-		t.Errorf("%v, %+v", got, mix)
+	if got, weighting := weights(tight, few...); weighting.EffectiveSize < 410 || weighting.CapsRelaxed == 0 || weighting.CapsRelaxed == 1 || got[1] < 1.5 {
+		t.Errorf("%v, %+v", got, weighting)
 	}
-	_, mix := weights(floored, Group{Worker: "a", Version: 10, Count: 10}, Group{Worker: "b", Version: 6, Count: 10})
+	_, weighting := weights(floored, Group{Worker: "a", Version: 10, Count: 10}, Group{Worker: "b", Version: 6, Count: 10})
 	// Of two halves with weights 1 ± d the effective part is 1/(1+d²); 0.6 becomes 0.2294 at the floor of 0.95.
-	if math.Abs(mix.EffectiveSize-19) > 1e-6 || math.Abs(mix.EqualPart-(1-math.Sqrt(1/0.95-1)/0.6)) > 1e-6 {
-		t.Errorf("%+v", mix)
+	if math.Abs(weighting.EffectiveSize-19) > 1e-6 || math.Abs(weighting.EqualPart-(1-math.Sqrt(1/0.95-1)/0.6)) > 1e-6 {
+		t.Errorf("%+v", weighting)
 	}
 }
 
--- a/internal/decide/turn/later_next.go
+++ b/internal/decide/turn/later_next.go
@@ -13,4 +13,4 @@
 }
 
 // CountWrite notes that a decider made the state.
-func (l *NextFormat) CountWrite() { l.Written++ }
+func (f *NextFormat) CountWrite() { f.Written++ }
--- a/internal/decide/turn/turn.go
+++ b/internal/decide/turn/turn.go
@@ -19,23 +19,23 @@
 }
 
 // Age tells for how long a record has been at a revision, as far as was seen.
-func (s *RevisionAges) Age(key string, rev int64, now time.Duration) time.Duration {
-	if s.seen == nil {
-		s.seen = map[string]observation{}
+func (a *RevisionAges) Age(key string, rev int64, now time.Duration) time.Duration {
+	if a.seen == nil {
+		a.seen = map[string]observation{}
 	}
-	first, known := s.seen[key]
+	first, known := a.seen[key]
 	if !known || first.rev != rev {
 		first = observation{rev, now}
-		s.seen[key] = first
+		a.seen[key] = first
 	}
 	return now - first.at
 }
 
 // Retain forgets all records but those that are named by a test.
-func (s *RevisionAges) Retain(keep func(key string) bool) {
-	for key := range s.seen {
+func (a *RevisionAges) Retain(keep func(key string) bool) {
+	for key := range a.seen {
 		if !keep(key) {
-			delete(s.seen, key)
+			delete(a.seen, key)
 		}
 	}
 }
