--- a/internal/decide/gather/gather.go
+++ b/internal/decide/gather/gather.go
@@ -1,12 +1,12 @@
-// Package gather decides how the reports of a region's routers reach the fleet's deciders where one log can't carry each of
-// them: one router of the region has the others send it theirs, and writes one record of all. It does no I/O and knows no clock:
-// times are arguments, monotonic and of any origin, and what stands in records is elapsed time alone.
+// Package gather decides how the reports of a region's routers reach the fleet's deciders when one log can't carry each report
+// separately: one router of the region collects the reports of the others and writes one record with all of them. It does no
+// I/O and reads no clock: times are arguments, monotonic and of any origin, and records contain elapsed times only.
 //
-// The gatherer is the first of its region's registered routers by rendezvous hashing, and stays it while it writes. When its
-// registration ends, or its record has stood for Terms.PeriodMs and Terms.TakeoverMs by the next one's clock, the next writes. A
-// record is written in the place of the one that was read and under a live registration, so that a gatherer which was stopped and
-// goes on writes nothing. What a new gatherer has not heard itself it keeps as late: what such routers counted and followed
-// stands, what they saw is not believed until they have reported to it.
+// The gatherer is the first of the region's registered routers by rendezvous hashing, and remains it while it writes. If its
+// registration ends, or its record is overdue by Settings.TakeoverMs by the clock of the next router, that router writes. A
+// record replaces the revision that was read and requires a live registration, so a gatherer that was paused and resumes writes
+// nothing. Entries that a new gatherer has not received itself are kept as late: what those routers counted and followed
+// remains valid, but what they observed is not used until they have reported to the new gatherer.
 package gather
 
 import (
@@ -19,59 +19,59 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Format is that of the records that this program writes. A newer one is followed and never written over.
+// Format is the format of the records that this program writes. A record of a newer format is read and never overwritten.
 const Format = 1
 
-// Settings are the times that a fleet gathers by. The zero values stand for Filled's.
+// Settings configure gathering. Filled replaces zero values by defaults.
 type Settings struct {
-	PeriodMs   float64 // between two records of a region; 2000
-	TakeoverMs float64 // how long a record may be overdue until the next router writes; 3000
-	Watchers   int     // how many of a region's routers watch its record: who gathers and those after it; 3
-	MaxGone    int     // at most so many lines of routers that are gone are kept in a record; 64
+	PeriodMs   float64 // between two records of a region; default 2000
+	TakeoverMs float64 // how long a record may be overdue until the next router writes; default 3000
+	Watchers   int     // how many routers watch the region's record: the gatherer and those after it; default 3
+	MaxGone    int     // maximum number of entries of unregistered routers in a record; default 64
 }
 
-// Filled gives the terms with their defaults.
+// Filled returns the settings with defaults for zero values.
 func (s Settings) Filled() Settings {
 	return Settings{cmp.Or(s.PeriodMs, 2000), cmp.Or(s.TakeoverMs, 3000), cmp.Or(s.Watchers, 3), cmp.Or(s.MaxGone, 64)}
 }
 
-// Fault is a rule that is broken on purpose, so that checkers can be shown to find it.
+// Fault is a rule that is broken on purpose, to test that the checkers detect it.
 type Fault string
 
-// The faults.
+// Injected faults.
 const (
-	NoFence     Fault = "no-fence"    // a record is written whatever stands there, registered or not (the carrier breaks it)
-	NoAges      Fault = "no-ages"     // a record does not say how old its lines are
-	AgedSilence Fault = "silence"     // the age of a line is added to the silences that it tells of
-	TrustsLast  Fault = "trusts-last" // a new gatherer passes on what the one before it heard as if it had heard it
+	NoFence     Fault = "no-fence"    // a record is written whatever the current revision, even by an unregistered router (injected by the caller)
+	NoAges      Fault = "no-ages"     // a record does not include the ages of its entries
+	AgedSilence Fault = "silence"     // the age of an entry is added to the silence times in its report
+	TrustsLast  Fault = "trusts-last" // a new gatherer passes on entries of its predecessor as if it had received them
 )
 
-// Entry is what one router reported last.
+// Entry is the last report of one router.
 type Entry[R any] struct {
 	Boot   string  `json:"boot"`
-	Number int64   `json:"number"` // of the report; they count from 1 with each boot
-	AgeMs  float64 `json:"age_ms"` // how long its gatherer had it when the record was made
-	// Late says that the gatherer took the line from the record of another: nobody knows how old it is.
+	Number int64   `json:"number"` // of the report, starting at 1 with each boot
+	AgeMs  float64 `json:"age_ms"` // time from the receipt of the report to the record
+	// Late is set if the gatherer took the entry from another gatherer's record, so that its age is unknown.
 	Late   bool `json:"late,omitempty"`
 	Report R    `json:"report"`
 }
 
-// newer tells whether a line is of a later report than another. Of two boots the one that is registered is taken before this is
-// asked; else the one that came last.
+// newer reports whether an entry is of a later report than another. Of entries with different boots the one received last is
+// newer; callers first choose the one whose boot is registered.
 func (e Entry[R]) newer(other Entry[R]) bool { return e.Boot != other.Boot || e.Number > other.Number }
 
-// Record is what a region's routers reported, as one of them gathered it.
+// Record contains the reports of a region's routers as collected by one of them.
 type Record[R any] struct {
 	Format  int                 `json:"format"`
 	Region  string              `json:"region"`
 	Seq     int64               `json:"seq"`
 	By      string              `json:"by"`
-	Boot    string              `json:"boot"` // of By
+	Boot    string              `json:"boot"` // boot of the router named in By
 	Entries map[string]Entry[R] `json:"lines"`
-	Rev     int64               `json:"-"` // the store's revision of it
+	Rev     int64               `json:"-"` // the record's revision in the store
 }
 
-// Order is a region's routers in the order in which they would gather, by rendezvous hashing.
+// Order returns a region's routers in the order in which they take over as gatherer, by rendezvous hashing.
 func Order(region string, routers []string) []string {
 	weight := func(name string) uint64 { return xxhash.Sum64String("gather\x00" + region + "\x00" + name) }
 	out := slices.Clone(routers)
@@ -79,7 +79,8 @@
 	return out
 }
 
-// successor is the name that comes so many places successor one in an order that goes round; the first where that one is not in it.
+// successor returns the name at an offset after the given one in a circular order. A name that is not in the order counts as
+// the first.
 func successor(order []string, name string, offset int) string {
 	if len(order) == 0 {
 		return ""
@@ -101,7 +102,7 @@
 	at time.Duration
 }
 
-// Receive takes a router's report, this one's own too. A report that is older than what is there, or of the same number, is left.
+// Receive stores a router's report, including this router's own. A report that is not newer than the stored one is dropped.
 func (g *Gatherer[R]) Receive(router string, entry Entry[R], now time.Duration) {
 	if previous, ok := g.received[router]; ok && !entry.newer(previous.Entry) {
 		return
@@ -112,8 +113,8 @@
 	g.received[router] = receipt[R]{entry, now}
 }
 
-// Holder is the router that gathers, as far as this one can tell; live are the registered routers of the region with their boots,
-// in any order.
+// Holder returns the router that currently gathers, as far as this router can tell. live maps the registered routers of the
+// region to their boots.
 func (g *Gatherer[R]) Holder(last *Record[R], live map[string]string, settings Settings, now time.Duration) string {
 	names := make([]string, 0, len(live))
 	for name := range live {
@@ -128,7 +129,7 @@
 	return successor(order, last.By, int(max(overdue, 0)/settings.TakeoverMs))
 }
 
-// Watches tells whether this router has to watch its region's record: who gathers and those after it.
+// Watches reports whether this router has to watch its region's record: the gatherer and the routers after it do.
 func (g *Gatherer[R]) Watches(last *Record[R], live map[string]string, settings Settings, now time.Duration) bool {
 	names := make([]string, 0, len(live))
 	for name := range live {
@@ -143,8 +144,8 @@
 	return false
 }
 
-// Next is the record that should take the place of the last, or nil while that may stand or another's turn it is. It is to be
-// written under a compare on the last one's revision and this router's registration.
+// Next returns the record that should replace the last one, or nil if it is not due or not this router's turn. The caller
+// writes it only if the last revision and this router's registration are unchanged.
 func (g *Gatherer[R]) Next(last *Record[R], live map[string]string, settings Settings, now time.Duration) *Record[R] {
 	settings = settings.Filled()
 	if last != nil && last.Format > Format || live[g.Me] != g.Boot || g.Holder(last, live, settings, now) != g.Me {
@@ -166,7 +167,8 @@
 	}
 	if last != nil {
 		for router, entry := range last.Entries {
-			if own, ok := next.Entries[router]; ok && (own.Boot != entry.Boot && own.Boot == live[router] || own.Boot == entry.Boot && own.Number >= entry.Number) {
+			if own, ok := next.Entries[router]; ok && (own.Boot != entry.Boot && own.Boot == live[router] ||
+				own.Boot == entry.Boot && own.Number >= entry.Number) {
 				continue
 			}
 			entry.Late = g.Broken != TrustsLast
@@ -177,7 +179,7 @@
 	return next
 }
 
-// trim forgets what is over of routers that are not registered any more, the oldest first; what is left of them is kept for what they counted.
+// trim drops the oldest entries of unregistered routers above the maximum. The remaining ones are kept for their counts.
 func (g *Gatherer[R]) trim(next *Record[R], live map[string]string, settings Settings) {
 	var gone []string
 	for router, entry := range next.Entries {
@@ -194,15 +196,16 @@
 	}
 }
 
-// Sender is how a router finds who gathers for it: it reads nothing, and goes by the answers that it gets.
+// Sender finds the gatherer for a router. It reads no records and relies on the answers that it receives.
 type Sender struct {
 	Region string
 
 	target string
-	since  time.Duration // when to answered last, or was turned to
+	since  time.Duration // when target last answered or was chosen
 }
 
-// Target is the router to send the next report to, itself too; registered are those of its region.
+// Target returns the router to which the next report is sent, possibly this router itself. registered are the routers of the
+// region.
 func (s *Sender) Target(registered []string, settings Settings, now time.Duration) string {
 	order := Order(s.Region, registered)
 	switch {
@@ -214,7 +217,7 @@
 	return s.target
 }
 
-// Answered notes an answer: that of who gathers, or one that names it.
+// Answered records an answer, either from the gatherer or from a router that names it.
 func (s *Sender) Answered(by, holder string, now time.Duration) {
 	switch {
 	case by == holder && by == s.target:
--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -16,25 +16,25 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// lease is how long a registration outlives its router's last sign of life; writeTimeout how long a router that runs waits until a
-// write is given up; reportValidity for how long the decider believes a report.
+// lease is how long a registration outlives its router's last heartbeat, writeTimeout how long a running router waits for a
+// write, reportValidity how long the decider uses a report.
 const lease, writeTimeout, reportValidity = 3 * time.Second, time.Second, 8 * time.Second
 
 type router struct {
 	name, region string
 	boot         int
-	token        int64 // of its registration, 0: it has none
+	token        int64 // of its registration; 0 if it has none
 	stoppedAt    time.Duration
 	stopped      bool
-	reportedAt   []time.Duration // when its process made its reports
+	reportedAt   []time.Duration // times at which its process made its reports
 	sender       Sender
 	gatherer     *Gatherer[outage.Report]
-	pending      *Record[outage.Report] // decided, not yet written
+	pending      *Record[outage.Report] // decided but not yet written
 	read, fence  int64
-	waited       time.Duration // since it was decided, while the router ran
+	waited       time.Duration // running time since the decision
 }
 
-// simulation is a fleet of two regions, one server that is always well, a store of two records and one decider.
+// simulation is a fleet of two regions with one server that is always healthy, a store of two records and one decider.
 type simulation struct {
 	now, lastLook time.Duration
 	terms         Settings
@@ -42,7 +42,7 @@
 	routers       []*router
 	store         map[string]*Record[outage.Report]
 	written       map[string]time.Duration
-	firstSeen     map[int64]time.Duration // when the decider saw a revision first
+	firstSeen     map[int64]time.Duration // when the decider first saw a revision
 	rev           int64
 	decider       outage.Decider
 	state         *outage.State
@@ -50,7 +50,8 @@
 }
 
 func newSimulation(broken Fault) *simulation {
-	sim := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
+	sim := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{},
+		firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
 	for _, name := range []string{"a0", "a1", "a2", "a3", "b0", "b1"} {
 		r := &router{name: name, region: name[:1]}
 		sim.routers = append(sim.routers, r)
@@ -95,7 +96,7 @@
 	}
 }
 
-// report has a router make one and send it.
+// report has a router make a report and send it.
 func (sim *simulation) report(r *router) {
 	if r.stopped || r.token == 0 {
 		return
@@ -106,7 +107,8 @@
 	if to == nil || to.stopped {
 		return
 	}
-	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, sim.now)
+	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)),
+		Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, sim.now)
 	r.sender.Answered(to.name, to.gatherer.Holder(sim.store[r.region], live, sim.terms, sim.now), sim.now)
 }
 
@@ -117,7 +119,7 @@
 	return out
 }
 
-// decide has a router read and decide; write has it write, if nothing stands against that.
+// decide has a router read and decide. write has it write unless the write is fenced, outdated or too late.
 func (sim *simulation) decide(r *router) {
 	if !r.stopped && r.pending == nil && r.gatherer.Watches(sim.store[r.region], sim.live(r.region), sim.terms, sim.now) {
 		if last := sim.store[r.region]; last != nil {
@@ -137,7 +139,7 @@
 	if r.waited > writeTimeout || sim.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
 		return nil
 	}
-	if sim.rev++; sim.rev%8 == 0 { // as the store would have it
+	if sim.rev++; sim.rev%8 == 0 { // encode and decode some records, as the store would
 		data, err := Pack(next, MaxPacked)
 		if err != nil {
 			return err
@@ -151,17 +153,18 @@
 	if last != nil {
 		for name, was := range last.Entries {
 			if current := next.Entries[name]; current.Boot == was.Boot && current.Number < was.Number {
-				return fmt.Errorf("%s: report %d stands in the place of %d", name, current.Number, was.Number)
+				return fmt.Errorf("%s: report %d replaced the newer report %d", name, current.Number, was.Number)
 			}
 		}
 	}
 	return nil
 }
 
-// decideAndCheck has the decider decide, and checks what it believes.
+// decideAndCheck has the decider decide, and checks the ages of the reports that it uses.
 func (sim *simulation) decideAndCheck() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
-	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)}, Last: sim.state, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)},
+		Last: sim.state, Routers: map[string]outage.Registered{}}
 	for _, r := range sim.store {
 		records = append(records, r)
 		if sim.firstSeen[r.Rev] == 0 {
@@ -180,9 +183,9 @@
 			continue
 		}
 		fresh[report.Router] = true
-		ageWhenSeen := sim.firstSeen[report.Rev] - sim.written[r.region] // the record had stood so long when this decider saw it first
+		ageWhenSeen := sim.firstSeen[report.Rev] - sim.written[r.region] // age of the record when this decider first saw it
 		if age := sim.now - r.reportedAt[entry.Number-1] - ageWhenSeen; age > reportValidity+lease+writeTimeout {
-			return nil, fmt.Errorf("%s: a report is believed that is %v old", report.Router, age)
+			return nil, fmt.Errorf("%s: the decider uses a report that is %v old", report.Router, age)
 		}
 	}
 	if next := sim.decider.Next(v, sim.now); next != nil {
@@ -192,14 +195,14 @@
 	if sim.state != nil && len(sim.state.Lost) > 0 {
 		for member := range sim.state.Lost {
 			if kind, _ := outage.Split(member); kind == outage.Server {
-				return nil, fmt.Errorf("%s is well and held to be lost", member)
+				return nil, fmt.Errorf("%s is healthy but declared lost", member)
 			}
 		}
 	}
 	return fresh, nil
 }
 
-// randomStep takes one act.
+// randomStep takes one random step.
 func (sim *simulation) randomStep(draw func(n int) int) error {
 	r := sim.routers[draw(len(sim.routers))]
 	switch draw(16) {
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// resume has a stopped router go on where it was: a write that was on its way goes first, then it registers again.
+// resume has a stopped router continue where it was: a pending write is sent first, then it registers again.
 func (sim *simulation) resume(r *router) (err error) {
 	if r.stopped {
 		r.stopped = false
@@ -240,7 +243,7 @@
 	return err
 }
 
-// converge has all routers run again: within a takeover and some periods everybody is believed.
+// converge resumes all routers. Within a takeover and some periods the reports of all routers must be in use.
 func (sim *simulation) converge() error {
 	for _, r := range sim.routers {
 		if err := sim.resume(r); err != nil {
@@ -263,7 +266,7 @@
 		}
 	}
 	if len(fresh) != len(sim.routers) {
-		return fmt.Errorf("10 s after all are well %v are believed of %d", fresh, len(sim.routers))
+		return fmt.Errorf("10 s after all routers resumed, the reports of %v of %d routers are in use", fresh, len(sim.routers))
 	}
 	return nil
 }
@@ -285,7 +288,7 @@
 	})
 }
 
-// The same lives by seeds: none breaks a rule, and with each fault some do.
+// The same simulation by seeds: it never fails without a fault, and with each fault some seeds fail.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	runs, long := uint64(8), os.Getenv("LAB_LONG") != ""
 	if long {
@@ -299,27 +302,27 @@
 				found, example = found+1, fmt.Sprintf("seed %d: %v", seed, err)
 			}
 		}
-		t.Logf("%q: found in %d of %d lives; %s", broken, found, runs, example)
+		t.Logf("%q: detected in %d of %d runs; %s", broken, found, runs, example)
 		if (found > 0) != (broken != "") {
-			t.Errorf("%q: found in %d of %d lives; %s", broken, found, runs, example)
+			t.Errorf("%q: detected in %d of %d runs; %s", broken, found, runs, example)
 		}
 	}
 }
 
-// Of routers that are gone the last that were heard are kept, and those that are registered.
+// Of unregistered routers the entries received last are kept, and all entries of registered routers.
 func TestTrim(t *testing.T) {
 	g := Gatherer[int]{Me: "a", Boot: "1", Region: "x"}
 	for i, name := range []string{"b", "c", "a"} {
 		g.Receive(name, Entry[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
 	}
-	g.Receive("c", Entry[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // the same again
+	g.Receive("c", Entry[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // a repeated report number
 	next := g.Next(nil, map[string]string{"a": "1"}, Settings{MaxGone: 1}, 10*time.Second)
 	if next == nil || len(next.Entries) != 2 || next.Entries["c"].AgeMs != 9000 || next.Entries["a"].AgeMs != 8000 {
 		t.Errorf("%+v", next)
 	}
 }
 
-// What is packed comes out as it went in, whatever routers see differently.
+// Packing is lossless, whatever routers observe differently.
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Entries: map[string]Entry[outage.Report]{}}
@@ -358,7 +361,7 @@
 		}
 	}
 	if dropped < 2 || dropped == len(r.Entries) {
-		t.Errorf("%d of %d do not say what they see", dropped, len(r.Entries))
+		t.Errorf("%d of %d routers have their observations dropped", dropped, len(r.Entries))
 	}
 	decoded, err := Unpack("a", data)
 	if err != nil {
@@ -375,9 +378,9 @@
 		t.Errorf("%s\n%s", a, b)
 	}
 	if _, err := Unpack("b", data); err == nil {
-		t.Error("a record of another region was read")
+		t.Error("a record of another region was decoded")
 	}
 	if _, err := Unpack("a", data[:len(data)/2]); err == nil {
-		t.Error("half a record was read")
+		t.Error("a truncated record was decoded")
 	}
 }
--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -13,8 +13,9 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// packed is a record on outages as it is written: what most of its routers see of each server stands once, and of each router
-// what it sees differently. Nothing is left out, so decisions on gathered reports are those on the reports themselves.
+// packed is an outage record as it is written: the majority's observation of each server is stored once, and for each router
+// only its differences from that. The encoding is lossless, so decisions on gathered reports equal those on the reports
+// themselves.
 type packed struct {
 	Record[reportDifference]
 	Table map[string]outage.Sight `json:"table"`
@@ -22,36 +23,36 @@
 
 type reportDifference struct {
 	outage.Report
-	Without []string `json:"without,omitempty"` // servers of the table that the router does not have
+	Without []string `json:"without,omitempty"` // servers of the table that the router does not list
 }
 
-// RecordError says that a region's record can't be read: its routers count as late, and its gatherer writes it anew.
+// RecordError reports a region's record that can't be read. Its routers count as late until its gatherer writes it again.
 type RecordError struct {
 	Region string
 	Err    error
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("the gathered reports of region %q can't be read: %v", e.Region, e.Err)
+	return fmt.Sprintf("gathered record of region %q is unusable: %v", e.Region, e.Err)
 }
 
-// Unwrap serves errors.Is.
+// Unwrap supports errors.Is and errors.As.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice tells an operator what to do.
 func (e *RecordError) Advice() string {
-	return "its gatherer writes it anew within a period; where it does not, look who wrote the record and remove it"
+	return "the region's gatherer writes the record again within a period; if it does not, find out which process wrote the record and remove it"
 }
 
-// MaxPacked is how many bytes a record has at most in the store, MaxRecord what it is unpacked to: ten regions write 1.3 MB a
-// second at most at the default period.
+// MaxPacked is the maximum size of a record in the store in bytes, MaxRecord that of the unpacked record. At the default
+// period, ten regions write at most 1.3 MB a second.
 const (
 	MaxPacked = 256 << 10
 	MaxRecord = 64 << 20
 )
 
-// Pack encodes a record: JSON, deflated. It has at most so many bytes: where it would have more, the routers that differ most from
-// the others are said without what they see, and count as late.
+// Pack encodes a record as deflated JSON of at most limit bytes. To meet the limit, the observations of the routers that differ
+// most from the majority are dropped; these routers then count as late.
 func Pack(r *Record[outage.Report], limit int) ([]byte, error) {
 	p := packed{Record[reportDifference]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Entry[reportDifference]{}, 0}, majorityTable(r)}
 	for router, entry := range r.Entries {
@@ -90,7 +91,7 @@
 			return data, nil
 		}
 		if len(byDifference) == 0 {
-			return nil, &RecordError{r.Region, fmt.Errorf("%d bytes, %d at most", len(data), limit)}
+			return nil, &RecordError{r.Region, fmt.Errorf("packed record has %d bytes, the limit is %d", len(data), limit)}
 		}
 		n := (len(byDifference) + 7) / 8
 		for _, router := range byDifference[:n] {
@@ -121,8 +122,8 @@
 	return out.Bytes(), nil
 }
 
-// majorityTable is what most see of each server, by the majority vote of Boyer and Moore (1981); where there is no majority it may be
-// anybody's, and the others differ from it.
+// majorityTable returns the majority's observation of each server, by the majority vote of Boyer and Moore (1981). Without a
+// majority it is the observation of an arbitrary router, and the others are stored as differences.
 func majorityTable(r *Record[outage.Report]) map[string]outage.Sight {
 	type vote struct {
 		value outage.Sight
@@ -150,7 +151,7 @@
 	return out
 }
 
-// Unpack reads a record. An error is a *RecordError.
+// Unpack decodes a record. An error is a *RecordError.
 func Unpack(region string, data []byte) (*Record[outage.Report], error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), MaxRecord))
 	if err != nil {
@@ -161,7 +162,7 @@
 		return nil, &RecordError{region, err}
 	}
 	if p.Region != region {
-		return nil, &RecordError{region, fmt.Errorf("it is of region %q", p.Region)}
+		return nil, &RecordError{region, fmt.Errorf("record is of region %q", p.Region)}
 	}
 	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Entry[outage.Report], len(p.Entries)), 0}
 	for router, entry := range p.Entries {
@@ -172,11 +173,11 @@
 	return r, nil
 }
 
-// unknownAge is the age of what nobody knows the age of.
+// unknownAge is the age, in milliseconds, of a report whose age is not known.
 const unknownAge = 1e12
 
-// Reports are what a decider on outages goes by: of each router one report, with its age. boots are those of the routers that are
-// registered; what another process of a router reported stands only where the one that is registered has not reported.
+// Reports returns one report of each router, with its age, as input for a decider on outages. boots maps the registered routers
+// to their boots: a report of another process of a router is used only if the registered one has not reported.
 func Reports(records []*Record[outage.Report], boots map[string]string, broken Fault) []outage.Report {
 	best := map[string]outage.Report{}
 	for _, r := range records {
@@ -193,7 +194,8 @@
 					report.Sees[id] = s
 				}
 			}
-			if current, ok := best[router]; ok && (current.Boot == boots[router] && report.Boot != current.Boot || current.Boot == report.Boot && current.AgeMs <= report.AgeMs) {
+			if current, ok := best[router]; ok && (current.Boot == boots[router] && report.Boot != current.Boot ||
+				current.Boot == report.Boot && current.AgeMs <= report.AgeMs) {
 				continue
 			}
 			best[router] = report
--- a/internal/decide/samples/acts.go
+++ b/internal/decide/samples/acts.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// Actions are what follows from a board for those that carry it out.
+// Actions are the decisions of a state that routers carry out.
 type Actions struct {
-	// AdmitFraction is the part of the requests for samples that are taken, from 0 to 1.
+	// AdmitFraction is the fraction of sample requests that is admitted, from 0 to 1.
 	AdmitFraction float64 `json:"part"`
-	// Shares are the parts of its prompts that each worker is given, from 0 to 1; the choice stays in the decision module.
+	// Shares is the share of prompts for each worker, from 0 to 1. The decision module still chooses the worker of a request.
 	Shares map[string]float64 `json:"shares,omitempty"`
-	// Reloads are the workers that should load the newest version, in the order of what that gains. They are wishes: who
-	// is let out, and when, is decided with all other outages.
+	// Reloads are the workers that should load the newest version, ordered by gain. They are requests only: which worker
+	// may be taken out of service, and when, is decided together with all other outages.
 	Reloads []Reload `json:"reloads,omitempty"`
-	Notice  string   `json:"said,omitempty"` // what an operator should know
+	Notice  string   `json:"said,omitempty"` // a notice for the operator
 }
 
-// Reload asks for a permit to have a worker reload.
+// Reload asks for a permit to reload a worker.
 type Reload struct {
 	Worker string  `json:"worker"`
 	Boot   string  `json:"boot"`
 	From   int64   `json:"from"`
 	To     int64   `json:"to"`
-	Gain   float64 `json:"gain"` // accepted tokens a second that weigh again
+	Gain   float64 `json:"gain"` // accepted tokens a second that would have a weight above 0 again
 }
 
-// updateActions fills in the acts; it tells whether they say anything new.
+// updateActions recomputes the actions and reports whether they changed.
 func (s *State) updateActions(m Model, reports []Report) bool {
 	before := s.Actions
 	s.AdmitFraction, s.Notice = s.admitFraction(m, reports)
@@ -64,8 +64,9 @@
 	return changed || !slices.EqualFunc(s.Reloads, before.Reloads, func(a, b Reload) bool { return a.Worker == b.Worker && a.Boot == b.Boot && a.To == b.To })
 }
 
-// admitFraction is the admitFraction of requests for samples that are taken: whole until one batch is left of what generation may be ahead
-// by, and none past that. What routers have in hand counts as made.
+// admitFraction returns the fraction of sample requests to admit, with a notice if that is 0. It is 1 until generation is
+// one batch short of its limit ahead of the tuner, and falls to 0 at the limit. Samples that routers have in flight or
+// have reported but not yet counted are included as if they had been counted.
 func (s *State) admitFraction(m Model, reports []Report) (float64, string) {
 	stale := 0
 	for _, w := range s.Workers {
@@ -79,7 +80,7 @@
 	inFlight := s.eligibleCount(m)
 	for _, r := range reports {
 		uncounted := r.First + int64(len(r.Samples)) - 1 - s.Watermarks[r.watermarkKey()].Seq // reported, not yet counted
-		if !r.Silent {                                                                        // what one had in hand that is lost is taken over, and in another's hand
+		if !r.Silent {                                                                        // a lost router's requests are taken over by others
 			inFlight += min(r.InFlight, MaxKeys)
 		}
 		inFlight += int(min(max(uncounted, 0), int64(len(r.Samples))))
@@ -92,8 +93,9 @@
 	return fraction, ""
 }
 
-// reloadRequests are the reloads of workers past the bound. What a reload gains is the worker's throughput, all of which weighs
-// nothing now; gains are compared in steps of the hysteresis, so that the order does not change with every sample.
+// reloadRequests requests a reload of every worker beyond the staleness bound. The gain is the worker's throughput, since
+// all its samples now have weight 0. Gains are compared in steps of the hysteresis, so that the order does not change with
+// every sample.
 func (s *State) reloadRequests(m Model) (out []Reload) {
 	for name, w := range s.Workers {
 		if s.Version > w.Label && m.freshness(float64(s.Version-w.Label), 0) == 0 {
--- a/internal/decide/samples/board.go
+++ b/internal/decide/samples/board.go
@@ -12,63 +12,69 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Format is that of the states this package writes. A newer one is followed as far as it is understood and never written.
+// Format is the format of the states that this package writes. A state of a newer format is read as far as it is understood
+// and never overwritten.
 const Format = 1 + turn.FormatsAhead
 
-// State is the board: what all routers and the tuner follow. It stands in the store and is written by a compare on the one before.
+// State is the shared state, or board, that all routers and the tuner follow. It is kept in the store and replaced by a
+// compare-and-swap on the previous revision.
 type State struct {
 	Format int    `json:"format"`
 	Seq    int64  `json:"seq"`
 	By     string `json:"by"`
-	Policy int64  `json:"policy"` // the version of the policy whose model it was made by
-	// ClockMs is how long the board has stood, as its deciders saw it pass by their own clocks, one after the other: what
-	// passes while none looks is left out, so times come out longer than they are set, never shorter.
+	Policy int64  `json:"policy"` // the version of the policy whose model was used
+	// ClockMs is how long the state has existed, summed over successive deciders by their own clocks. Time during which no
+	// decider reads the state is not counted, so timeouts last longer than configured, never shorter.
 	ClockMs float64 `json:"clock_ms"`
-	// Version is the newest that the tuner published, Taken the last epoch that it took, Twice and Back how often it wrote
-	// the same again, or an older one, which is not followed. Rev is the revision of what was read last.
+	// Version is the newest version that the tuner published and Taken the last epoch that it took. Republished counts how
+	// often it wrote the same version again, OlderPublished how often it wrote an older one, which is ignored. TunerRev is
+	// the revision of the tuner's record that was read last.
 	Version        int64  `json:"version"`
 	Taken          int64  `json:"taken"`
 	Republished    int64  `json:"twice,omitempty"`
 	OlderPublished int64  `json:"back,omitempty"`
 	TunerRev       int64  `json:"rev,omitempty"`
-	TunerFault     string `json:"tuner,omitempty"` // what is wrong with what it wrote
-	// Open is the epoch that is counted under, Closed those before it, of which the tuner has yet to take some.
+	TunerFault     string `json:"tuner,omitempty"` // what is wrong with the tuner's record
+	// Open is the epoch in which samples are counted. Closed are the epochs before it, some of which the tuner has yet to
+	// take.
 	Open    Epoch                   `json:"open"`
 	Closed  []Epoch                 `json:"closed,omitempty"`
 	Workers map[string]*WorkerStats `json:"workers,omitempty"`
-	// Watermarks are by router and boot: what of their reports has been counted.
+	// Watermarks are, by router and boot, how far reports have been counted.
 	Watermarks map[string]Watermark `json:"marks,omitempty"`
 	Totals     Totals               `json:"totals"`
 	Hindsight  Hindsight            `json:"hindsight,omitzero"`
 	InteractiveBackoff
 	Actions
 	turn.NextFormat
-	Rev int64 `json:"-"` // the store's revision of it
+	Rev int64 `json:"-"` // the state's revision in the store
 }
 
-// Epoch is one batch. Its number is the fencing token of whoever uses it: numbers only rise, and what is closed stays.
+// Epoch is one batch. Its number serves as the fencing token of whoever uses it: numbers only increase, and a closed epoch
+// does not change.
 type Epoch struct {
 	Number  int64   `json:"number"`
-	Version int64   `json:"version"` // the newest when it was closed
+	Version int64   `json:"version"` // the newest version when it was closed
 	OpenMs  float64 `json:"open_ms"`
 	Counted int     `json:"n"`
-	Groups  []Group `json:"groups,omitempty"` // not kept of an epoch that was taken and has a later one taken after it
-	// Late are samples that began too many epochs before, LateKeys theirs. Repeated were counted before, by whichever
-	// router; Beyond began before all that is remembered, so that it is not known whether they were. None of them weighs.
+	Groups  []Group `json:"groups,omitempty"` // dropped once a later epoch has been taken
+	// Late counts samples that began too many epochs before, with their keys in LateKeys. Repeated counts samples that were
+	// counted before, whichever router reported them. Beyond counts samples that began before the oldest epoch kept, for
+	// which it is not known whether they were counted. None of them has any weight.
 	Late     int  `json:"late,omitempty"`
 	LateKeys Keys `json:"late_keys,omitempty"`
 	Repeated int  `json:"repeated,omitempty"`
 	Beyond   int  `json:"beyond,omitempty"`
-	Known    Keys `json:"known,omitempty"` // the keys of an epoch whose groups are not kept
+	Known    Keys `json:"known,omitempty"` // the keys of an epoch whose groups were dropped
 	Weighting
-	Silent      int      `json:"silent,omitempty"` // routers that were not heard of when it was closed
+	Silent      int      `json:"silent,omitempty"` // routers without a recent report when it was closed
 	Reporting   int      `json:"heard,omitempty"`
-	CloseReason string   `json:"why,omitempty"`    // it was closed
-	Bounds      *Bounds  `json:"bounds,omitempty"` // under which it was weighed
-	HeldWorkers []string `json:"held,omitempty"`   // workers whose samples were
+	CloseReason string   `json:"why,omitempty"`    // why it was closed
+	Bounds      *Bounds  `json:"bounds,omitempty"` // the bounds by which it was weighed
+	HeldWorkers []string `json:"held,omitempty"`   // workers whose samples were held
 }
 
-// Bounds are the parts of a model that an epoch was weighed by.
+// Bounds are the settings by which an epoch was weighed.
 type Bounds struct {
 	Stale  float64    `json:"stale"`
 	Spread float64    `json:"spread"`
@@ -76,14 +82,15 @@
 	Floor  float64    `json:"floor"`
 }
 
-// Watermark is how far the reports of a router's process have been counted. Missing are samples that it dropped unasked.
+// Watermark is how far the reports of a router's process have been counted. Missing is the number of samples that the router
+// dropped before they were counted.
 type Watermark struct {
 	Seq     int64 `json:"seq"`
 	Missing int64 `json:"missing,omitempty"`
-	Epoch   int64 `json:"epoch"` // in which it was last heard of
+	Epoch   int64 `json:"epoch"` // the open epoch at its last report
 }
 
-// Totals count all samples that were ever reported, each at one place: Reported = Counted + Late + Repeated + Beyond.
+// Totals count all samples ever reported, each in one category: Reported = Counted + Late + Repeated + Beyond.
 type Totals struct {
 	Reported int64 `json:"reported"`
 	Counted  int64 `json:"counted"`
@@ -93,19 +100,19 @@
 	Missing  int64 `json:"missing,omitempty"`
 }
 
-// Fault is a rule that a decider, or what carries it, breaks on purpose, so that checkers can be shown to find it.
+// Fault is a rule that a decider or its caller breaks on purpose, to test that the checkers detect it.
 type Fault string
 
-// The faults.
+// Injected faults.
 const (
-	CountsTwice Fault = "counts-twice" // a sample counts again when another router reports it that took it over
-	NoCompare   Fault = "no-compare"   // the board is written without a compare on the state that was read
-	NoFence     Fault = "no-fence"     // a board is written whether its writer is registered or not (the carrier breaks it)
-	NoBound     Fault = "no-bound"     // staleness past the bound weighs too
-	NoReset     Fault = "no-reset"     // what was seen of a worker stays when it restarts or runs another version
+	CountsTwice Fault = "counts-twice" // a sample is counted again if the router that took over its request reports it
+	NoCompare   Fault = "no-compare"   // the state is written without a compare on the revision that was read
+	NoFence     Fault = "no-fence"     // a state is written even by an unregistered router (injected by the caller)
+	NoBound     Fault = "no-bound"     // samples beyond the staleness bound have weight
+	NoReset     Fault = "no-reset"     // statistics of a worker are kept when it restarts or changes its version
 )
 
-// Decider comes to states. Each router keeps one; whose turn it is writes what it gives.
+// Decider computes states. Each router has one; the router whose turn it is writes the result.
 type Decider struct {
 	Me     string
 	Broken Fault
@@ -113,11 +120,11 @@
 	seq          int64
 	seen         bool
 	at           time.Duration     // when seq was first seen
-	healthy      turn.RevisionAges // for how long clerks have been well
+	healthy      turn.RevisionAges // how long interactive requests have been healthy
 	unhealthySeq int64
 }
 
-// Next gives the state that should take the place of the last, or nil while that may stand.
+// Next returns the state that should replace the last one, or nil if nothing changed.
 func (d *Decider) Next(v View, now time.Duration) *State {
 	if v.Last != nil && v.Last.Format > Format {
 		return nil
@@ -143,7 +150,7 @@
 	s.compactTaken()
 	changed = s.updateWorkers(v.Workers, d.Broken) || changed
 	heldBefore := s.heldWorkers()
-	for closed := true; closed; { // each batch is one epoch, however many reports bring at once
+	for closed := true; closed; { // one epoch per batch, even if reports bring several batches at once
 		changed = s.count(m, v.Reports, d.Broken) || changed
 		m.holdOutliers(s.Workers)
 		s.updateHolds()
@@ -161,7 +168,7 @@
 	return s
 }
 
-// healthyFor is for how long this decider has seen clerks healthyFor, in milliseconds.
+// healthyFor returns how long this decider has seen interactive requests as healthy, in milliseconds.
 func (d *Decider) healthyFor(healthy bool, now time.Duration) float64 {
 	if !healthy {
 		d.unhealthySeq++
@@ -169,7 +176,7 @@
 	return float64(d.healthy.Age("clerks", d.unhealthySeq, now)) / float64(time.Millisecond)
 }
 
-// clone is a copy that shares nothing which is changed.
+// clone returns a copy that shares nothing that is later modified.
 func (s *State) clone() *State {
 	out := *s
 	out.Closed, out.Watermarks, out.Shares, out.Reloads = slices.Clone(s.Closed), maps.Clone(s.Watermarks), maps.Clone(s.Shares), slices.Clone(s.Reloads)
@@ -187,7 +194,7 @@
 	return &out
 }
 
-// advance lets time go by.
+// advance adds elapsed time and decays the worker statistics.
 func (s *State) advance(m Model, ms float64) {
 	s.ClockMs += ms
 	s.Open.OpenMs += ms
@@ -200,10 +207,10 @@
 	}
 }
 
-// lastClosed is the number of the lastClosed closed epoch.
+// lastClosed returns the number of the last closed epoch.
 func (s *State) lastClosed() int64 { return s.Open.Number - 1 }
 
-// followTuner reads what the tuner wrote. Only a newer version counts, and only epochs that are closed can be taken.
+// followTuner applies the tuner's record. Older versions are ignored, and only closed epochs can be taken.
 func (s *State) followTuner(v View) bool {
 	if v.Tuner == nil || v.TunerRev != 0 && v.TunerRev == s.TunerRev {
 		return false
@@ -231,10 +238,12 @@
 	}
 	s.Taken = max(s.Taken, taken)
 	s.skipUnweighted()
-	return s.Version != before.Version || s.Taken != before.Taken || s.Republished != before.Republished || s.OlderPublished != before.OlderPublished || s.TunerFault != before.TunerFault
+	return s.Version != before.Version || s.Taken != before.Taken || s.Republished != before.Republished ||
+		s.OlderPublished != before.OlderPublished || s.TunerFault != before.TunerFault
 }
 
-// skipUnweighted passes over the next epochs in which nothing weighs: there is nothing to take, so they hold nobody up.
+// skipUnweighted marks following epochs without any weight as taken: the tuner has nothing to take from them, so they must not
+// hold up later epochs.
 func (s *State) skipUnweighted() {
 	for _, e := range s.Closed {
 		if e.Number == s.Taken+1 && e.Weighed == 0 {
@@ -243,7 +252,8 @@
 	}
 }
 
-// updateWorkers follows the updateWorkers of workers: who left is forgotten, who restarted or runs another version starts anew.
+// updateWorkers applies the list of workers. Workers that left are removed; workers that restarted or changed their version
+// start with empty statistics.
 func (s *State) updateWorkers(workers []Worker, broken Fault) (changed bool) {
 	listed := map[string]bool{}
 	for _, w := range workers {
@@ -281,28 +291,29 @@
 	return strings.Join(out, " ")
 }
 
-// ReadState reads a board. An error is a *RecordError.
+// ReadState decodes a state. An error is a *RecordError.
 func ReadState(data []byte) (*State, error) {
 	var s State
 	if err := json.Unmarshal(data, &s); err != nil {
-		return nil, &RecordError{What: "state", Why: "no board", Err: err}
+		return nil, &RecordError{What: "state", Why: "not a valid state", Err: err}
 	}
 	return &s, s.Validate()
 }
 
-// Validate tells why a board that was read can't be one: a *RecordError.
+// Validate reports why a decoded state is inconsistent, as a *RecordError.
 func (s *State) Validate() error {
 	if s.Open.Number < 1 || s.Seq < 0 || s.Taken < 0 || s.Taken > s.lastClosed() {
-		return &RecordError{What: "state", Why: fmt.Sprintf("epoch %d is open, %d was taken", s.Open.Number, s.Taken)}
+		return &RecordError{What: "state", Why: fmt.Sprintf("open epoch %d does not fit last taken epoch %d", s.Open.Number, s.Taken)}
 	}
 	for i, e := range s.Closed {
 		if e.Number != s.lastClosed()-int64(len(s.Closed)-1-i) {
-			return &RecordError{What: "state", Why: fmt.Sprintf("epoch %d stands where %d should", e.Number, s.lastClosed()-int64(len(s.Closed)-1-i))}
+			return &RecordError{What: "state", Why: fmt.Sprintf("closed epoch %d found where %d is expected",
+				e.Number, s.lastClosed()-int64(len(s.Closed)-1-i))}
 		}
 	}
 	for name, w := range s.Workers {
 		if w == nil {
-			return &RecordError{What: "state", Why: fmt.Sprintf("nothing stands for worker %q", truncate(name))}
+			return &RecordError{What: "state", Why: fmt.Sprintf("null entry for worker %q", truncate(name))}
 		}
 	}
 	return nil
--- a/internal/decide/samples/board_test.go
+++ b/internal/decide/samples/board_test.go
@@ -26,8 +26,8 @@
 	return data
 }
 
-// fleet is a store with a board, routers that report, workers and a tuner. Each router steps its own decider, which may
-// hold what it read for long before it writes.
+// fleet simulates a store with a state, routers that report, workers and a tuner. Each router steps its own decider, and
+// may wait for an arbitrary time between reading and writing.
 type fleet struct {
 	rng     *rand.Rand
 	model   Model
@@ -36,7 +36,7 @@
 	tuner   *Published
 	rev     int64
 	workers []Worker
-	running map[string]int64 // what a worker really runs
+	running map[string]int64 // the version that each worker actually runs
 	routers []*router
 	key     uint64
 	ended   map[uint64]bool
@@ -47,8 +47,8 @@
 	report   Report
 	isolated bool
 	decider  Decider
-	pending  *State // decided, not yet written
-	read     int    // how many boards there were when it was read
+	pending  *State // decided but not yet written
+	read     int    // length of the history when it was read
 }
 
 func newFleet(seed uint64, routers, workers int) *fleet {
@@ -72,7 +72,7 @@
 	return f.history[len(f.history)-1]
 }
 
-// view is what a decider reads: what was last written by each router, cut off or not.
+// view returns what a decider reads: the last report of each router, or a silent report if the router is isolated.
 func (f *fleet) view() View {
 	v := View{Model: f.model, Policy: 1, Last: f.last(), Tuner: f.tuner, TunerRev: f.rev, Workers: f.workers}
 	for _, r := range f.routers {
@@ -85,7 +85,7 @@
 	return v
 }
 
-// sample has a worker make one, begun under an epoch.
+// sample makes a sample of a worker that began in the given epoch.
 func (f *fleet) sample(w Worker, epoch int64) Sample {
 	f.key++
 	f.ended[f.key] = true
@@ -100,7 +100,7 @@
 	return 1
 }
 
-// produce has each router end n samples.
+// produce has each router finish n samples.
 func (f *fleet) produce(n int) {
 	for _, r := range f.routers {
 		for range n {
@@ -111,7 +111,7 @@
 
 func (f *fleet) finish(r *router, s Sample) { r.report.Samples = append(r.report.Samples, s) }
 
-// acknowledge has routers drop what the board has counted.
+// acknowledge has routers drop the samples that the state has counted.
 func (f *fleet) acknowledge() {
 	for _, r := range f.routers {
 		if watermark, ok := f.last().Watermarks[r.report.watermarkKey()]; ok && !r.isolated {
@@ -121,7 +121,7 @@
 	}
 }
 
-// decide has a router read and decide, write has it write if the board is as it was read.
+// decide has a router read and decide; write has it write if the state is still the one that it read.
 func (f *fleet) decide(i int) {
 	r := f.routers[i]
 	r.decider.Broken = f.broken
@@ -148,7 +148,7 @@
 	f.write(i)
 }
 
-// relabel has workers run a version and say so.
+// relabel has workers run a version and claim it.
 func (f *fleet) relabel(version int64, names ...string) {
 	for i := range f.workers {
 		for _, name := range names {
@@ -159,13 +159,13 @@
 	}
 }
 
-// publish has the tuner write.
+// publish has the tuner write its record.
 func (f *fleet) publish(version, epoch int64) {
 	f.tuner = &Published{Version: version, Epoch: epoch}
 	f.rev++
 }
 
-// checkPlaced checks that each sample that ended stands at one place, or in a report still.
+// checkPlaced checks that each finished sample was counted, or is still in a report.
 func (f *fleet) checkPlaced(tolerate bool) error {
 	found := map[uint64]bool{}
 	seen := map[int64]bool{}
@@ -192,13 +192,13 @@
 	}
 	for key := range f.ended {
 		if !found[key] && !tolerate {
-			return fmt.Errorf("sample %d stands nowhere", key)
+			return fmt.Errorf("sample %d is in no epoch and no report", key)
 		}
 	}
 	return nil
 }
 
-// randomStep takes one act at random.
+// randomStep takes one random step.
 func (f *fleet) randomStep(draw func(int) int) {
 	i := draw(len(f.routers))
 	r, w := f.routers[i], &f.workers[draw(len(f.workers))]
@@ -212,7 +212,7 @@
 		f.decide(i)
 	case 6, 7, 8:
 		f.write(i)
-	case 9: // another has taken over what this one reported, and reports it too
+	case 9: // another router took over a reported request and reports it too
 		if n := len(r.report.Samples); n > 0 {
 			f.finish(f.routers[draw(len(f.routers))], r.report.Samples[draw(n)])
 		}
@@ -224,7 +224,7 @@
 			f.publish(max(f.tuner.Version-1, 0), 0)
 		case 2:
 			w.Label = f.tuner.Version
-			f.running[w.Name] = max(w.Label-int64(draw(2)), 0) // some do not run what they claim
+			f.running[w.Name] = max(w.Label-int64(draw(2)), 0) // some workers do not run the version that they claim
 		case 3:
 			w.Boot += "x"
 		}
@@ -234,7 +234,7 @@
 	}
 }
 
-// The board holds through whatever order of reads and writes, takings over, restarts and losses.
+// The audit passes and no sample is lost under any order of reads, writes, takeovers, restarts and isolations.
 func TestStateInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -248,7 +248,7 @@
 	})
 }
 
-// Ten walks of each: the checker finds each rule that is broken on purpose, and nothing where none is.
+// Ten random runs for each injected fault: the audit detects each fault, and reports nothing without one.
 func TestAuditDetectsInjectedFaults(t *testing.T) {
 	rules := map[Fault]string{CountsTwice: "places", NoCompare: "numbers places closed", NoBound: "bound", NoReset: "anew", "": ""}
 	for fault, rule := range rules {
@@ -260,7 +260,8 @@
 				f.randomStep(f.rng.IntN)
 			}
 			totals := f.last().Totals
-			sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+totals.Counted, sum.Late+totals.Late, sum.Repeated+totals.Repeated, sum.Beyond+totals.Beyond
+			sum.Counted, sum.Late, sum.Repeated, sum.Beyond = sum.Counted+totals.Counted, sum.Late+totals.Late,
+				sum.Repeated+totals.Repeated, sum.Beyond+totals.Beyond
 			var e *AuditError
 			if err := Audit(f.history); errors.As(err, &e) {
 				violations[e.Rule]++
@@ -269,12 +270,12 @@
 				}
 			}
 		}
-		t.Logf("fault %q: found in %v of 10 walks, %+v", fault, violations, sum)
+		t.Logf("fault %q: violations by rule %v in 10 runs, %+v", fault, violations, sum)
 		if fault == "" && (sum.Late == 0 || sum.Repeated == 0 || sum.Beyond == 0) {
-			t.Errorf("the walks never came there: %+v", sum)
+			t.Errorf("the runs have no late, repeated or beyond samples: %+v", sum)
 		}
 		if fault != "" && len(violations) == 0 {
-			t.Errorf("fault %q was not found", fault)
+			t.Errorf("fault %q was not detected", fault)
 		}
 	}
 }
--- a/internal/decide/samples/cases_test.go
+++ b/internal/decide/samples/cases_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// settle has routers step until the board stands.
+// settle has routers step until the state no longer changes, then audits the history.
 func (f *fleet) settle(t *testing.T) *State {
 	t.Helper()
 	for i := range 8 {
@@ -22,8 +22,8 @@
 	return f.last()
 }
 
-// A tuner that writes the same twice changes nothing, one that goes backwards is not followed and named, one that claims
-// an epoch that is not closed takes none.
+// A tuner that publishes a version twice changes nothing. One that publishes an older version is ignored and reported. One
+// that claims to have taken an epoch that is not closed takes none.
 func TestTunerRepeatsAndRegresses(t *testing.T) {
 	f := newFleet(1, 2, 4)
 	f.produce(30)
@@ -45,14 +45,14 @@
 	if s = f.settle(t); s.Version != 6 || s.Taken != 1 || !strings.Contains(s.TunerFault, "epoch 99") {
 		t.Errorf("version %d, %d taken, %q", s.Version, s.Taken, s.TunerFault)
 	}
-	f.publish(7, 0) // plain versions take one epoch each
+	f.publish(7, 0) // a version without an epoch takes one epoch
 	if s = f.settle(t); s.Taken != 2 || s.TunerFault != "" {
 		t.Errorf("%d taken, %q", s.Taken, s.TunerFault)
 	}
 }
 
-// An epoch is closed by its time while half of the routers are cut off. What they have counts under a later one while it
-// is not too late, and as late after that; nothing is lost.
+// An epoch is closed by its time while half of the routers are isolated. Their samples are counted in a later epoch while
+// they are not too late, and as late after that. None is lost.
 func TestEpochClosesWhileHalfTheRoutersAreIsolated(t *testing.T) {
 	f := newFleet(1, 4, 4)
 	f.model.Batch, f.model.Ahead = 100, 4
@@ -61,12 +61,13 @@
 	f.settle(t)
 	f.now += 2 * time.Second
 	s := f.settle(t)
-	if len(s.Closed) != 1 || s.Closed[0].Counted != 10 || s.Closed[0].Silent != 2 || s.Closed[0].Reporting != 2 || s.Closed[0].CloseReason != "its time is over" {
+	if len(s.Closed) != 1 || s.Closed[0].Counted != 10 || s.Closed[0].Silent != 2 ||
+		s.Closed[0].Reporting != 2 || s.Closed[0].CloseReason != "its time is over" {
 		t.Fatalf("%+v", s.Closed)
 	}
 	f.routers[2].isolated = false
 	if s = f.settle(t); s.Open.Counted != 5 || s.Open.Late != 0 {
-		t.Errorf("one that returns in time: %d counted, %d late", s.Open.Counted, s.Open.Late)
+		t.Errorf("router that returns in time: %d counted, %d late", s.Open.Counted, s.Open.Late)
 	}
 	for range 2 {
 		f.finish(f.routers[0], f.sample(f.workers[0], f.openEpoch()))
@@ -77,12 +78,12 @@
 	}
 	f.routers[3].isolated = false
 	if s = f.settle(t); s.Totals.Late != 5 || s.Totals.Counted != 17 || s.Totals.Reported != 22 {
-		t.Errorf("one that returns too late: %+v, epoch %d", s.Totals, s.Open.Number)
+		t.Errorf("router that returns too late: %+v, epoch %d", s.Totals, s.Open.Number)
 	}
 }
 
-// With all workers past the bound nothing is weighed and it is said so; none are asked for, and reloads are wished for,
-// the quickest first. The first that reloads is asked again.
+// If all workers are beyond the staleness bound, no sample has weight and the state says so. No samples are requested, and
+// reloads are requested with the fastest worker first. The first worker that reloads gets requests again.
 func TestAllWorkersBeyondStalenessBound(t *testing.T) {
 	f := newFleet(1, 2, 4)
 	for i := range f.workers {
@@ -100,7 +101,8 @@
 	if len(s.Closed) != 1 || s.Closed[0].Weighed != 0 || s.Taken != 1 || !strings.Contains(s.Closed[0].CloseReason, "nothing of it weighs") {
 		t.Fatalf("%+v", s.Closed)
 	}
-	if s.AdmitFraction != 0 || !strings.Contains(s.Notice, "past the bound") || len(s.Reloads) != 4 || s.Reloads[0].Worker != "w3" || s.Reloads[3].Worker != "w0" || s.Shares["w3"] != 0 {
+	if s.AdmitFraction != 0 || !strings.Contains(s.Notice, "past the bound") || len(s.Reloads) != 4 ||
+		s.Reloads[0].Worker != "w3" || s.Reloads[3].Worker != "w0" || s.Shares["w3"] != 0 {
 		t.Errorf("part %g, %q, %+v", s.AdmitFraction, s.Notice, s.Reloads)
 	}
 	f.relabel(9, "w3")
@@ -109,8 +111,8 @@
 	}
 }
 
-// A worker that runs an older version than it claims is held and named until it starts anew; its samples stand at their
-// place and weigh nothing.
+// A worker that runs an older version than it claims is held and named until it restarts. Its samples are counted with
+// weight 0.
 func TestMislabeledWorkerIsHeld(t *testing.T) {
 	f := newFleet(1, 2, 4)
 	f.publish(3, 0)
@@ -132,8 +134,8 @@
 	}
 }
 
-// Requests are taken in part from one batch below the bound on and not at all at it, with what is in hand; a share
-// changes by steps only.
+// Requests are partly admitted when generation, including samples in flight, is less than one batch short of its limit, and
+// not at all at the limit. A share changes only by at least the hysteresis.
 func TestActions(t *testing.T) {
 	f := newFleet(1, 1, 3)
 	for _, c := range []struct {
@@ -143,7 +145,7 @@
 		f.routers[0].report.InFlight = c.inFlight
 		f.step(0, "")
 		if got := f.last().AdmitFraction; math.Abs(got-c.fraction) > 1e-9 {
-			t.Errorf("%d in hand: part %g, want %g", c.inFlight, got, c.fraction)
+			t.Errorf("%d in flight: fraction %g, want %g", c.inFlight, got, c.fraction)
 		}
 	}
 	f = newFleet(1, 1, 3)
--- a/internal/decide/samples/count.go
+++ b/internal/decide/samples/count.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// maxNewerSamples is how many samples of a version newer than its label a worker may make before it is held: its label may be on its
-// way.
+// maxNewerSamples is how many samples of a version newer than its label a worker may make before it is held. A few are allowed
+// because its updated label may not have arrived yet.
 const maxNewerSamples = 8
 
-// notAccepted is why a sample weighs nothing that was not accepted; it says nothing against its worker's others.
+// notAccepted is the hold reason of a sample that was not accepted. It does not affect other samples of its worker.
 const notAccepted = "not accepted"
 
-// count takes in what reports have that was not counted yet. A sample goes to one place, by its key, whoever reports it.
+// count adds the reported samples that are not counted yet. Each sample is counted once, by its key, whichever router reports it.
 func (s *State) count(m Model, reports []Report, broken Fault) (changed bool) {
 	if s.Watermarks == nil {
 		s.Watermarks = map[string]Watermark{}
@@ -26,12 +26,12 @@
 		index[g.key()] = i
 	}
 	for k := range reports {
-		r := reports[(k+int(s.Open.Number%MaxRouters))%len(reports)] // none comes last each time
+		r := reports[(k+int(s.Open.Number%MaxRouters))%len(reports)] // rotate the order so that no router is always last
 		watermark, ok := s.Watermarks[r.watermarkKey()]
 		if !ok {
 			changed = true
 		}
-		if len(r.Samples) > 0 && r.First > watermark.Seq+1 { // what it dropped is said
+		if len(r.Samples) > 0 && r.First > watermark.Seq+1 { // record what the router dropped
 			watermark.Missing += r.First - 1 - watermark.Seq
 			s.Totals.Missing += r.First - 1 - watermark.Seq
 			watermark.Seq, changed = r.First-1, true
@@ -41,7 +41,7 @@
 				continue
 			}
 			if total >= MaxKeys || eligible >= m.Batch {
-				break // it waits in the report
+				break // it stays in the report
 			}
 			if g := s.placeSample(m, sample, known, index, broken); g != nil && s.eligible(m, *g) {
 				eligible++
@@ -57,7 +57,7 @@
 	return changed
 }
 
-// placeSample counts one sample, and gives the group that it was counted in, if it was.
+// placeSample counts one sample. It returns the group in which the sample was counted, or nil.
 func (s *State) placeSample(m Model, sample Sample, known map[uint64]bool, index map[groupKey]int, broken Fault) *Group {
 	s.Totals.Reported++
 	oldest := s.Open.Number
@@ -84,7 +84,8 @@
 	s.Totals.Counted++
 	s.Open.Counted++
 	reason := s.observe(sample)
-	g := Group{Worker: sample.Worker, Boot: sample.Boot, Site: sample.Site, Version: sample.Version, Aged: float64(sample.AgeMs) > m.AgeMostMs, HoldReason: reason}
+	g := Group{Worker: sample.Worker, Boot: sample.Boot, Site: sample.Site, Version: sample.Version,
+		Aged: float64(sample.AgeMs) > m.AgeMostMs, HoldReason: reason}
 	if sample.End != sample.Version {
 		g.End = sample.End
 	}
@@ -99,8 +100,8 @@
 	return group
 }
 
-// observe has a sample's worker seen, and tells why the sample is held, if it is: its worker claimed a newer version than
-// the answer was made by.
+// observe updates the statistics of a sample's worker and returns why the sample is held, if it is: its worker claimed a newer
+// version than the one that generated it, or it was not accepted.
 func (s *State) observe(sample Sample) string {
 	w := s.Workers[sample.Worker]
 	current := w != nil && w.Boot == sample.Boot && w.Label == sample.Label
@@ -138,7 +139,7 @@
 	return groupKey{g.Worker, g.Boot, g.Site, g.HoldReason, g.Version, g.End, g.Aged}
 }
 
-// knownKeys are the keys that were counted in whatever epoch is remembered, or came late.
+// knownKeys returns the keys of all samples that were counted or late in any epoch that is kept.
 func (s *State) knownKeys() map[uint64]bool {
 	out := map[uint64]bool{}
 	for _, e := range append(slices.Clone(s.Closed), s.Open) {
@@ -149,8 +150,7 @@
 	return out
 }
 
-// keys gives all keys of an epoch, those that came late too.
-// AllKeys are the keys of all samples that stand in an epoch, counted or late.
+// AllKeys iterates over the keys of all samples of the epoch, counted or late.
 func (e Epoch) AllKeys(yield func(uint64) bool) {
 	lists := []Keys{e.Known, e.LateKeys}
 	for _, g := range e.Groups {
@@ -167,7 +167,7 @@
 
 func (e Epoch) sampleCount() int { return e.Counted + len(e.LateKeys) }
 
-// trimWatermarks forgets, where there are too many, the marks of processes that are not heard of any more.
+// trimWatermarks drops the oldest watermarks of processes without a report, if there are too many.
 func (s *State) trimWatermarks(reports []Report) {
 	if len(s.Watermarks) <= MaxRouters {
 		return
@@ -192,8 +192,8 @@
 	}
 }
 
-// close ends the open epoch once its batch is full, or its time is over and there is anything in it; not while the tuner
-// has as many before it as it may. Reports of routers that are cut off stay where they are, and count later.
+// close closes the open epoch once its batch is full, or once its time is over and it has any samples. It does not close an
+// epoch while the tuner has the maximum number of epochs to take. Reports of isolated routers are kept and counted later.
 func (s *State) close(m Model, reports []Report, broken Fault) bool {
 	e := &s.Open
 	eligible := s.eligibleCount(m)
@@ -241,13 +241,13 @@
 	s.Closed = append(s.Closed, *e)
 	s.Open = Epoch{Number: e.Number + 1}
 	s.skipUnweighted()
-	for len(s.Closed) > int(m.LateEpochs+m.Ahead+1) && s.Closed[0].Number <= s.Taken { // so long a sample may be reported again
+	for len(s.Closed) > int(m.LateEpochs+m.Ahead+1) && s.Closed[0].Number <= s.Taken { // until then, a sample may be reported again
 		s.Closed = s.Closed[1:]
 	}
 	return true
 }
 
-// eligibleCount is how many samples of the open epoch weigh anything as things stand.
+// eligibleCount returns how many samples of the open epoch would have a weight above 0 at present.
 func (s *State) eligibleCount(m Model) (n int) {
 	for _, g := range s.Open.Groups {
 		if s.eligible(m, g) {
@@ -264,8 +264,8 @@
 	return m.eligible(g, s.Version)
 }
 
-// compactTaken leaves the keys alone of epochs that the tuner is past. It is done before any is closed, so that each stands whole in
-// at least one board.
+// compactTaken drops the groups of epochs before the last one taken, and keeps their keys. It runs before any epoch is closed,
+// so that each epoch is complete in at least one state.
 func (s *State) compactTaken() {
 	for i := range s.Closed {
 		e := &s.Closed[i]
--- a/internal/decide/samples/hindsight.go
+++ b/internal/decide/samples/hindsight.go
@@ -8,20 +8,20 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Hindsight counts what the board decided about workers by what was seen of them afterwards.
+// Hindsight counts decisions about workers by what was observed afterwards.
 type Hindsight struct {
-	// Holds are of outliers: wrong where a worker's samples agreed with its kind's when it was let go or started anew, right where
-	// they still did not, or where it was found to run another version than it claims, void where too few came to say.
+	// Holds of outliers. Wrong: the worker's samples agreed with those of its kind when it was released or restarted. Right:
+	// they still deviated, or the worker was found to run another version than it claims. Void: too few samples came to tell.
 	Holds turn.VerdictCounts `json:"holds,omitzero"`
-	// Weights are those above the mean that a closed epoch gave to a worker's samples: wrong where they were past the bound of
-	// staleness by the time that the tuner took the epoch, or where their worker was found to claim what it does not run.
+	// Weights above the mean in closed epochs. Wrong: the samples were beyond the staleness bound by the time the tuner took
+	// the epoch, or their worker was found to claim a version that it does not run.
 	Weights turn.VerdictCounts `json:"weights,omitzero"`
 }
 
-// highWeight is the weight of a sample from which on its worker was trusted more than others; their mean is 1.
+// highWeight is the weight above which a sample's worker was trusted more than others; the mean weight is 1.
 const highWeight = 1.1
 
-// highWeightGroups is how many groups of an epoch weigh much.
+// highWeightGroups returns the number of groups with a high weight.
 func (e Epoch) highWeightGroups() (n int64) {
 	for _, g := range e.Groups {
 		if g.Weight > highWeight {
@@ -31,12 +31,13 @@
 	return n
 }
 
-// openWeights counts the weights that an epoch gave as it was closed.
+// openWeights counts the high weights of an epoch as open decisions when it is closed.
 func (s *State) openWeights(e Epoch) {
 	s.Hindsight.Weights.Open += e.highWeightGroups()
 }
 
-// settleWeights settles the weights of the epochs that the tuner took since one, when the newest version was so.
+// settleWeights settles the weights of the epochs that the tuner took since takenBefore. newest is the newest version from
+// before its record was applied.
 func (s *State) settleWeights(m Model, takenBefore, newest int64) {
 	for _, e := range s.Closed {
 		if e.Number <= takenBefore || e.Number > s.Taken {
@@ -56,17 +57,17 @@
 	}
 }
 
-// HoldReview is how a worker that is held as an outlier stands beside its kind since.
+// HoldReview is how a worker held as an outlier has compared with its kind since.
 type HoldReview string
 
-// The doubts. The empty one is of a worker that is not held, or whose hold is settled.
+// Reviews. The empty one is of a worker that is not held, or whose hold is settled.
 const (
-	Unseen    HoldReview = "unseen"    // too few samples came since, or too few others have any to compare
-	Agrees    HoldReview = "agrees"    // it is near the others by now
-	Disagrees HoldReview = "disagrees" // it is not
+	Unseen    HoldReview = "unseen"    // too few samples since, of the worker or of others of its kind
+	Agrees    HoldReview = "agrees"    // the worker is near the others
+	Disagrees HoldReview = "disagrees" // the worker still deviates
 )
 
-// updateHolds follows which workers are held as outliers, once they were compared anew.
+// updateHolds opens, reviews and settles the holds of outliers after the workers have been compared again.
 func (s *State) updateHolds() {
 	for _, name := range slices.Sorted(maps.Keys(s.Workers)) {
 		w := s.Workers[name]
@@ -94,14 +95,14 @@
 	}
 }
 
-// settleByReview settles the hold of a worker that is let go or starts settleByReview, by how it stood at the last look.
+// settleByReview settles the hold of a worker that is released or restarted, by its last review.
 func (s *State) settleByReview(w *WorkerStats) {
 	if w != nil {
 		s.settle(w, map[HoldReview]turn.Verdict{Unseen: turn.Void, Agrees: turn.Wrong, Disagrees: turn.Right}[w.Review])
 	}
 }
 
-// checkHindsight compares the counts with what the auditor itself has seen: the epochs that it saw closed, and who is held.
+// checkHindsight compares the counts with the epochs that the auditor saw closed and with the workers that are held.
 func (a *auditor) checkHindsight(s *State) error {
 	fault := func(why string, args ...any) error {
 		return &AuditError{Rule: "hindsight", Seq: s.Seq, Epoch: s.Open.Number, Why: fmt.Sprintf(why, args...)}
@@ -123,12 +124,12 @@
 		}
 	}
 	if s.Hindsight.Holds.Open > underReview {
-		return fault("%d holds are open, and %d workers are held as outliers", s.Hindsight.Holds.Open, underReview)
+		return fault("%d holds are open, but %d workers are held as outliers", s.Hindsight.Holds.Open, underReview)
 	}
 	for number := int64(1); number < s.Open.Number; number++ {
 		e, ok := a.epochs[number]
 		if !ok || e.Counted > 0 && len(e.Groups) == 0 {
-			return nil // the history does not begin with the board
+			return nil // the history does not start at the first epoch
 		}
 		if number > s.Taken {
 			open += e.highWeightGroups()
@@ -137,7 +138,7 @@
 		}
 	}
 	if w := s.Hindsight.Weights; w.Open != open || w.Settled() != settled {
-		return fault("weights: %v, and epochs gave %d that are open and %d that are settled", w, open, settled)
+		return fault("weights: %v, but the epochs have %d open and %d settled", w, open, settled)
 	}
 	return nil
 }
--- a/internal/decide/samples/hindsight_test.go
+++ b/internal/decide/samples/hindsight_test.go
@@ -8,7 +8,7 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// runRounds have each worker end some samples, those of w0 so much longer than others', for some seconds.
+// runRounds has each worker finish some samples for n rounds, those of w0 longer than others' by a factor.
 func (f *fleet) runRounds(t *testing.T, n, factor int) *State {
 	for range n {
 		for i, w := range f.workers {
@@ -27,26 +27,26 @@
 	return f.settle(t)
 }
 
-// A hold was wrong where the worker's samples come to agree, right where they do not until it starts anew, void where it leaves.
+// A hold was wrong if the worker's samples come to agree, right if they deviate until it restarts, and void if it leaves.
 func TestHoldsInHindsight(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after func(f *fleet)
 		want  turn.VerdictCounts
 	}{
-		{"it stays as it was", func(f *fleet) { f.runRounds(t, 4, 8) }, turn.VerdictCounts{Open: 1}},
-		{"it agrees", func(f *fleet) { f.runRounds(t, 40, 1) }, turn.VerdictCounts{Wrong: 1}},
-		{"it disagrees until it starts anew", func(f *fleet) {
+		{"hold stays open", func(f *fleet) { f.runRounds(t, 4, 8) }, turn.VerdictCounts{Open: 1}},
+		{"worker agrees", func(f *fleet) { f.runRounds(t, 40, 1) }, turn.VerdictCounts{Wrong: 1}},
+		{"worker deviates until it restarts", func(f *fleet) {
 			f.runRounds(t, 4, 8)
 			f.workers[0].Boot = "2"
 		}, turn.VerdictCounts{Right: 1}},
-		{"it starts anew at once", func(f *fleet) { f.workers[0].Boot = "2" }, turn.VerdictCounts{Void: 1}},
-		{"it leaves", func(f *fleet) { f.workers = f.workers[1:] }, turn.VerdictCounts{Void: 1}},
+		{"worker restarts at once", func(f *fleet) { f.workers[0].Boot = "2" }, turn.VerdictCounts{Void: 1}},
+		{"worker leaves", func(f *fleet) { f.workers = f.workers[1:] }, turn.VerdictCounts{Void: 1}},
 	} {
 		f := newFleet(1, 1, 7)
 		f.model.HalfLifeMs, f.model.HoldMs = 4000, 1000
 		if s := f.runRounds(t, 1, 8); s.Workers["w0"].HoldReason == "" {
-			t.Fatalf("not held: %+v", s.Workers["w0"])
+			t.Fatalf("w0 is not held: %+v", s.Workers["w0"])
 		}
 		c.after(f)
 		if got := f.settle(t).Hindsight.Holds; got != c.want {
@@ -55,13 +55,14 @@
 	}
 }
 
-// A weight above the mean was wrong where the samples are past the bound by the time the tuner takes them. The audit finds a count
-// that is lost, and one that is not settled.
+// A weight above the mean was wrong if the samples are beyond the staleness bound when the tuner takes them. The audit
+// detects a lost count and one that is not settled.
 func TestWeightsInHindsight(t *testing.T) {
 	for _, c := range []struct {
 		versionsAhead int64 // versions published before the epoch is taken
 		want          func(w turn.VerdictCounts) bool
-	}{{0, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong == 0 }}, {20, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong > 0 }}} {
+	}{{0, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong == 0 }},
+		{20, func(w turn.VerdictCounts) bool { return w.Right > 0 && w.Wrong > 0 }}} {
 		f := newFleet(1, 1, 6)
 		f.model.WorkerCap, f.model.VersionCap, f.model.Floor = 0.5, 1, 0.1
 		f.publish(3, 0)
@@ -69,7 +70,7 @@
 		f.produce(40)
 		f.settle(t)
 		if s := f.last(); s.Hindsight.Weights.Open == 0 || len(s.Closed) == 0 {
-			t.Fatalf("nothing weighs much: %+v", s.Closed)
+			t.Fatalf("no weight is above the mean: %+v", s.Closed)
 		}
 		for _, p := range []Published{{3, 1}, {3 + c.versionsAhead, 1}, {4 + c.versionsAhead, 2}} {
 			f.publish(p.Version, p.Epoch)
@@ -85,7 +86,7 @@
 			tampered.Hindsight.Weights = counts
 			var e *AuditError
 			if err := Audit(append(f.history[:len(f.history)-1:len(f.history)-1], &tampered)); !errors.As(err, &e) || e.Rule != "hindsight" {
-				t.Errorf("a count that is %s: %v", name, err)
+				t.Errorf("count that is %s: %v", name, err)
 			}
 		}
 	}
--- a/internal/decide/samples/same_test.go
+++ b/internal/decide/samples/same_test.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Decisions are those of the version before the step was made quicker, byte for byte, over lives that are drawn. Who changes a
-// decision on purpose changes the hash with it.
+// Decisions over seeded random runs are identical, byte for byte, to those recorded before the decision step was optimized.
+// A change that alters decisions on purpose changes the hashes with it.
 func TestDecisionsMatchRecordedHash(t *testing.T) {
 	want, runs := "387 boards, 9e74b7a7cbe9b205", uint64(2)
 	if os.Getenv("LAB_LONG") != "" {
@@ -31,7 +31,7 @@
 			}
 		}
 		for _, s := range f.history {
-			s.Hindsight = Hindsight{} // it decides nothing, and came later
+			s.Hindsight = Hindsight{} // added after the hashes were recorded; no decision depends on it
 			for _, w := range s.Workers {
 				w.Review, w.SinceHold = "", 0
 			}
--- a/internal/decide/samples/score.go
+++ b/internal/decide/samples/score.go
@@ -10,43 +10,43 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// WorkerStats is what is remembered of a worker since it started anew: decayed counts and moments of its samples' speeds.
+// WorkerStats are the decayed statistics of a worker's samples since it last restarted or changed its version.
 type WorkerStats struct {
 	Boot  string `json:"boot"`
-	Label int64  `json:"label"` // the version its record claims
+	Label int64  `json:"label"` // the version that its record claims
 	Site  string `json:"site,omitempty"`
 	Kind  string `json:"kind,omitempty"`
-	// Samples is how many samples were seen, Accepted how many of them were, both decayed. Speed and Spread are the mean of the
-	// logarithm of tokens a second and the sum of squares about it, Length that of the logarithm of tokens (Welford's
-	// recurrences, with forgetting).
+	// Samples and Accepted are the decayed counts of samples and of accepted samples. LogSpeed is the mean of the logarithm
+	// of tokens a second, SpeedSquares the sum of squares about it, and LogLength the mean of the logarithm of tokens
+	// (Welford's recurrences, with exponential forgetting).
 	Samples      float64 `json:"n"`
 	Accepted     float64 `json:"accepted"`
 	LogSpeed     float64 `json:"speed"`
 	SpeedSquares float64 `json:"spread"`
 	LogLength    float64 `json:"length"`
-	NewerSamples int     `json:"ahead,omitempty"` // samples of a newer version than the label said
-	HoldReason   string  `json:"held,omitempty"`  // why its samples are held; "": they are not
+	NewerSamples int     `json:"ahead,omitempty"` // samples of a newer version than the label
+	HoldReason   string  `json:"held,omitempty"`  // why its samples are held; empty if they are not
 	HeldMs       float64 `json:"held_ms,omitempty"`
-	Mislabeled   bool    `json:"claims,omitempty"` // it is held for what it claims to run, until it starts anew
-	// Review is of a hold as an outlier that hindsight has not settled, After how many samples came since.
+	Mislabeled   bool    `json:"claims,omitempty"` // it claims a version that it does not run; held until it restarts
+	// Review is the review of an unsettled hold as an outlier, SinceHold the number of samples since the hold began.
 	Review    HoldReview `json:"doubt,omitempty"`
 	SinceHold int        `json:"after,omitempty"`
-	// Rate is its throughput in accepted tokens a second of generation, as shrunk to its kind; Err its relative standard
-	// error; Score that against the fleet's median, with its staleness.
+	// Rate is its throughput in accepted tokens a second of generation, shrunk towards its kind. RelError is the relative
+	// standard error of Rate. Score is Rate relative to the fleet's median, times the freshness.
 	Rate     float64 `json:"rate"`
 	RelError float64 `json:"err"`
 	Score    float64 `json:"score"`
 
-	compared bool // with enough others of its kind, at the last look
-	deviates bool // and it is not near them
+	compared bool // at the last check there were enough others of its kind
+	deviates bool // at the last check it was not near the others
 }
 
-// decay lets what was seen fade.
+// decay multiplies the accumulated statistics by a factor.
 func (w *WorkerStats) decay(factor float64) {
 	w.Samples, w.Accepted, w.SpeedSquares = w.Samples*factor, w.Accepted*factor, w.SpeedSquares*factor
 }
 
-// observe takes a sample in.
+// observe adds a sample.
 func (w *WorkerStats) observe(s Sample) {
 	logSpeed, logLength := math.Log(float64(max(s.Tokens, 1))/(float64(max(s.TookMs, 1))/1000)), math.Log(float64(max(s.Tokens, 1)))
 	w.Samples++
@@ -62,15 +62,16 @@
 	}
 }
 
-// priorVariance is the variance of a sample's log speed that is assumed of a kind of which too little was seen.
+// priorVariance is the assumed variance of a sample's log speed for a kind with too few samples.
 const priorVariance = 0.04
 
-// estimateRates estimates each worker's throughput beside those of its kind.
+// estimateRates estimates each worker's throughput together with the others of its kind.
 //
-// The log speed of a sample is taken as normal about its worker's own, and workers' own about their kind's. With n
-// samples of variance v each, and t the variance between workers, a worker's mean is shrunk to its kind's by v/n / (v/n +
-// t): empirical Bayes (Morris, JASA 1983), with t by moments (DerSimonian and Laird, 1986). The part that is accepted has
-// a Beta posterior under the kind's own part, worth two samples. Both errors are added as relative variances.
+// The log speed of a sample is modeled as normal about its worker's mean, and the workers' means as normal about the mean
+// of their kind. With n samples of variance v each, and t the variance between workers, a worker's mean is shrunk towards
+// its kind's by v/n / (v/n + t): empirical Bayes (Morris, JASA 1983), with t by moments (DerSimonian and Laird, 1986). The
+// accepted fraction has a Beta posterior whose prior is the kind's own fraction, with the weight of two samples. The two
+// errors are added as relative variances.
 func estimateRates(workers map[string]*WorkerStats) {
 	kinds := map[string][]*WorkerStats{}
 	for _, name := range slices.Sorted(maps.Keys(workers)) {
@@ -119,17 +120,17 @@
 	}
 }
 
-// The terms under which a worker counts as an outlier: at least so many samples, so many workers of its kind that have
-// them, and a deviation of the logarithm that is no less than this, however alike the others are.
+// Conditions for a worker to count as an outlier: the minimum number of its samples, the minimum number of workers of its
+// kind with as many, and the minimum scale for deviations of the logarithm, however similar the others are.
 const (
 	outlierMinSamples, outlierMinPeers = 8, 5
 	outlierMinScale                    = 0.05
 )
 
-// holdOutliers judges workers beside those of their kind, by the deviation from the median over the median deviation
-// (Hampel, JASA 1974; 1.4826 makes it a standard deviation for normal figures). A worker whose answers are much longer or
-// shorter than others', that is accepted far more or less often, or that is too quick to be true, is held; one that is slow is not: its samples'
-// staleness says what that costs.
+// holdOutliers compares workers with others of their kind, by the deviation from the median over the median absolute
+// deviation (Hampel, JASA 1974; the factor 1.4826 makes it a standard deviation for normal values). It holds a worker whose
+// answers are much longer or shorter than the others', that is accepted far more or less often, or that is implausibly
+// fast. A slow worker is not held: the staleness of its samples already accounts for it.
 func (m Model) holdOutliers(workers map[string]*WorkerStats) {
 	kinds := map[string][]string{}
 	for _, name := range slices.Sorted(maps.Keys(workers)) {
@@ -191,7 +192,7 @@
 	return stat.Quantile(0.5, stat.LinInterp, sorted, nil)
 }
 
-// updateScores says what a worker is worth for samples now: its throughput against the median, times its freshness.
+// updateScores sets the score of each worker: its throughput relative to the median, times its freshness.
 func (m Model) updateScores(workers map[string]*WorkerStats, newest int64) {
 	var rates []float64
 	for _, w := range workers {
--- a/internal/decide/samples/weigh.go
+++ b/internal/decide/samples/weigh.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Group is the samples of an epoch that one process of a worker made under one version.
+// Group is the samples of an epoch that one process of a worker generated under one version.
 type Group struct {
 	Worker     string `json:"worker"`
 	Boot       string `json:"boot"`
 	Site       string `json:"site,omitempty"`
-	Version    int64  `json:"version"`       // when they began
-	End        int64  `json:"end,omitempty"` // when they ended, where that differs
+	Version    int64  `json:"version"`       // the version when they began
+	End        int64  `json:"end,omitempty"` // the version when they ended, if that differs
 	Aged       bool   `json:"aged,omitempty"`
 	Count      int    `json:"n"`
 	Tokens     int    `json:"tokens"`
-	HoldReason string `json:"held,omitempty"` // why they weigh nothing, but for staleness
+	HoldReason string `json:"held,omitempty"` // why they have weight 0, apart from staleness
 	Keys       Keys   `json:"keys,omitempty"`
-	// WorkerSamples is how much its worker had shown when the epoch was closed, Weight what each sample weighs.
+	// WorkerSamples is the worker's sample count when the epoch was closed, Weight the weight of each sample.
 	WorkerSamples float64 `json:"seen,omitempty"`
 	Weight        float64 `json:"weight"`
 }
@@ -32,28 +32,30 @@
 	return math.Abs(float64(g.End - g.Version))
 }
 
-// Weighting is what came of weighing a batch.
+// Weighting is the result of weighing a batch.
 type Weighting struct {
-	Weighed int `json:"weighed"` // samples that weigh anything; their mean weight is 1
-	// EffectiveSize is the effective sample size, of Kish (1965): the square of the sum over the sum of squares.
+	Weighed int `json:"weighed"` // samples with a weight above 0; their mean weight is 1
+	// EffectiveSize is the effective sample size of Kish (1965): the square of the sum of weights over the sum of squares.
 	EffectiveSize float64 `json:"size"`
-	// EqualPart is how much of equal weights was mixed in to keep Size at its floor.
+	// EqualPart is the part of equal weights that was mixed in to keep EffectiveSize at its floor.
 	EqualPart float64 `json:"flat,omitempty"`
-	// CapsRelaxed is how far caps had to be moved towards 1, since no weights keep to them and the floor: 0 not at all, 1 wholly.
+	// CapsRelaxed is how far caps were moved towards 1 because no weights satisfy both them and the floor, from 0 (not at all)
+	// to 1 (no caps).
 	CapsRelaxed float64 `json:"relaxed,omitempty"`
 }
 
-// eligible tells whether a group's samples may weigh anything.
+// eligible reports whether a group's samples may have a weight above 0.
 func (m Model) eligible(g Group, newest int64) bool {
 	return g.Count > 0 && g.HoldReason == "" && !g.Aged && m.freshness(g.lag(newest), g.spread()) > 0
 }
 
-// Weigh gives each group of a batch its weight, in place.
+// Weigh sets the weight of each group of a batch, in place.
 //
-// Before caps it is the freshness times n/(n+Trust) of what was seen. Caps bound the part of the whole that one worker,
-// site or version has. The effective sample size is kept up by mixing with what equal weights under the same caps would
-// be: a mixture of two that keep to caps keeps to them too. Where that is not enough, caps would have a few samples stand for many: they
-// are moved towards 1, at which equal weights have the whole size.
+// Before caps, the weight is the freshness times n/(n+Trust), with n the worker's sample count. Caps bound the part of the
+// total that one worker, site or version has. To keep the effective sample size at its floor, the result is mixed with
+// equal weights under the same caps: a mixture of two weightings that satisfy the caps satisfies them too. If that is not
+// enough, the caps would give most of the weight to a few samples. They are then moved towards 1, where equal weights have
+// the full effective size.
 func (m Model) Weigh(groups []Group, newest int64, broken Fault) (weighting Weighting) {
 	if broken == NoBound {
 		m.StaleMost, m.SpreadMost = math.MaxInt64, math.MaxInt64
@@ -69,7 +71,8 @@
 	if len(indexes) == 0 {
 		return weighting
 	}
-	c := caps{dimensions: [3][]int{memberIndexes(groups, indexes, func(g Group) string { return g.Worker }), memberIndexes(groups, indexes, func(g Group) string { return g.Site }),
+	c := caps{dimensions: [3][]int{memberIndexes(groups, indexes, func(g Group) string { return g.Worker }),
+		memberIndexes(groups, indexes, func(g Group) string { return g.Site }),
 		memberIndexes(groups, indexes, func(g Group) int64 { return g.Version })}, limits: [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}}
 	counts, desired := make([]float64, len(indexes)), make([]float64, len(indexes))
 	for k, i := range indexes {
@@ -77,12 +80,12 @@
 		counts[k] = float64(g.Count)
 		desired[k] = counts[k] * m.freshness(g.lag(newest), g.spread()) * g.WorkerSamples / (g.WorkerSamples + m.Trust)
 	}
-	for d, list := range c.dimensions { // k members can't have less than 1/k each
+	for d, list := range c.dimensions { // with k members, a cap below 1/k can't be satisfied
 		c.limits[d] = max(c.limits[d], 1/float64(slices.Max(list)+1))
 	}
 	var share, equal []float64
-	// The sum of squares is convex along the mixture, so the mixtures that keep the floor are an interval: if equal weights
-	// do, bisection finds its lower end, that is the least of them that does.
+	// The sum of squares is convex along the mixture, so the mixtures that satisfy the floor form an interval. If equal
+	// weights satisfy it, bisection finds the lower end of the interval, which is the smallest sufficient mixture.
 	mixed := func(part float64) (out []float64, size float64) {
 		out = make([]float64, len(share))
 		squares := 0.0
@@ -121,7 +124,7 @@
 
 func second[A, B any](_ A, b B) B { return b }
 
-// memberIndexes numbers groups by what of them is capped together.
+// memberIndexes assigns each group the index of its member in a capped dimension: a worker, a site or a version.
 func memberIndexes[K comparable](groups []Group, indexes []int, of func(Group) K) []int {
 	known, out := map[K]int{}, make([]int, len(indexes))
 	for k, i := range indexes {
@@ -134,16 +137,17 @@
 	return out
 }
 
-// caps are bounds on parts of the whole: family[f][k] is the member of family f that the k-th group belongs to.
+// caps are bounds on parts of the total: dimensions[d][k] is the member of dimension d that the k-th group belongs to.
 type caps struct {
 	dimensions [3][]int
 	limits     [3]float64
 }
 
-// relaxSteps are those by which caps that can't be kept are relaxed.
+// relaxSteps is the number of steps in which caps that can't be satisfied are relaxed.
 const relaxSteps = 32
 
-// relax gives the least step by which caps are moved towards 1 so that all is kept. At 1 there are no caps, so it ends.
+// relax returns the smallest step by which caps are moved towards 1 so that kept holds. At 1 there are no caps, so the search
+// ends there.
 func (c caps) relax(kept func(relaxed float64) bool) float64 {
 	for step := range relaxSteps {
 		if kept(float64(step) / relaxSteps) {
@@ -154,12 +158,13 @@
 	return 1
 }
 
-// level gives the parts of the whole that masses have under caps that are relaxed so far; false: no level was found.
+// level returns the parts of the total for the given masses under caps relaxed by the given amount, or false if no level was
+// found.
 //
-// It is water-filling: at a level S no member of a family has more than its cap times S, and what is above is cut off, its
-// groups in proportion. Cutting never raises another's mass, so all caps hold once each family was cut. If what is left
-// at level S is S or more, its parts of the whole keep to the caps. The highest such level is sought by bisection;
-// whatever is found was tested, so nothing rests on what is left being monotone.
+// It uses water-filling. At a level S, a member of a dimension has at most its cap times S; the excess is cut off from its
+// groups in proportion. Cutting never raises the mass of another member, so all caps hold once each dimension has been cut.
+// If the remaining mass at level S is S or more, its parts of the total satisfy the caps. Bisection searches for the highest
+// such level. Every level that it returns was tested, so the result does not depend on the remaining mass being monotone.
 func (c caps) level(mass []float64, relaxed float64) ([]float64, bool) {
 	sum, remaining := 0.0, make([]float64, len(mass))
 	for _, v := range mass {
@@ -207,7 +212,7 @@
 	return best, true
 }
 
-// clip cuts each member of a family to what it may have.
+// clip cuts each member of a dimension to its limit.
 func (c caps) clip(mass []float64, d int, limit float64) {
 	sums := make([]float64, len(mass))
 	for k, v := range mass {
@@ -220,9 +225,10 @@
 	}
 }
 
-// sortGroups puts groups in an order that is the same whoever counts.
+// sortGroups sorts groups into an order that is the same for all deciders.
 func sortGroups(list []Group) {
 	slices.SortFunc(list, func(a, b Group) int {
-		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Version, b.Version), cmp.Compare(a.End, b.End), cmp.Compare(a.HoldReason, b.HoldReason))
+		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Version, b.Version),
+			cmp.Compare(a.End, b.End), cmp.Compare(a.HoldReason, b.HoldReason))
 	})
 }
--- a/internal/decide/samples/weigh_test.go
+++ b/internal/decide/samples/weigh_test.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-// Whatever the groups: nothing past the bound or held weighs, the mean is 1, caps and the floor are kept or it is said by
-// how much not.
+// For any groups: no group that is held or beyond the staleness bound has weight, the mean weight is 1, and caps and floor
+// are satisfied or the relaxation is recorded.
 func TestWeighInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,7 +33,8 @@
 			VersionCap: rapid.Float64Range(0.1, 1).Draw(t, "version cap"), Floor: rapid.Float64Range(0.05, 1).Draw(t, "floor")}.Filled()
 		groups := drawGroups(t)
 		weighting := m.Weigh(groups, 10, "")
-		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: weighting, Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
+		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: weighting,
+			Bounds: &Bounds{m.StaleMost, m.SpreadMost, [3]float64{m.WorkerCap, m.SiteCap, m.VersionCap}, m.Floor}}
 		for i := range groups {
 			for k := range groups[i].Count {
 				groups[i].Keys = append(groups[i].Keys, uint64(i*1000+k))
@@ -49,7 +50,7 @@
 	})
 }
 
-// Figures worked out by hand.
+// Values computed by hand.
 func TestWeigh(t *testing.T) {
 	weights := func(m Model, groups ...Group) ([]float64, Weighting) {
 		for i := range groups {
@@ -71,10 +72,13 @@
 		groups []Group
 		want   []float64
 	}{
-		{"each half life halves", uncapped, []Group{{Worker: "a", Version: 10, Count: 1}, {Worker: "b", Version: 8, Count: 1}, {Worker: "c", Version: 6, Count: 1}, {Worker: "d", Version: 5, Count: 1}}, []float64{12. / 7, 6. / 7, 3. / 7, 0}},
-		{"what spans versions counts half of them more", uncapped, []Group{{Worker: "a", Version: 9, Count: 1}, {Worker: "b", Version: 10, End: 11, Count: 1}}, []float64{2 / (1 + math.Sqrt2*math.Exp2(-0.25)), 2 - 2/(1+math.Sqrt2*math.Exp2(-0.25))}},
-		{"a cap on a worker", capped, []Group{{Worker: "a", Version: 10, Count: 80}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}}, []float64{50. / 80, 2.5, 2.5}},
-		{"one alone has all", capped, []Group{{Worker: "a", Version: 10, Count: 80}}, []float64{1}},
+		{"weight halves with each half-life", uncapped, []Group{{Worker: "a", Version: 10, Count: 1}, {Worker: "b", Version: 8, Count: 1}, {Worker: "c", Version: 6, Count: 1},
+			{Worker: "d", Version: 5, Count: 1}}, []float64{12. / 7, 6. / 7, 3. / 7, 0}},
+		{"a spanned version counts as half a version", uncapped, []Group{{Worker: "a", Version: 9, Count: 1}, {Worker: "b", Version: 10, End: 11, Count: 1}},
+			[]float64{2 / (1 + math.Sqrt2*math.Exp2(-0.25)), 2 - 2/(1+math.Sqrt2*math.Exp2(-0.25))}},
+		{"cap on a worker", capped, []Group{{Worker: "a", Version: 10, Count: 80}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}},
+			[]float64{50. / 80, 2.5, 2.5}},
+		{"a single worker has all weight", capped, []Group{{Worker: "a", Version: 10, Count: 80}}, []float64{1}},
 	} {
 		got, _ := weights(c.m, c.groups...)
 		for i := range got {
@@ -84,20 +88,20 @@
 			}
 		}
 	}
-	// Caps that would have 20 samples stand for 800 give way to the floor.
+	// Caps that would give 20 samples the weight of 800 are relaxed to satisfy the floor.
 	few, tight := []Group{{Worker: "a", Version: 10, Count: 800}, {Worker: "b", Version: 10, Count: 10}, {Worker: "c", Version: 10, Count: 10}}, capped
 	tight.Floor = 0.5
 	if got, weighting := weights(tight, few...); weighting.EffectiveSize < 410 || weighting.CapsRelaxed == 0 || weighting.CapsRelaxed == 1 || got[1] < 1.5 {
 		t.Errorf("%v, %+v", got, weighting)
 	}
 	_, weighting := weights(floored, Group{Worker: "a", Version: 10, Count: 10}, Group{Worker: "b", Version: 6, Count: 10})
-	// Of two halves with weights 1 ± d the effective part is 1/(1+d²); 0.6 becomes 0.2294 at the floor of 0.95.
+	// For two halves with weights 1 ± d the effective part is 1/(1+d²). With a floor of 0.95, d is reduced from 0.6 to 0.2294.
 	if math.Abs(weighting.EffectiveSize-19) > 1e-6 || math.Abs(weighting.EqualPart-(1-math.Sqrt(1/0.95-1)/0.6)) > 1e-6 {
 		t.Errorf("%+v", weighting)
 	}
 }
 
-// A worker's rate is its kind's while nothing was seen of it, moves to its own with what is seen, and its error falls.
+// A worker's rate is that of its kind without samples, and moves to its own with more samples while its error falls.
 func TestRatesShrink(t *testing.T) {
 	workers := map[string]*WorkerStats{}
 	rng := newRand(7)
@@ -110,25 +114,25 @@
 		workers[fmt.Sprint(i)] = w
 	}
 	few := &WorkerStats{Kind: "k"}
-	few.observe(Sample{Tokens: 8000, TookMs: 10_000, Accepted: true}) // 800 a second, once
+	few.observe(Sample{Tokens: 8000, TookMs: 10_000, Accepted: true}) // one sample of 800 tokens a second
 	workers["few"], workers["none"] = few, &WorkerStats{Kind: "k"}
 	estimateRates(workers)
 	if r := workers["none"].Rate; r < 100 || r > 150 {
-		t.Errorf("of nothing: %g", r)
+		t.Errorf("rate without samples: %g", r)
 	}
 	if workers["few"].Rate > 600 || workers["few"].Rate < 150 {
-		t.Errorf("of one sample of 800: %g", workers["few"].Rate)
+		t.Errorf("rate after one sample of 800: %g", workers["few"].Rate)
 	}
 	if r := workers["1"].Rate / workers["0"].Rate; math.Abs(r-math.Exp(0.3)) > 0.08 {
-		t.Errorf("two that were well seen are %g apart", r)
+		t.Errorf("ratio of the rates of two workers with many samples is %g", r)
 	}
 	if !(workers["0"].RelError < workers["few"].RelError && workers["few"].RelError < workers["none"].RelError) {
 		t.Errorf("errors %g, %g, %g", workers["0"].RelError, workers["few"].RelError, workers["none"].RelError)
 	}
 }
 
-// One whose answers are far shorter is held and named, one that is slow is not; it is let go when it is near the others
-// again, and not before its time.
+// A worker whose answers are far shorter is held with a reason; a slow one is not. A hold ends once the worker is near the
+// others again, but not before the minimum duration.
 func TestOutliers(t *testing.T) {
 	m := Model{}.Filled()
 	rng := newRand(3)
@@ -159,11 +163,11 @@
 	*workers["short"] = WorkerStats{Kind: "k", HoldReason: workers["short"].HoldReason, HeldMs: m.HoldMs - 1}
 	fill("short", 500, 100)
 	if m.holdOutliers(workers); workers["short"].HoldReason == "" {
-		t.Error("let go before its time")
+		t.Error("hold ended before its minimum duration")
 	}
 	workers["short"].HeldMs++
 	if m.holdOutliers(workers); workers["short"].HoldReason != "" {
-		t.Error("held for ever")
+		t.Error("hold did not end")
 	}
 }
 
@@ -185,7 +189,7 @@
 	}
 }
 
-// 100 routers bring 20 samples each of 200 workers, a batch is closed with it.
+// 100 routers report 20 samples each of 200 workers, and a batch is closed.
 func BenchmarkNext(b *testing.B) {
 	f := newFleet(1, 100, 200)
 	f.model = Model{Batch: 1024, LateEpochs: 6, Ahead: 4}
@@ -200,7 +204,7 @@
 	defer func() { b.ReportMetric(float64(size), "B/state") }()
 	for b.Loop() {
 		if d := (&Decider{Me: "r0"}); d.Next(v, time.Second) == nil {
-			b.Fatal("nothing new")
+			b.Fatal("no new state")
 		}
 	}
 }
--- a/internal/decide/turn/judged.go
+++ b/internal/decide/turn/judged.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// VerdictCounts counts decisions by what was seen after them. One is open until it is known to have been right or wrong; one whose
-// question fell away (a server was lost, a list forgot it) is void. It stands in states, so it is as small as it can be, and a
-// program that does not know it may leave it out: what was open then is not settled, which Settle bears.
+// VerdictCounts counts decisions by what was observed afterwards. A decision is open until it is known to be right or wrong. It is
+// void if the question no longer arises, for example because the server was lost. The counts are part of stored states, so
+// they are kept small. A program that does not know them may drop them; decisions that were open then are never settled,
+// which Settle tolerates.
 type VerdictCounts struct {
 	Open  int64 `json:"open"`
 	Right int64 `json:"right"`
@@ -12,21 +13,21 @@
 	Void  int64 `json:"void,omitempty"`
 }
 
-// Verdict is what a decision turned out to be.
+// Verdict is the result of a decision in hindsight.
 type Verdict string
 
-// The verdicts. The empty one is none yet.
+// Verdicts. The empty one means that there is none yet.
 const (
 	Right Verdict = "right"
 	Wrong Verdict = "wrong"
 	Void  Verdict = "void"
 )
 
-// Begin counts a decision that is open.
+// Begin counts a new open decision.
 func (c *VerdictCounts) Begin() { c.Open++ }
 
-// Settle counts what an open decision turned out to be; without a verdict it stays open. What was opened under a count that is
-// lost is not settled.
+// Settle counts the verdict on an open decision. Without a verdict the decision stays open. It does nothing if no decision is
+// open, since the count under which the decision was opened may have been lost.
 func (c *VerdictCounts) Settle(v Verdict) {
 	if c.Open == 0 {
 		return
@@ -44,18 +45,19 @@
 	c.Open--
 }
 
-// Settled is how many decisions were settled.
+// Settled returns the number of settled decisions.
 func (c VerdictCounts) Settled() int64 { return c.Right + c.Wrong + c.Void }
 
-// CheckAgainst tells what is wrong with a count after an earlier one; "": nothing. What was settled stays so, and none is below 0.
+// CheckAgainst reports what is inconsistent with an earlier count, or "" if nothing is. Settled decisions stay settled, and no
+// count is negative.
 func (c VerdictCounts) CheckAgainst(earlier VerdictCounts) string {
 	switch {
 	case c.Open < 0:
-		return fmt.Sprintf("%d decisions are open", c.Open)
+		return fmt.Sprintf("number of open decisions is %d", c.Open)
 	case c.Right < earlier.Right || c.Wrong < earlier.Wrong || c.Void < earlier.Void:
-		return fmt.Sprintf("%v after %v: what was settled is not any more", c, earlier)
+		return fmt.Sprintf("%v after %v: settled decisions decreased", c, earlier)
 	case c.Open+c.Settled() < earlier.Open+earlier.Settled():
-		return fmt.Sprintf("%v after %v: decisions are gone", c, earlier)
+		return fmt.Sprintf("%v after %v: decisions are missing", c, earlier)
 	}
 	return ""
 }
--- a/internal/decide/turn/later.go
+++ b/internal/decide/turn/later.go
@@ -2,11 +2,11 @@
 
 package turn
 
-// FormatsAhead is how many formats of states this build is ahead of the tree's.
+// FormatsAhead is by how many state formats this build is ahead of the current one.
 const FormatsAhead = 0
 
-// NextFormat is what states of the next format have beside: nothing in this build.
+// NextFormat holds the additional fields of the next state format. This build has none.
 type NextFormat struct{}
 
-// CountWrite notes that a decider made the state.
+// CountWrite records that a decider made the state.
 func (*NextFormat) CountWrite() {}
--- a/internal/decide/turn/turn.go
+++ b/internal/decide/turn/turn.go
@@ -1,6 +1,6 @@
-// Package turn holds what deciders on a control loop share: how long something has stood by a router's own clock, which
-// reports are still believed, and whose turn it is to write. It does no I/O and knows no clock: the time is an
-// argument, monotonic and of any origin.
+// Package turn contains what the deciders of control loops share: the age of record revisions by a router's own clock, the
+// order in which routers write, and counts of decisions judged in hindsight. It does no I/O and reads no clock: the time is
+// an argument, monotonic and of any origin.
 package turn
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RevisionAges remembers when revisions of records were first seen. No clock of another process is asked: what it gives is
-// never longer than the truth, so a decider that takes over from another may wait longer, never shorter.
+// RevisionAges remembers when revisions of records were first seen. It uses the clock of this process only, so an age is
+// never longer than the true one: a decider that takes over from another may wait longer, never shorter.
 type RevisionAges struct{ seen map[string]observation }
 
 type observation struct {
@@ -18,7 +18,7 @@
 	at  time.Duration
 }
 
-// Age tells for how long a record has been at a revision, as far as was seen.
+// Age returns how long a record has been at a revision, as far as this process has seen.
 func (a *RevisionAges) Age(key string, rev int64, now time.Duration) time.Duration {
 	if a.seen == nil {
 		a.seen = map[string]observation{}
@@ -31,7 +31,7 @@
 	return now - first.at
 }
 
-// Retain forgets all records but those that are named by a test.
+// Retain drops all records for which keep returns false.
 func (a *RevisionAges) Retain(keep func(key string) bool) {
 	for key := range a.seen {
 		if !keep(key) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Rank is a router's turn among others, by rendezvous hashing under a loop's salt: 0 is the first.
+// Rank returns a router's position among others, by rendezvous hashing with the loop's salt. 0 is the first.
 func Rank(salt, self string, others []string) (rank int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(salt + "\x00" + name) }
 	for _, name := range others {
@@ -51,17 +51,17 @@
 	return rank
 }
 
-// WriteDelay tells whether it is a router's turn to write what has been due for a while: each next router waits a step longer
-// than the one before it.
+// WriteDelay decides whether it is a router's turn to perform a pending write. Each router waits one step longer than the
+// router ranked before it.
 type WriteDelay struct {
 	pending bool
 	since   time.Duration
 }
 
-// Clear says that nothing is due.
+// Clear records that no write is pending.
 func (d *WriteDelay) Clear() { d.pending = false }
 
-// Elapsed says that something is due, and tells whether the router of a rank writes it.
+// Elapsed records that a write is pending and reports whether the delay of the router with the given rank has passed.
 func (d *WriteDelay) Elapsed(rank int, step, now time.Duration) bool {
 	if !d.pending {
 		d.pending, d.since = true, now
