--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -16,58 +16,59 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// lease is how long a registration outlives its router's last sign of life; patience how long a router that runs waits until a
-// write is given up; believed for how long the decider believes a report.
-const lease, patience, believed = 3 * time.Second, time.Second, 8 * time.Second
+// lease is how long a registration outlives its router's last heartbeat, writeTimeout how long a running router waits for a
+// write, reportValidity how long the decider uses a report.
+const lease, writeTimeout, reportValidity = 3 * time.Second, time.Second, 8 * time.Second
 
 type router struct {
 	name, region string
 	boot         int
-	token        int64 // of its registration, 0: it has none
-	halted       time.Duration
+	token        int64 // of its registration; 0 if it has none
+	stoppedAt    time.Duration
 	stopped      bool
-	made         []time.Duration // when its process made its reports
+	reportedAt   []time.Duration // times at which its process made its reports
 	sender       Sender
 	gatherer     *Gatherer[outage.Report]
-	pending      *Record[outage.Report] // decided, not yet written
+	pending      *Record[outage.Report] // decided but not yet written
 	read, fence  int64
-	waited       time.Duration // since it was decided, while the router ran
+	waited       time.Duration // running time since the decision
 }
 
-// life is a fleet of two regions, one server that is always well, a store of two records and one decider.
-type life struct {
-	now, looked time.Duration
-	terms       Terms
-	broken      Fault
-	routers     []*router
-	store       map[string]*Record[outage.Report]
-	written     map[string]time.Duration
-	first       map[int64]time.Duration // when the decider saw a revision first
-	rev         int64
-	decider     outage.Decider
-	state       *outage.State
-	stood       turn.Stood
+// simulation is a fleet of two regions with one server that is always healthy, a store of two records and one decider.
+type simulation struct {
+	now, lastLook time.Duration
+	terms         Settings
+	broken        Fault
+	routers       []*router
+	store         map[string]*Record[outage.Report]
+	written       map[string]time.Duration
+	firstSeen     map[int64]time.Duration // when the decider first saw a revision
+	rev           int64
+	decider       outage.Decider
+	state         *outage.State
+	ages          turn.RevisionAges
 }
 
-func newLife(broken Fault) *life {
-	l := &life{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{}, first: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
+func newSimulation(broken Fault) *simulation {
+	sim := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{},
+		firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
 	for _, name := range []string{"a0", "a1", "a2", "a3", "b0", "b1"} {
 		r := &router{name: name, region: name[:1]}
-		l.routers = append(l.routers, r)
-		l.start(r)
+		sim.routers = append(sim.routers, r)
+		sim.start(r)
 	}
-	return l
+	return sim
 }
 
-func (l *life) start(r *router) {
-	l.rev++
-	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: l.rev, sender: Sender{Region: r.region}}
-	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: l.broken}
+func (sim *simulation) start(r *router) {
+	sim.rev++
+	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: sim.rev, sender: Sender{Region: r.region}}
+	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: sim.broken}
 }
 
-func (l *life) live(region string) map[string]string {
+func (sim *simulation) live(region string) map[string]string {
 	out := map[string]string{}
-	for _, r := range l.routers {
+	for _, r := range sim.routers {
 		if r.token != 0 && (region == "" || r.region == region) {
 			out[r.name] = fmt.Sprint(r.boot)
 		}
@@ -75,8 +76,8 @@
 	return out
 }
 
-func (l *life) by(name string) *router {
-	for _, r := range l.routers {
+func (sim *simulation) find(name string) *router {
+	for _, r := range sim.routers {
 		if r.name == name {
 			return r
 		}
@@ -84,30 +85,31 @@
 	return nil
 }
 
-func (l *life) pass(d time.Duration) {
-	l.now += d
-	for _, r := range l.routers {
+func (sim *simulation) advance(d time.Duration) {
+	sim.now += d
+	for _, r := range sim.routers {
 		if !r.stopped {
 			r.waited += d
-		} else if l.now-r.halted >= lease {
+		} else if sim.now-r.stoppedAt >= lease {
 			r.token = 0
 		}
 	}
 }
 
-// report has a router make one and send it.
-func (l *life) report(r *router) {
+// report has a router make a report and send it.
+func (sim *simulation) report(r *router) {
 	if r.stopped || r.token == 0 {
 		return
 	}
-	live := l.live(r.region)
-	to := l.by(r.sender.To(Order(r.region, keys(live)), l.terms, l.now))
-	r.made = append(r.made, l.now)
+	live := sim.live(r.region)
+	to := sim.find(r.sender.Target(Order(r.region, keys(live)), sim.terms, sim.now))
+	r.reportedAt = append(r.reportedAt, sim.now)
 	if to == nil || to.stopped {
 		return
 	}
-	to.gatherer.Take(r.name, Line[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.made)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, l.now)
-	r.sender.Answered(to.name, to.gatherer.Holder(l.store[r.region], live, l.terms, l.now), l.now)
+	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)),
+		Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, sim.now)
+	r.sender.Answered(to.name, to.gatherer.Holder(sim.store[r.region], live, sim.terms, sim.now), sim.now)
 }
 
 func keys(m map[string]string) (out []string) {
@@ -117,27 +119,27 @@
 	return out
 }
 
-// decide has a router read and decide; write has it write, if nothing stands against that.
-func (l *life) decide(r *router) {
-	if !r.stopped && r.pending == nil && r.gatherer.Watches(l.store[r.region], l.live(r.region), l.terms, l.now) {
-		if last := l.store[r.region]; last != nil {
+// decide has a router read and decide. write has it write unless the write is fenced, outdated or too late.
+func (sim *simulation) decide(r *router) {
+	if !r.stopped && r.pending == nil && r.gatherer.Watches(sim.store[r.region], sim.live(r.region), sim.terms, sim.now) {
+		if last := sim.store[r.region]; last != nil {
 			r.read = last.Rev
 		}
-		r.waited, r.fence, r.pending = 0, r.token, r.gatherer.Next(l.store[r.region], l.live(r.region), l.terms, l.now)
+		r.waited, r.fence, r.pending = 0, r.token, r.gatherer.Next(sim.store[r.region], sim.live(r.region), sim.terms, sim.now)
 	}
 }
 
-func (l *life) write(r *router) error {
+func (sim *simulation) write(r *router) error {
 	next := r.pending
 	if r.stopped || next == nil {
 		return nil
 	}
 	r.pending = nil
-	last := l.store[r.region]
-	if r.waited > patience || l.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
+	last := sim.store[r.region]
+	if r.waited > writeTimeout || sim.broken != NoFence && (r.token == 0 || r.token != r.fence || last != nil && last.Rev != r.read) {
 		return nil
 	}
-	if l.rev++; l.rev%8 == 0 { // as the store would have it
+	if sim.rev++; sim.rev%8 == 0 { // encode and decode some records, as the store would
 		data, err := Pack(next, MaxPacked)
 		if err != nil {
 			return err
@@ -146,195 +148,196 @@
 			return err
 		}
 	}
-	next.Rev = l.rev
-	l.store[r.region], l.written[r.region] = next, l.now
+	next.Rev = sim.rev
+	sim.store[r.region], sim.written[r.region] = next, sim.now
 	if last != nil {
-		for name, was := range last.Lines {
-			if is := next.Lines[name]; is.Boot == was.Boot && is.Number < was.Number {
-				return fmt.Errorf("%s: report %d stands in the place of %d", name, is.Number, was.Number)
+		for name, was := range last.Entries {
+			if current := next.Entries[name]; current.Boot == was.Boot && current.Number < was.Number {
+				return fmt.Errorf("%s: report %d replaced the newer report %d", name, current.Number, was.Number)
 			}
 		}
 	}
 	return nil
 }
 
-// look has the decider decide, and checks what it believes.
-func (l *life) look() (fresh map[string]bool, err error) {
+// decideAndCheck has the decider decide, and checks the ages of the reports that it uses.
+func (sim *simulation) decideAndCheck() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
-	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(believed) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registered{}}
-	for _, r := range l.store {
+	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)},
+		Last: sim.state, Routers: map[string]outage.Registered{}}
+	for _, r := range sim.store {
 		records = append(records, r)
-		if l.first[r.Rev] == 0 {
-			l.first[r.Rev] = l.now
+		if sim.firstSeen[r.Rev] == 0 {
+			sim.firstSeen[r.Rev] = sim.now
 		}
 	}
-	boots := l.live("")
+	boots := sim.live("")
 	for name, boot := range boots {
 		v.Routers[name] = outage.Registered{Boot: boot, Live: true}
 	}
-	v.Reports, fresh = Reports(records, boots, l.broken), map[string]bool{}
-	for _, one := range v.Reports {
-		r := l.by(one.Router)
-		line := l.store[r.region].Lines[one.Router]
-		if line.Boot != fmt.Sprint(r.boot) || time.Duration(one.AgeMs*float64(time.Millisecond))+l.stood.For(one.Router, one.Rev, l.now) > believed {
+	v.Reports, fresh = Reports(records, boots, sim.broken), map[string]bool{}
+	for _, report := range v.Reports {
+		r := sim.find(report.Router)
+		entry := sim.store[r.region].Entries[report.Router]
+		if entry.Boot != fmt.Sprint(r.boot) || time.Duration(report.AgeMs*float64(time.Millisecond))+sim.ages.Age(report.Router, report.Rev, sim.now) > reportValidity {
 			continue
 		}
-		fresh[one.Router] = true
-		unseen := l.first[one.Rev] - l.written[r.region] // the record had stood so long when this decider saw it first
-		if age := l.now - r.made[line.Number-1] - unseen; age > believed+lease+patience {
-			return nil, fmt.Errorf("%s: a report is believed that is %v old", one.Router, age)
+		fresh[report.Router] = true
+		ageWhenSeen := sim.firstSeen[report.Rev] - sim.written[r.region] // age of the record when this decider first saw it
+		if age := sim.now - r.reportedAt[entry.Number-1] - ageWhenSeen; age > reportValidity+lease+writeTimeout {
+			return nil, fmt.Errorf("%s: the decider uses a report that is %v old", report.Router, age)
 		}
 	}
-	if next := l.decider.Next(v, l.now); next != nil {
-		l.rev++
-		next.Rev, l.state = l.rev, next
+	if next := sim.decider.Next(v, sim.now); next != nil {
+		sim.rev++
+		next.Rev, sim.state = sim.rev, next
 	}
-	if l.state != nil && len(l.state.Lost) > 0 {
-		for thing := range l.state.Lost {
-			if kind, _ := outage.Split(thing); kind == outage.Server {
-				return nil, fmt.Errorf("%s is well and held to be lost", thing)
+	if sim.state != nil && len(sim.state.Lost) > 0 {
+		for member := range sim.state.Lost {
+			if kind, _ := outage.Split(member); kind == outage.Server {
+				return nil, fmt.Errorf("%s is healthy but declared lost", member)
 			}
 		}
 	}
 	return fresh, nil
 }
 
-// walk takes one act.
-func (l *life) walk(draw func(n int) int) error {
-	r := l.routers[draw(len(l.routers))]
+// randomStep takes one random step.
+func (sim *simulation) randomStep(draw func(n int) int) error {
+	r := sim.routers[draw(len(sim.routers))]
 	switch draw(16) {
 	case 0, 1, 2, 3:
-		l.report(r)
+		sim.report(r)
 	case 4, 5, 6:
-		l.decide(r)
+		sim.decide(r)
 	case 7, 8, 9:
-		return l.write(r)
+		return sim.write(r)
 	case 10, 11, 12:
-		l.pass(time.Duration(50+draw(1500)) * time.Millisecond)
-		_, err := l.look()
+		sim.advance(time.Duration(50+draw(1500)) * time.Millisecond)
+		_, err := sim.decideAndCheck()
 		return err
 	case 13:
 		if !r.stopped {
-			r.stopped, r.halted = true, l.now
+			r.stopped, r.stoppedAt = true, sim.now
 		}
 	case 14:
-		return l.goOn(r)
+		return sim.resume(r)
 	case 15:
 		if draw(4) == 0 {
-			l.start(r)
+			sim.start(r)
 		}
 	}
 	return nil
 }
 
-// goOn has a stopped router go on where it was: a write that was on its way goes first, then it registers again.
-func (l *life) goOn(r *router) (err error) {
+// resume has a stopped router continue where it was: a pending write is sent first, then it registers again.
+func (sim *simulation) resume(r *router) (err error) {
 	if r.stopped {
 		r.stopped = false
-		err = l.write(r)
+		err = sim.write(r)
 	}
 	if r.token == 0 {
-		l.rev++
-		r.token = l.rev
+		sim.rev++
+		r.token = sim.rev
 	}
 	return err
 }
 
-// calm has all routers run again: within a takeover and some periods everybody is believed.
-func (l *life) calm() error {
-	for _, r := range l.routers {
-		if err := l.goOn(r); err != nil {
+// converge resumes all routers. Within a takeover and some periods the reports of all routers must be in use.
+func (sim *simulation) converge() error {
+	for _, r := range sim.routers {
+		if err := sim.resume(r); err != nil {
 			return err
 		}
 	}
 	var fresh map[string]bool
 	for range 20 {
-		l.pass(500 * time.Millisecond)
-		for _, r := range l.routers {
-			l.report(r)
-			l.decide(r)
-			if err := l.write(r); err != nil {
+		sim.advance(500 * time.Millisecond)
+		for _, r := range sim.routers {
+			sim.report(r)
+			sim.decide(r)
+			if err := sim.write(r); err != nil {
 				return err
 			}
 		}
 		var err error
-		if fresh, err = l.look(); err != nil {
+		if fresh, err = sim.decideAndCheck(); err != nil {
 			return err
 		}
 	}
-	if len(fresh) != len(l.routers) {
-		return fmt.Errorf("10 s after all are well %v are believed of %d", fresh, len(l.routers))
+	if len(fresh) != len(sim.routers) {
+		return fmt.Errorf("10 s after all routers resumed, the reports of %v of %d routers are in use", fresh, len(sim.routers))
 	}
 	return nil
 }
 
-func (l *life) run(acts int, draw func(n int) int) error {
-	for range acts {
-		if err := l.walk(draw); err != nil {
+func (sim *simulation) run(steps int, draw func(n int) int) error {
+	for range steps {
+		if err := sim.randomStep(draw); err != nil {
 			return err
 		}
 	}
-	return l.calm()
+	return sim.converge()
 }
 
 func TestGathering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newLife("").run(60, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }); err != nil {
+		if err := newSimulation("").run(60, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The same lives by seeds: none breaks a rule, and with each fault some do.
-func TestFaultsAreFound(t *testing.T) {
-	lives, long := uint64(8), os.Getenv("LAB_LONG") != ""
+// The same simulation by seeds: it never fails without a fault, and with each fault some seeds fail.
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	runs, long := uint64(8), os.Getenv("LAB_LONG") != ""
 	if long {
-		lives = 300
+		runs = 300
 	}
-	for _, broken := range []Fault{"", NoFence, NoAges, Silence, Trusts} {
-		found, says := 0, ""
-		for seed := uint64(0); seed < lives && (long || found == 0); seed++ {
+	for _, broken := range []Fault{"", NoFence, NoAges, AgedSilence, TrustsLast} {
+		found, example := 0, ""
+		for seed := uint64(0); seed < runs && (long || found == 0); seed++ {
 			rng := rand.New(rand.NewPCG(seed, 31))
-			if err := newLife(broken).run(400, rng.IntN); err != nil {
-				found, says = found+1, fmt.Sprintf("seed %d: %v", seed, err)
+			if err := newSimulation(broken).run(400, rng.IntN); err != nil {
+				found, example = found+1, fmt.Sprintf("seed %d: %v", seed, err)
 			}
 		}
-		t.Logf("%q: found in %d of %d lives; %s", broken, found, lives, says)
+		t.Logf("%q: detected in %d of %d runs; %s", broken, found, runs, example)
 		if (found > 0) != (broken != "") {
-			t.Errorf("%q: found in %d of %d lives; %s", broken, found, lives, says)
+			t.Errorf("%q: detected in %d of %d runs; %s", broken, found, runs, example)
 		}
 	}
 }
 
-// Of routers that are gone the last that were heard are kept, and those that are registered.
+// Of unregistered routers the entries received last are kept, and all entries of registered routers.
 func TestTrim(t *testing.T) {
 	g := Gatherer[int]{Me: "a", Boot: "1", Region: "x"}
 	for i, name := range []string{"b", "c", "a"} {
-		g.Take(name, Line[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
+		g.Receive(name, Entry[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
 	}
-	g.Take("c", Line[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // the same again
-	next := g.Next(nil, map[string]string{"a": "1"}, Terms{Lines: 1}, 10*time.Second)
-	if next == nil || len(next.Lines) != 2 || next.Lines["c"].AgeMs != 9000 || next.Lines["a"].AgeMs != 8000 {
+	g.Receive("c", Entry[int]{Boot: "1", Number: 1, Report: 7}, 9*time.Second) // a repeated report number
+	next := g.Next(nil, map[string]string{"a": "1"}, Settings{MaxGone: 1}, 10*time.Second)
+	if next == nil || len(next.Entries) != 2 || next.Entries["c"].AgeMs != 9000 || next.Entries["a"].AgeMs != 8000 {
 		t.Errorf("%+v", next)
 	}
 }
 
-// What is packed comes out as it went in, whatever routers see differently.
+// Packing is lossless, whatever routers observe differently.
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Lines: map[string]Line[outage.Report]{}}
+	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Entries: map[string]Entry[outage.Report]{}}
 	for i := range 9 {
-		one := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
+		report := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
 		for k := range 40 {
 			s := outage.Sight{Site: "x", Weight: 1, Label: "v1", Asked: true}
 			if rng.IntN(6) == 0 {
 				s.SilentMs = float64(rng.IntN(1000))
 			}
 			if rng.IntN(6) > 0 {
-				one.Sees[fmt.Sprint("s", k)] = s
+				report.Sees[fmt.Sprint("s", k)] = s
 			}
 		}
-		r.Lines[one.Router] = Line[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: one}
+		r.Entries[report.Router] = Entry[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: report}
 	}
 	data, err := Pack(r, MaxPacked)
 	if err != nil {
@@ -344,40 +347,40 @@
 	if err != nil || len(short) > len(data)*4/5 {
 		t.Fatalf("%d bytes of %d: %v", len(short), len(data), err)
 	}
-	cut, err := Unpack("a", short)
-	if err != nil || len(cut.Lines) != len(r.Lines) {
-		t.Fatalf("%+v: %v", cut, err)
+	reduced, err := Unpack("a", short)
+	if err != nil || len(reduced.Entries) != len(r.Entries) {
+		t.Fatalf("%+v: %v", reduced, err)
 	}
 	dropped := 0
-	for name, l := range cut.Lines {
-		if l.Report.Seen != r.Lines[name].Report.Seen || !l.Late && len(maps.Collect(l.Report.All)) != len(r.Lines[name].Report.Sees) {
-			t.Errorf("%s: %+v", name, l)
+	for name, entry := range reduced.Entries {
+		if entry.Report.Seen != r.Entries[name].Report.Seen || !entry.Late && len(maps.Collect(entry.Report.All)) != len(r.Entries[name].Report.Sees) {
+			t.Errorf("%s: %+v", name, entry)
 		}
-		if l.Late {
+		if entry.Late {
 			dropped++
 		}
 	}
-	if dropped < 2 || dropped == len(r.Lines) {
-		t.Errorf("%d of %d do not say what they see", dropped, len(r.Lines))
+	if dropped < 2 || dropped == len(r.Entries) {
+		t.Errorf("%d of %d routers have their observations dropped", dropped, len(r.Entries))
 	}
-	back, err := Unpack("a", data)
+	decoded, err := Unpack("a", data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, l := range back.Lines {
-		l.Report.Sees = maps.Collect(l.Report.All)
-		l.Report.Table, l.Report.Lacks = nil, nil
-		back.Lines[name] = l
+	for name, entry := range decoded.Entries {
+		entry.Report.Sees = maps.Collect(entry.Report.All)
+		entry.Report.Table, entry.Report.Lacks = nil, nil
+		decoded.Entries[name] = entry
 	}
-	if !reflect.DeepEqual(r, back) {
+	if !reflect.DeepEqual(r, decoded) {
 		a, _ := json.Marshal(r)
-		b, _ := json.Marshal(back)
+		b, _ := json.Marshal(decoded)
 		t.Errorf("%s\n%s", a, b)
 	}
 	if _, err := Unpack("b", data); err == nil {
-		t.Error("a record of another region was read")
+		t.Error("a record of another region was decoded")
 	}
 	if _, err := Unpack("a", data[:len(data)/2]); err == nil {
-		t.Error("half a record was read")
+		t.Error("a truncated record was decoded")
 	}
 }
--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -13,96 +13,97 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// packed is a record on outages as it is written: what most of its routers see of each server stands once, and of each router
-// what it sees differently. Nothing is left out, so decisions on gathered reports are those on the reports themselves.
+// packed is an outage record as it is written: the majority's observation of each server is stored once, and for each router
+// only its differences from that. The encoding is lossless, so decisions on gathered reports equal those on the reports
+// themselves.
 type packed struct {
-	Record[apart]
+	Record[reportDifference]
 	Table map[string]outage.Sight `json:"table"`
 }
 
-type apart struct {
+type reportDifference struct {
 	outage.Report
-	Without []string `json:"without,omitempty"` // servers of the table that the router does not have
+	Without []string `json:"without,omitempty"` // servers of the table that the router does not list
 }
 
-// RecordError says that a region's record can't be read: its routers count as late, and its gatherer writes it anew.
+// RecordError reports a region's record that can't be read. Its routers count as late until its gatherer writes it again.
 type RecordError struct {
 	Region string
 	Err    error
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("the gathered reports of region %q can't be read: %v", e.Region, e.Err)
+	return fmt.Sprintf("gathered record of region %q is unusable: %v", e.Region, e.Err)
 }
 
-// Unwrap serves errors.Is.
+// Unwrap supports errors.Is and errors.As.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice tells an operator what to do.
 func (e *RecordError) Advice() string {
-	return "its gatherer writes it anew within a period; where it does not, look who wrote the record and remove it"
+	return "the region's gatherer writes the record again within a period; if it does not, find out which process wrote the record and remove it"
 }
 
-// MaxPacked is how many bytes a record has at most in the store, MaxRecord what it is unpacked to: ten regions write 1.3 MB a
-// second at most at the default period.
+// MaxPacked is the maximum size of a record in the store in bytes, MaxRecord that of the unpacked record. At the default
+// period, ten regions write at most 1.3 MB a second.
 const (
 	MaxPacked = 256 << 10
 	MaxRecord = 64 << 20
 )
 
-// Pack encodes a record: JSON, deflated. It has at most so many bytes: where it would have more, the routers that differ most from
-// the others are said without what they see, and count as late.
-func Pack(r *Record[outage.Report], most int) ([]byte, error) {
-	p := packed{Record[apart]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Line[apart]{}, 0}, table(r)}
-	for router, l := range r.Lines {
-		one := apart{Report: l.Report}
-		one.Sees = map[string]outage.Sight{}
-		seen := 0
-		for id, s := range l.Report.All {
-			common, is := p.Table[id]
-			if is {
-				seen++
+// Pack encodes a record as deflated JSON of at most limit bytes. To meet the limit, the observations of the routers that differ
+// most from the majority are dropped; these routers then count as late.
+func Pack(r *Record[outage.Report], limit int) ([]byte, error) {
+	p := packed{Record[reportDifference]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Entry[reportDifference]{}, 0}, majorityTable(r)}
+	for router, entry := range r.Entries {
+		difference := reportDifference{Report: entry.Report}
+		difference.Sees = map[string]outage.Sight{}
+		found := 0
+		for id, s := range entry.Report.All {
+			common, ok := p.Table[id]
+			if ok {
+				found++
 			}
-			if !is || common != s {
-				one.Sees[id] = s
+			if !ok || common != s {
+				difference.Sees[id] = s
 			}
 		}
-		if seen < len(p.Table) {
+		if found < len(p.Table) {
 			for id := range p.Table {
-				if _, is := l.Report.Sight(id); !is {
-					one.Without = append(one.Without, id)
+				if _, ok := entry.Report.Sight(id); !ok {
+					difference.Without = append(difference.Without, id)
 				}
 			}
-			slices.Sort(one.Without)
+			slices.Sort(difference.Without)
 		}
-		p.Lines[router] = Line[apart]{l.Boot, l.Number, l.AgeMs, l.Late, one}
+		p.Entries[router] = Entry[reportDifference]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, difference}
 	}
-	odd := slices.SortedFunc(maps.Keys(p.Lines), func(a, b string) int {
-		size := func(name string) int { return len(p.Lines[name].Report.Sees) + len(p.Lines[name].Report.Without) }
+	byDifference := slices.SortedFunc(maps.Keys(p.Entries), func(a, b string) int {
+		size := func(name string) int { return len(p.Entries[name].Report.Sees) + len(p.Entries[name].Report.Without) }
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b))
 	})
 	for {
-		data, err := deflated(p)
+		data, err := deflate(p)
 		if err != nil {
 			return nil, &RecordError{r.Region, err}
 		}
-		if len(data) <= most {
+		if len(data) <= limit {
 			return data, nil
 		}
-		if len(odd) == 0 {
-			return nil, &RecordError{r.Region, fmt.Errorf("%d bytes, %d at most", len(data), most)}
+		if len(byDifference) == 0 {
+			return nil, &RecordError{r.Region, fmt.Errorf("packed record has %d bytes, the limit is %d", len(data), limit)}
 		}
-		n := (len(odd) + 7) / 8
-		for _, router := range odd[:n] {
-			l := p.Lines[router]
-			l.Late, l.Report.Sees, l.Report.Without = true, nil, nil
-			p.Lines[router] = l
+		n := (len(byDifference) + 7) / 8
+		for _, router := range byDifference[:n] {
+			entry := p.Entries[router]
+			entry.Late, entry.Report.Sees, entry.Report.Without = true, nil, nil
+			p.Entries[router] = entry
 		}
-		odd = odd[n:]
+		byDifference = byDifference[n:]
 	}
 }
 
-func deflated(p packed) ([]byte, error) {
+func deflate(p packed) ([]byte, error) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return nil, err
@@ -121,36 +122,36 @@
 	return out.Bytes(), nil
 }
 
-// table is what most see of each server, by the majority vote of Boyer and Moore (1981); where there is no majority it may be
-// anybody's, and the others differ from it.
-func table(r *Record[outage.Report]) map[string]outage.Sight {
+// majorityTable returns the majority's observation of each server, by the majority vote of Boyer and Moore (1981). Without a
+// majority it is the observation of an arbitrary router, and the others are stored as differences.
+func majorityTable(r *Record[outage.Report]) map[string]outage.Sight {
 	type vote struct {
-		s outage.Sight
-		n int
+		value outage.Sight
+		count int
 	}
 	votes := map[string]*vote{}
-	for _, router := range slices.Sorted(maps.Keys(r.Lines)) {
-		for id, s := range r.Lines[router].Report.All {
+	for _, router := range slices.Sorted(maps.Keys(r.Entries)) {
+		for id, s := range r.Entries[router].Report.All {
 			switch v := votes[id]; {
 			case v == nil:
 				votes[id] = &vote{s, 1}
-			case v.s == s:
-				v.n++
-			case v.n == 0:
-				v.s, v.n = s, 1
+			case v.value == s:
+				v.count++
+			case v.count == 0:
+				v.value, v.count = s, 1
 			default:
-				v.n--
+				v.count--
 			}
 		}
 	}
 	out := make(map[string]outage.Sight, len(votes))
 	for id, v := range votes {
-		out[id] = v.s
+		out[id] = v.value
 	}
 	return out
 }
 
-// Unpack reads a record. An error is a *RecordError.
+// Unpack decodes a record. An error is a *RecordError.
 func Unpack(region string, data []byte) (*Record[outage.Report], error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), MaxRecord))
 	if err != nil {
@@ -161,42 +162,43 @@
 		return nil, &RecordError{region, err}
 	}
 	if p.Region != region {
-		return nil, &RecordError{region, fmt.Errorf("it is of region %q", p.Region)}
+		return nil, &RecordError{region, fmt.Errorf("record is of region %q", p.Region)}
 	}
-	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Line[outage.Report], len(p.Lines)), 0}
-	for router, l := range p.Lines {
-		one := l.Report.Report
-		one.Table, one.Lacks = p.Table, l.Report.Without
-		r.Lines[router] = Line[outage.Report]{l.Boot, l.Number, l.AgeMs, l.Late, one}
+	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Entry[outage.Report], len(p.Entries)), 0}
+	for router, entry := range p.Entries {
+		report := entry.Report.Report
+		report.Table, report.Lacks = p.Table, entry.Report.Without
+		r.Entries[router] = Entry[outage.Report]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, report}
 	}
 	return r, nil
 }
 
-// late is the age of what nobody knows the age of.
-const late = 1e12
+// unknownAge is the age, in milliseconds, of a report whose age is not known.
+const unknownAge = 1e12
 
-// Reports are what a decider on outages goes by: of each router one report, with its age. boots are those of the routers that are
-// registered; what another process of a router reported stands only where the one that is registered has not reported.
+// Reports returns one report of each router, with its age, as input for a decider on outages. boots maps the registered routers
+// to their boots: a report of another process of a router is used only if the registered one has not reported.
 func Reports(records []*Record[outage.Report], boots map[string]string, broken Fault) []outage.Report {
 	best := map[string]outage.Report{}
 	for _, r := range records {
-		for router, l := range r.Lines {
-			one := l.Report
-			one.Router, one.Boot, one.Rev, one.AgeMs = router, l.Boot, r.Rev, l.AgeMs
-			if l.Late {
-				one.AgeMs = late
+		for router, entry := range r.Entries {
+			report := entry.Report
+			report.Router, report.Boot, report.Rev, report.AgeMs = router, entry.Boot, r.Rev, entry.AgeMs
+			if entry.Late {
+				report.AgeMs = unknownAge
 			}
-			if broken == Silence {
-				one.Sees, one.Table = maps.Collect(one.All), nil
-				for id, s := range one.Sees {
-					s.SilentMs += l.AgeMs
-					one.Sees[id] = s
+			if broken == AgedSilence {
+				report.Sees, report.Table = maps.Collect(report.All), nil
+				for id, s := range report.Sees {
+					s.SilentMs += entry.AgeMs
+					report.Sees[id] = s
 				}
 			}
-			if was, is := best[router]; is && (was.Boot == boots[router] && one.Boot != was.Boot || was.Boot == one.Boot && was.AgeMs <= one.AgeMs) {
+			if current, ok := best[router]; ok && (current.Boot == boots[router] && report.Boot != current.Boot ||
+				current.Boot == report.Boot && current.AgeMs <= report.AgeMs) {
 				continue
 			}
-			best[router] = one
+			best[router] = report
 		}
 	}
 	out := make([]outage.Report, 0, len(best))
--- a/internal/decide/sites/decide.go
+++ b/internal/decide/sites/decide.go
@@ -54,11 +54,11 @@
 	Fault  Fault
 
 	detector  Detector
-	freshness turn.Stood
+	freshness turn.RevisionAges
 	estimates
 	estimatedAt time.Duration
 	settleUntil time.Duration // until then, response times reflect a recent change of a verdict
-	due         turn.Due
+	due         turn.WriteDelay
 	states      map[string]State
 }
 
@@ -114,10 +114,10 @@
 	adjusted.Reserve = d.fitCapacity(m, situation)
 	next.fill(adjusted, last, situation, d.maxAdmissionRise(), d.Fault)
 	if v.Last != nil && !differs(last, next) {
-		d.due.Over()
+		d.due.Clear()
 		return nil
 	}
-	if !d.due.Now(d.rank(fresh), turnStep, now) {
+	if !d.due.Elapsed(d.rank(fresh), turnStep, now) {
 		return nil
 	}
 	return &next
@@ -139,7 +139,7 @@
 // fresh returns the reports that were renewed recently by this router's clock, sorted by router.
 func (d *Decider) fresh(v View, m Model, now time.Duration) (out []Report) {
 	for _, r := range v.Reports {
-		if ms(d.freshness.For(r.Router, r.Rev, now)) <= freshPeriods*m.ReportMs {
+		if ms(d.freshness.Age(r.Router, r.Rev, now)) <= freshPeriods*m.ReportMs {
 			out = append(out, r)
 		}
 	}
--- a/internal/decide/turn/later.go
+++ b/internal/decide/turn/later.go
@@ -2,11 +2,11 @@
 
 package turn
 
-// Ahead is how many formats of states this build is ahead of the tree's.
-const Ahead = 0
+// FormatsAhead is by how many state formats this build is ahead of the current one.
+const FormatsAhead = 0
 
-// Later is what states of the next format have beside: nothing in this build.
-type Later struct{}
+// NextFormat holds the additional fields of the next state format. This build has none.
+type NextFormat struct{}
 
-// Wrote notes that a decider made the state.
-func (*Later) Wrote() {}
+// CountWrite records that a decider made the state.
+func (*NextFormat) CountWrite() {}
