--- a/internal/decide/reuse/audit.go
+++ b/internal/decide/reuse/audit.go
@@ -38,69 +38,69 @@
 	if a.last != nil && s.Orders < a.last.Orders {
 		a.fault(s, "orders go back from %d to %d", a.last.Orders, s.Orders)
 	}
-	taken, of, under, there := map[string]float64{}, map[Key]int{}, 0, map[int64]bool{}
+	tokensByRegion, copiesByPrefix, ordered, present := map[string]float64{}, map[Key]int{}, 0, map[int64]bool{}
 	for _, c := range s.Copies {
-		there[c.ID] = true
-		taken[c.To] += float64(c.Tokens)
-		of[c.Prefix]++
+		present[c.ID] = true
+		tokensByRegion[c.To] += float64(c.Tokens)
+		copiesByPrefix[c.Prefix]++
 		a.copied(s, m, c)
 		if c.Phase == Ordered {
-			under++
+			ordered++
 		}
 	}
 	for id := range a.phases {
-		if !there[id] {
+		if !present[id] {
 			delete(a.phases, id)
 			a.ended[id] = true
 			a.Released++
 		}
 	}
 	for _, r := range m.Regions {
-		if taken[r.Name] > m.Share*r.Memory {
-			a.fault(s, "copies take %.0f tokens of %s, %.0f at most", taken[r.Name], r.Name, m.Share*r.Memory)
+		if tokensByRegion[r.Name] > m.Share*r.Memory {
+			a.fault(s, "copies take %.0f tokens of %s, %.0f at most", tokensByRegion[r.Name], r.Name, m.Share*r.Memory)
 		}
 	}
-	for k, n := range of {
+	for k, n := range copiesByPrefix {
 		if a.MostOfPrefix = max(a.MostOfPrefix, n); n > m.Copies {
 			a.fault(s, "%d copies of %016x, %d at most", n, uint64(k), m.Copies)
 		}
 	}
-	if under > m.Orders {
-		a.fault(s, "%d orders under way, %d at most", under, m.Orders)
+	if ordered > m.Orders {
+		a.fault(s, "%d orders under way, %d at most", ordered, m.Orders)
 	}
 	if len(s.Leaving) > MaxLeaving {
 		a.fault(s, "%d servers leave, %d at most", len(s.Leaving), MaxLeaving)
 	}
-	a.Most, a.MostOrders = max(a.Most, len(s.Copies)), max(a.MostOrders, under)
+	a.Most, a.MostOrders = max(a.Most, len(s.Copies)), max(a.MostOrders, ordered)
 	a.hindsight(s)
 	a.last = s
 }
 
 // copied looks at one copy of a state.
 func (a *Auditor) copied(s *State, m Model, c Copy) {
-	before, known := a.phases[c.ID]
+	previous, known := a.phases[c.ID]
 	switch {
 	case a.ended[c.ID]:
 		a.fault(s, "copy %d stands again", c.ID)
 	case !known && c.Phase != Ordered:
 		a.fault(s, "copy %d is there and was never ordered", c.ID)
-	case known && before == Here && c.Phase != Here:
+	case known && previous == Here && c.Phase != Here:
 		a.fault(s, "copy %d was there and is on its way", c.ID)
 	}
-	_, away := s.Leaving[c.Server]
-	_, leaves := s.Leaving[c.Leaves]
+	_, atDraining := s.Leaving[c.Server]
+	_, forDraining := s.Leaving[c.Leaves]
 	switch {
-	case away && c.Phase == Ordered:
+	case atDraining && c.Phase == Ordered:
 		a.fault(s, "copy %d is on its way to %s, which is let out", c.ID, c.Server)
 	case c.From == c.To && c.Leaves == "":
 		a.fault(s, "copy %d stays in %s, and nobody leaves there", c.ID, c.To)
-	case !known && c.Leaves != "" && !leaves:
+	case !known && c.Leaves != "" && !forDraining:
 		a.fault(s, "copy %d is ordered for the sake of %s, which does not leave", c.ID, c.Leaves)
 	}
 	if !known {
 		a.Ordered++
 	}
-	if c.Phase == Here && before != Here {
+	if c.Phase == Here && previous != Here {
 		a.Here++
 	}
 	a.phases[c.ID] = c.Phase
--- a/internal/decide/reuse/audit_test.go
+++ b/internal/decide/reuse/audit_test.go
@@ -9,14 +9,14 @@
 
 // audited has a fleet see flash crowds, scans, restarts and lost regions drawn from a seed, and its states looked at; spoil may
 // change one before.
-func audited(seed uint64, broken Fault, spoil func(step int, s *State)) *Auditor {
+func audited(seed uint64, broken Fault, corrupt func(step int, s *State)) *Auditor {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(broken)
 	f.m.LeaseMs, f.m.Copies, f.m.Orders = 20_000, 1, 3
 	f.within()
-	a := &Auditor{Model: f.m, Regions: map[string]string{}, Never: func(k Key) bool { return k >= 1<<40 }}
+	auditor := &Auditor{Model: f.m, Regions: map[string]string{}, Never: func(k Key) bool { return k >= 1<<40 }}
 	for _, s := range f.servers {
-		a.Regions[s.ID] = s.Region
+		auditor.Regions[s.ID] = s.Region
 	}
 	for step := range 150 {
 		s := f.second(func() {
@@ -35,13 +35,13 @@
 			}
 		})
 		if s != nil {
-			if spoil != nil {
-				spoil(step, s)
+			if corrupt != nil {
+				corrupt(step, s)
 			}
-			a.Take(s)
+			auditor.Take(s)
 		}
 	}
-	return a
+	return auditor
 }
 
 // What the decider writes keeps the rules, and the auditor sees each that is broken.
@@ -57,31 +57,31 @@
 	if ordered < 30 {
 		t.Errorf("%d copies were ordered over all seeds", ordered)
 	}
-	first := func(change func(s *State, c *Copy)) func(int, *State) {
+	onFirstCopy := func(change func(s *State, c *Copy)) func(int, *State) {
 		return func(_ int, s *State) {
 			if s.Copies = slices.Clone(s.Copies); len(s.Copies) > 0 {
 				change(s, &s.Copies[0])
 			}
 		}
 	}
-	for want, spoil := range map[string]func(int, *State){
+	for want, corrupt := range map[string]func(int, *State){
 		"it follows state":          func(step int, s *State) { s.Seq += int64(step % 2) },
-		"was there and is on its":   first(func(_ *State, c *Copy) { c.Phase = []Phase{Here, Ordered}[int(c.AgeMs/1000)%2] }),
-		"a server of":               first(func(_ *State, c *Copy) { c.Server = map[string]string{"a": "b1", "b": "c1", "c": "a1"}[c.To] }),
-		"left of a lease":           first(func(_ *State, c *Copy) { c.LeftMs = 30_000 }),
-		"never ordered":             first(func(s *State, c *Copy) { s.Orders++; c.ID, c.Phase = s.Orders, Here }),
-		"copies take":               first(func(_ *State, c *Copy) { c.Tokens = 1_000_000 }),
-		"which is not to be copied": first(func(_ *State, c *Copy) { c.Prefix = 1 << 41 }),
+		"was there and is on its":   onFirstCopy(func(_ *State, c *Copy) { c.Phase = []Phase{Here, Ordered}[int(c.AgeMs/1000)%2] }),
+		"a server of":               onFirstCopy(func(_ *State, c *Copy) { c.Server = map[string]string{"a": "b1", "b": "c1", "c": "a1"}[c.To] }),
+		"left of a lease":           onFirstCopy(func(_ *State, c *Copy) { c.LeftMs = 30_000 }),
+		"never ordered":             onFirstCopy(func(s *State, c *Copy) { s.Orders++; c.ID, c.Phase = s.Orders, Here }),
+		"copies take":               onFirstCopy(func(_ *State, c *Copy) { c.Tokens = 1_000_000 }),
+		"which is not to be copied": onFirstCopy(func(_ *State, c *Copy) { c.Prefix = 1 << 41 }),
 		"version":                   func(step int, s *State) { s.Version = int64(step % 2) },
 		"orders go back":            func(step int, s *State) { s.Orders = int64(1000 - step) },
-		"at most": first(func(s *State, c *Copy) {
+		"at most": onFirstCopy(func(s *State, c *Copy) {
 			for range 3 {
 				s.Orders++
 				s.Copies = append(s.Copies, Copy{ID: s.Orders, Prefix: c.Prefix, Tokens: 1, To: "a", Phase: Ordered})
 			}
 		}),
 	} {
-		if a := audited(1, "", spoil); !strings.Contains(strings.Join(a.Faults, "\n"), want) {
+		if a := audited(1, "", corrupt); !strings.Contains(strings.Join(a.Faults, "\n"), want) {
 			t.Errorf("%q is not found: %v", want, a.Faults[:min(len(a.Faults), 2)])
 		}
 	}
--- a/internal/decide/reuse/curve.go
+++ b/internal/decide/reuse/curve.go
@@ -20,27 +20,27 @@
 // of a bucket is the sum over prefixes of its tokens in the bucket times all its tokens), which on drawn streams errs less
 // than half as much, since heavy prefixes are not used again at once where their region's stream is long.
 func (h *Histogram) Curve() Curve {
-	sum, pull := h.Cold, h.coldPull
+	sum, covariance := h.Cold, h.coldPull
 	for i, v := range h.Buckets {
-		sum, pull = sum+v, pull+h.pull[i]
+		sum, covariance = sum+v, covariance+h.pull[i]
 	}
 	if sum <= 0 {
 		return Curve{}
 	}
-	all, shift := sum, 0.0
-	if h.Seen > 0 && pull > 0 {
-		all, shift = h.Seen, (sum-h.Seen)/pull
+	total, shift := sum, 0.0
+	if h.Seen > 0 && covariance > 0 {
+		total, shift = h.Seen, (sum-h.Seen)/covariance
 	}
-	c := Curve{Tokens: math.Round(all), Miss: make([]uint16, buckets)}
-	kept, beyond := make([]float64, buckets), max(h.Cold-shift*h.coldPull, 0)
+	c := Curve{Tokens: math.Round(total), Miss: make([]uint16, buckets)}
+	adjusted, adjustedTotal := make([]float64, buckets), max(h.Cold-shift*h.coldPull, 0)
 	for i, v := range h.Buckets {
-		kept[i] = max(v-shift*h.pull[i], 0)
-		beyond += kept[i]
+		adjusted[i] = max(v-shift*h.pull[i], 0)
+		adjustedTotal += adjusted[i]
 	}
-	all, left := beyond, beyond
-	for i, v := range kept {
-		left -= v
-		c.Miss[i] = uint16(math.Round(full * min(max(left/all, 0), 1)))
+	total, missed := adjustedTotal, adjustedTotal
+	for i, v := range adjusted {
+		missed -= v
+		c.Miss[i] = uint16(math.Round(full * min(max(missed/total, 0), 1)))
 	}
 	return c
 }
@@ -51,17 +51,17 @@
 	if len(c.Miss) == 0 || memory <= 0 {
 		return 1
 	}
-	at := perOctave * math.Log2(memory/least)
-	i := int(math.Floor(at))
+	position := perOctave * math.Log2(memory/least)
+	i := int(math.Floor(position))
 	switch {
-	case at <= 0:
+	case position <= 0:
 		return 1 + (c.miss(0)-1)*memory/least
 	case i >= len(c.Miss)-1:
 		return c.miss(len(c.Miss) - 1)
 	}
-	low := edge(i)
-	part := (memory - low) / (edge(i+1) - low)
-	return c.miss(i) + part*(c.miss(i+1)-c.miss(i))
+	lower := edge(i)
+	fraction := (memory - lower) / (edge(i+1) - lower)
+	return c.miss(i) + fraction*(c.miss(i+1)-c.miss(i))
 }
 
 func (c Curve) miss(i int) float64 { return float64(c.Miss[i]) / full }
@@ -73,47 +73,47 @@
 	if rate <= 0 {
 		return math.Inf(1)
 	}
-	t, from := 0.0, 0.0
+	seconds, from := 0.0, 0.0
 	for i := 0; from < memory; i++ {
 		to := memory
 		if i < buckets {
 			to = min(edge(i), memory)
 		}
-		part := (c.At(from) + c.At(to)) / 2
-		if part <= 0 {
+		missRatio := (c.At(from) + c.At(to)) / 2
+		if missRatio <= 0 {
 			return math.Inf(1)
 		}
-		t += (to - from) / (rate * part)
+		seconds += (to - from) / (rate * missRatio)
 		from = to
 	}
-	return t
+	return seconds
 }
 
 // Merge is the mean of curves, by what each was made of.
-func Merge(list ...Curve) Curve {
-	var sum [buckets]float64
-	out := Curve{}
-	for _, c := range list {
+func Merge(curves ...Curve) Curve {
+	var weighted [buckets]float64
+	merged := Curve{}
+	for _, c := range curves {
 		if !c.valid() || len(c.Miss) == 0 {
 			continue
 		}
-		out.Tokens += c.Tokens
+		merged.Tokens += c.Tokens
 		for i, v := range c.Miss {
-			sum[i] += c.Tokens * float64(v)
+			weighted[i] += c.Tokens * float64(v)
 		}
 	}
-	if out.Tokens <= 0 {
+	if merged.Tokens <= 0 {
 		return Curve{}
 	}
-	out.Miss = make([]uint16, buckets)
-	for i, v := range sum {
-		out.Miss[i] = uint16(math.Round(v / out.Tokens))
+	merged.Miss = make([]uint16, buckets)
+	for i, v := range weighted {
+		merged.Miss[i] = uint16(math.Round(v / merged.Tokens))
 	}
-	return out
+	return merged
 }
 
 // valid tells whether a curve is one: it falls, and has as many bounds as the histogram, or none.
 func (c Curve) valid() bool {
-	falls := sort.SliceIsSorted(c.Miss, func(i, j int) bool { return c.Miss[i] > c.Miss[j] })
-	return falls && (len(c.Miss) == 0 || len(c.Miss) == buckets) && c.Tokens >= 0 && !math.IsInf(c.Tokens, 0)
+	nonIncreasing := sort.SliceIsSorted(c.Miss, func(i, j int) bool { return c.Miss[i] > c.Miss[j] })
+	return nonIncreasing && (len(c.Miss) == 0 || len(c.Miss) == buckets) && c.Tokens >= 0 && !math.IsInf(c.Tokens, 0)
 }
--- a/internal/decide/reuse/decide.go
+++ b/internal/decide/reuse/decide.go
@@ -83,11 +83,11 @@
 // monotonic clock; only differences are used.
 func (d *Decider) Next(v View, now time.Duration) *State {
 	m := v.Model.Filled()
-	s, past := d.aged(v.Last, now)
+	s, elapsedMs := d.aged(v.Last, now)
 	fresh := d.fresh(v.Reports, m, now)
 	servers := map[string]Server{}
-	for _, one := range v.Servers {
-		servers[one.ID] = one
+	for _, server := range v.Servers {
+		servers[server.ID] = server
 	}
 	v = v.known(s)
 	changed := d.keep(s, m, v, servers, fresh, now)
@@ -98,8 +98,8 @@
 	uses := &d.uses
 	changed = s.again(m, uses) || changed
 	d.learn(m, s, uses)
-	d.fill(m, past)
-	purse := maps.Clone(d.purse)
+	d.fill(m, elapsedMs)
+	budgets := maps.Clone(d.purse)
 	if d.order(s, m, v, uses) {
 		changed = true
 	}
@@ -107,7 +107,7 @@
 		d.due = now
 	}
 	if d.waits = changed; !changed || now < d.due+time.Duration(d.rank(fresh))*later {
-		d.purse = purse
+		d.purse = budgets
 		return nil
 	}
 	s.Seq++
@@ -121,79 +121,79 @@
 }
 
 // rank is this router's turn among those that report: how many come before it (rendezvous hashing).
-func (d *Decider) rank(fresh []Report) (before int) {
+func (d *Decider) rank(fresh []Report) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String("reuse\x00" + name) }
-	among := false
+	listed := false
 	for _, r := range fresh {
-		among = among || r.Router == d.Me
+		listed = listed || r.Router == d.Me
 		if r.Router != d.Me && weight(r.Router) < weight(d.Me) {
-			before++
+			earlier++
 		}
 	}
-	if !among {
+	if !listed {
 		return 0
 	}
-	return before
+	return earlier
 }
 
 // aged is a copy of the last state with what has passed since this decider first read it taken off. A decider that takes over
 // begins to count when it reads: a lease may last longer by that, never shorter.
 func (d *Decider) aged(last *State, now time.Duration) (*State, float64) {
-	past := ms(now - d.stepped)
+	elapsedMs := ms(now - d.stepped)
 	if d.stepped == 0 {
-		past = 0
+		elapsedMs = 0
 	}
 	d.stepped = now
 	if last == nil {
-		return &State{}, past
+		return &State{}, elapsedMs
 	}
-	switch is := func(m mark) bool { return m.seq == last.Seq && m.by == last.By }; {
-	case is(d.base):
-	case is(d.mine):
+	switch matches := func(ref mark) bool { return ref.seq == last.Seq && ref.by == last.By }; {
+	case matches(d.base):
+	case matches(d.mine):
 		d.base = d.mine
 	default:
 		d.base = mark{last.Seq, last.By, now}
 	}
 	s := *last
-	held := ms(now - d.base.at)
+	sinceReadMs := ms(now - d.base.at)
 	s.Copies, s.Rests, s.Notes = slices.Clone(last.Copies), nil, slices.Clone(last.Notes)
 	for i := range s.Copies {
-		s.Copies[i].LeftMs -= held
-		s.Copies[i].AgeMs += held
+		s.Copies[i].LeftMs -= sinceReadMs
+		s.Copies[i].AgeMs += sinceReadMs
 	}
 	for _, r := range last.Rests {
 		if r.Asked {
-			r.SinceMs += held
+			r.SinceMs += sinceReadMs
 		}
-		if r.LeftMs -= held; r.LeftMs > 0 || r.Asked {
+		if r.LeftMs -= sinceReadMs; r.LeftMs > 0 || r.Asked {
 			s.Rests = append(s.Rests, r)
 		}
 	}
-	return &s, past
+	return &s, elapsedMs
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fresh are the reports that were written anew not long ago, and tells which are new since the last step.
-func (d *Decider) fresh(reports []Report, m Model, now time.Duration) (out []Report) {
+func (d *Decider) fresh(reports []Report, m Model, now time.Duration) (fresh []Report) {
 	if d.heard == nil {
 		d.heard = map[string]heard{}
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range reports {
-		there[r.Router] = true
-		h, known := d.heard[r.Router]
-		h.new = !known || h.rev != r.Rev
-		if h.new {
-			h.rev, h.at = r.Rev, now
+		present[r.Router] = true
+		sighting, known := d.heard[r.Router]
+		sighting.new = !known || sighting.rev != r.Rev
+		if sighting.new {
+			sighting.rev, sighting.at = r.Rev, now
 		}
-		d.heard[r.Router] = h
-		if ms(now-h.at) <= freshFor*m.ReportMs {
-			out = append(out, r)
+		d.heard[r.Router] = sighting
+		if ms(now-sighting.at) <= freshFor*m.ReportMs {
+			fresh = append(fresh, r)
 		}
 	}
-	maps.DeleteFunc(d.heard, func(name string, _ heard) bool { return !there[name] })
-	return out
+	maps.DeleteFunc(d.heard, func(name string, _ heard) bool { return !present[name] })
+	return fresh
 }
 
 // keep takes what reports say of copies, and releases those that are not to be believed in. It tells whether that is to be
@@ -203,53 +203,53 @@
 	if d.used == nil {
 		d.used, d.words = map[int64]time.Duration{}, map[int64]Word{}
 	}
-	there := map[int64]bool{}
+	present := map[int64]bool{}
 	for _, c := range s.Copies {
-		there[c.ID] = true
+		present[c.ID] = true
 	}
 	for _, r := range fresh {
 		if !d.heard[r.Router].new {
 			continue
 		}
-		for _, w := range r.Copies {
-			if w.Used > 0 {
-				d.used[w.ID] = now
+		for _, status := range r.Copies {
+			if status.Used > 0 {
+				d.used[status.ID] = now
 			}
-			before := d.words[w.ID]
-			d.words[w.ID] = Word{ID: w.ID, Here: before.Here || w.Here, Gone: before.Gone || w.Gone}
+			previous := d.words[status.ID]
+			d.words[status.ID] = Word{ID: status.ID, Here: previous.Here || status.Here, Gone: previous.Gone || status.Gone}
 		}
 	}
-	maps.DeleteFunc(d.words, func(id int64, _ Word) bool { return !there[id] })
-	maps.DeleteFunc(d.used, func(id int64, _ time.Duration) bool { return !there[id] })
+	maps.DeleteFunc(d.words, func(id int64, _ Word) bool { return !present[id] })
+	maps.DeleteFunc(d.used, func(id int64, _ time.Duration) bool { return !present[id] })
 	kept := s.Copies[:0]
 	for _, c := range s.Copies {
-		w := d.words[c.ID]
-		if w.Here && c.Phase == Ordered {
+		status := d.words[c.ID]
+		if status.Here && c.Phase == Ordered {
 			c.Phase, c.LeftMs, changed = Here, m.LeaseMs, true
 			s.note(c.ID, "here", fmt.Sprintf("after %.0f ms", c.AgeMs))
 		}
-		if at, used := d.used[c.ID]; used && c.Phase == Here {
-			low := c.LeftMs < m.LeaseMs/2
-			left := c.LeftMs
-			c.used(m.LeaseMs, ms(now-at))
+		if usedAt, used := d.used[c.ID]; used && c.Phase == Here {
+			belowHalf := c.LeftMs < m.LeaseMs/2
+			leftBefore := c.LeftMs
+			c.used(m.LeaseMs, ms(now-usedAt))
 			s.found(&c)
-			changed = changed || low && c.LeftMs > left
+			changed = changed || belowHalf && c.LeftMs > leftBefore
 		}
-		why, rest := c.ended(servers, v.Conditions, d.Broken), m.LeaseMs/4
-		if w.Gone {
-			why = "it is reported lost"
-		} else if no := v.revoked(s, c, d.Broken); why == "" && no != "" {
-			why, rest = no, 0
+		reason, cooldownMs := c.ended(servers, v.Conditions, d.Broken), m.LeaseMs/4
+		if status.Gone {
+			reason = "it is reported lost"
+		} else if revocation := v.revoked(s, c, d.Broken); reason == "" && revocation != "" {
+			reason, cooldownMs = revocation, 0
 		}
-		if why == "" {
+		if reason == "" {
 			kept = append(kept, c)
 			continue
 		}
 		changed = true
-		if why == unused {
-			rest = 2 * m.LeaseMs
+		if reason == unused {
+			cooldownMs = 2 * m.LeaseMs
 		}
-		s.release(c, rest, why)
+		s.release(c, cooldownMs, reason)
 	}
 	s.Copies = kept
 	maps.DeleteFunc(d.used, func(id int64, _ time.Duration) bool {
@@ -259,34 +259,34 @@
 }
 
 // release forgets a copy, and has its prefix rest there for a while; 0: not at all.
-func (s *State) release(c Copy, restMs float64, why string) {
-	s.note(c.ID, "release", fmt.Sprintf("%016x at %s: %s", uint64(c.Prefix), c.To, why))
-	asked := s.let(c, restMs, why)
-	if restMs <= 0 {
+func (s *State) release(c Copy, cooldownMs float64, reason string) {
+	s.note(c.ID, "release", fmt.Sprintf("%016x at %s: %s", uint64(c.Prefix), c.To, reason))
+	pending := s.let(c, cooldownMs, reason)
+	if cooldownMs <= 0 {
 		return
 	}
 	if len(s.Rests) == maxRests {
 		s.over(&s.Rests[0], turn.Void)
 		s.Rests = s.Rests[1:]
 	}
-	s.Rests = append(s.Rests, Rest{Prefix: c.Prefix, To: c.To, LeftMs: restMs, Asked: asked})
+	s.Rests = append(s.Rests, Rest{Prefix: c.Prefix, To: c.To, LeftMs: cooldownMs, Asked: pending})
 }
 
-func (s *State) note(id int64, what, why string) {
+func (s *State) note(id int64, kind, reason string) {
 	if len(s.Notes) >= maxNotes {
 		s.Notes = s.Notes[len(s.Notes)-maxNotes+1:]
 	}
-	s.Notes = append(s.Notes, Note{id, what, why})
+	s.Notes = append(s.Notes, Note{id, kind, reason})
 }
 
 // fill gives each link's copies their part of what it can carry.
-func (d *Decider) fill(m Model, past float64) {
+func (d *Decider) fill(m Model, elapsedMs float64) {
 	if d.purse == nil {
 		d.purse = map[[2]string]float64{}
 	}
 	for _, l := range m.Links {
 		rate := m.LinkShare * l.Rate
 		key := [2]string{l.From, l.To}
-		d.purse[key] = min(d.purse[key]+rate*past/1000, rate*burst)
+		d.purse[key] = min(d.purse[key]+rate*elapsedMs/1000, rate*burst)
 	}
 }
--- a/internal/decide/reuse/decide_test.go
+++ b/internal/decide/reuse/decide_test.go
@@ -51,10 +51,10 @@
 }
 
 // second passes a second and steps.
-func (f *fleet) second(use func()) *State {
+func (f *fleet) second(draw func()) *State {
 	f.now += time.Second
 	f.churn()
-	use()
+	draw()
 	var reports []Report
 	for _, r := range f.m.Regions {
 		m := f.meters[r.Name]
@@ -89,10 +89,10 @@
 	return s
 }
 
-func (f *fleet) to(region string, k Key) *Copy {
+func (f *fleet) to(region string, key Key) *Copy {
 	if f.last != nil {
 		for i, c := range f.last.Copies {
-			if c.To == region && c.Prefix == k {
+			if c.To == region && c.Prefix == key {
 				return &f.last.Copies[i]
 			}
 		}
@@ -103,18 +103,18 @@
 const crowd = Key(77)
 
 // flash has an opening come up at all regions but the last, five times a second.
-func (f *fleet) flash(seconds int) (first int) {
+func (f *fleet) flash(seconds int) (copiedAfter int) {
 	for i := range seconds {
 		f.second(func() {
 			for range 5 {
 				f.meters["a"].Use(crowd, 3000, f.now)
 			}
 		})
-		if first == 0 && f.to("b", crowd) != nil {
-			first = i + 1
+		if copiedAfter == 0 && f.to("b", crowd) != nil {
+			copiedAfter = i + 1
 		}
 	}
-	return first
+	return copiedAfter
 }
 
 // A flash crowd is copied within five seconds of its first use, before the other regions have asked for it; a scan triggers
@@ -127,8 +127,8 @@
 	if len(f.copies) > 0 {
 		t.Fatalf("sessions used once are copied: %+v", f.copies[0])
 	}
-	if first := f.flash(10); first == 0 || first > 5 {
-		t.Errorf("copied after %d s", first)
+	if copiedAfter := f.flash(10); copiedAfter == 0 || copiedAfter > 5 {
+		t.Errorf("copied after %d s", copiedAfter)
 	}
 	for _, broken := range []Fault{"", CountsScan} {
 		f := newFleet(broken)
@@ -149,12 +149,12 @@
 // What a copy costs whatever its length keeps short openings where they are, and long ones not; it counts for what is sent only.
 func TestShortOpeningsStay(t *testing.T) {
 	for _, c := range []struct {
-		read, tokens float64
-		own, copied  bool
+		readTokens, tokens float64
+		holdOwn, copied    bool
 	}{{0, 60, false, true}, {200, 60, false, false}, {200, 2000, false, true}, {200, 60, true, true}} {
 		f := newFleet("")
-		f.m = f.m.Costing(c.read)
-		if c.own {
+		f.m = f.m.Costing(c.readTokens)
+		if c.holdOwn {
 			f.m.Own, f.m.Links = true, nil
 		}
 		for range 30 {
@@ -205,9 +205,9 @@
 			cause(f, c)
 			f.flash(1)
 			c = f.to("b", crowd)
-			stays := c != nil && c.ID == id
-			if stays != (name == "boot" && broken != "") {
-				t.Errorf("%s, %q: the copy stays: %v", name, broken, stays)
+			remains := c != nil && c.ID == id
+			if remains != (name == "boot" && broken != "") {
+				t.Errorf("%s, %q: the copy stays: %v", name, broken, remains)
 			}
 		}
 	}
@@ -229,21 +229,21 @@
 		for range 30 {
 			f.second(func() {})
 		}
-		again, id, went := 0, int64(0), time.Duration(0)
+		recopied, id, releasedAt := 0, int64(0), time.Duration(0)
 		for range 60 {
 			f.flash(1)
 			switch c := f.to("b", crowd); {
 			case c == nil && id > 0:
-				id, went = 0, f.now
+				id, releasedAt = 0, f.now
 			case c != nil && c.ID != id:
-				if id > 0 || (went > 0 && f.now-went < 8*time.Second) {
-					again++
+				if id > 0 || (releasedAt > 0 && f.now-releasedAt < 8*time.Second) {
+					recopied++
 				}
 				id = c.ID
 			}
 		}
-		if (again > 0) != (broken == NoHysteresis) {
-			t.Errorf("%q: %d of %d copies come again within a lease", broken, again, len(f.copies))
+		if (recopied > 0) != (broken == NoHysteresis) {
+			t.Errorf("%q: %d of %d copies come again within a lease", broken, recopied, len(f.copies))
 		}
 	}
 	f := newFleet("")
@@ -254,29 +254,29 @@
 				f.meters["a"].Use(Key(500+i), 3000, f.now)
 			}
 		})
-		sent, taken, prefixes := map[string]float64{}, map[string]float64{}, map[Key]int{}
+		sent, tokens, prefixes := map[string]float64{}, map[string]float64{}, map[Key]int{}
 		for _, c := range f.copies {
 			sent[c.From+c.To] += float64(c.Tokens)
 		}
-		under := 0
+		ordered := 0
 		for _, c := range f.last.copies() {
-			taken[c.To] += float64(c.Tokens)
+			tokens[c.To] += float64(c.Tokens)
 			if prefixes[c.Prefix]++; prefixes[c.Prefix] > 1 {
 				t.Errorf("%d copies of %x", prefixes[c.Prefix], uint64(c.Prefix))
 			}
 			if c.Phase == Ordered {
-				under++
+				ordered++
 			}
 		}
-		if under > 3 {
-			t.Errorf("%d orders under way", under)
+		if ordered > 3 {
+			t.Errorf("%d orders under way", ordered)
 		}
 		for link, v := range sent {
-			if most := 0.25 * 20_000 * float64(f.now-time.Hour) / 1e9; v > most {
-				t.Errorf("%g tokens over %s, at most %g", v, link, most)
+			if limit := 0.25 * 20_000 * float64(f.now-time.Hour) / 1e9; v > limit {
+				t.Errorf("%g tokens over %s, at most %g", v, link, limit)
 			}
 		}
-		for r, v := range taken {
+		for r, v := range tokens {
 			if v > 100_000 {
 				t.Errorf("%g tokens at %s", v, r)
 			}
@@ -301,12 +301,12 @@
 		t.Error(err)
 	}
 	f.m.Links[2].Rate = -1
-	var bad *ModelError
-	if err := f.m.Filled().Check(); !errors.As(err, &bad) || bad.Key != "link[2]" || bad.Advice() == "" {
+	var modelErr *ModelError
+	if err := f.m.Filled().Check(); !errors.As(err, &modelErr) || modelErr.Key != "link[2]" || modelErr.Advice() == "" {
 		t.Error(err)
 	}
-	var rec *RecordError
-	if _, err := Decode([]byte(`{"copies":[{"id":3}]}`)); !errors.As(err, &rec) || rec.Field != "copies[0]" {
+	var recordErr *RecordError
+	if _, err := Decode([]byte(`{"copies":[{"id":3}]}`)); !errors.As(err, &recordErr) || recordErr.Field != "copies[0]" {
 		t.Error(err)
 	}
 }
@@ -314,13 +314,13 @@
 // BenchmarkDecider is one step over 100 routers in 5 regions, which name as many different prefixes as their reports may, and
 // 100,000, far more than they may.
 func BenchmarkDecider(b *testing.B) {
-	for _, each := range []int{HotTold, 1000} {
-		b.Run(fmt.Sprint(100*each, " prefixes"), func(b *testing.B) { steps(b, each, 0) })
-		b.Run(fmt.Sprint(100*each, " prefixes, five servers leave"), func(b *testing.B) { steps(b, each, 5) })
+	for _, perRouter := range []int{HotTold, 1000} {
+		b.Run(fmt.Sprint(100*perRouter, " prefixes"), func(b *testing.B) { steps(b, perRouter, 0) })
+		b.Run(fmt.Sprint(100*perRouter, " prefixes, five servers leave"), func(b *testing.B) { steps(b, perRouter, 5) })
 	}
 }
 
-func steps(b *testing.B, each, leave int) {
+func steps(b *testing.B, perRouter, draining int) {
 	m := Model{}
 	var servers []Server
 	for i := range 5 {
@@ -331,7 +331,7 @@
 				m.Links = append(m.Links, Link{From: name, To: fmt.Sprint("z", j), Rate: 1e5, Price: 0.1})
 			}
 		}
-		if leave > 0 {
+		if draining > 0 {
 			m.Links = append(m.Links, Link{From: name, To: name, Rate: 1e6, Price: 0.1})
 		}
 		for j := range 100 {
@@ -347,15 +347,15 @@
 	}
 	var reports []Report
 	for r := range 100 {
-		one := Report{Router: fmt.Sprint("r", r), Region: m.Regions[r%5].Name, Curve: meter.Curve(), Rate: 1e5}
-		for i := range each {
-			one.Hot = append(one.Hot, Use{Prefix: Key(1 + r*1000 + i), Tokens: 2000, Count: float64(1 + i%8), AgeMs: 60_000, IdleMs: int64(i)})
+		report := Report{Router: fmt.Sprint("r", r), Region: m.Regions[r%5].Name, Curve: meter.Curve(), Rate: 1e5}
+		for i := range perRouter {
+			report.Hot = append(report.Hot, Use{Prefix: Key(1 + r*1000 + i), Tokens: 2000, Count: float64(1 + i%8), AgeMs: 60_000, IdleMs: int64(i)})
 		}
-		reports = append(reports, one)
+		reports = append(reports, report)
 	}
 	d := &Decider{Me: "r"}
 	v := View{Model: m, Reports: reports, Servers: servers}
-	for i := range leave {
+	for i := range draining {
 		v.Leaving = append(v.Leaving, Leaving{fmt.Sprint("z", i, "-0"), 1, 60_000})
 	}
 	now := time.Hour
--- a/internal/decide/reuse/expect.go
+++ b/internal/decide/reuse/expect.go
@@ -27,55 +27,55 @@
 )
 
 // pace comes to the rate of a prefix's visits in each region: what was counted, less the chance that it is used there no more.
-func (u *usage) pace(p *prefix, gone float64) {
-	const fades = float64(hotFor / time.Second)
-	var silent [MaxRegions]float64
+func (u *usage) pace(p *prefix, abandoned float64) {
+	const decaySeconds = float64(hotFor / time.Second)
+	var silence [MaxRegions]float64
 	p.idle = math.Inf(1)
 	for at := p.first; at >= 0; at = u.room[at].next {
-		in := &u.room[at]
-		in.seen = fades * -math.Expm1(-in.ageMs/1000/fades)
-		in.raw = in.count / perVisit / max(in.seen, fades/20)
-		p.visits += in.count / perVisit
-		p.idle = min(p.idle, in.idleMs/1000)
+		use := &u.room[at]
+		use.seen = decaySeconds * -math.Expm1(-use.ageMs/1000/decaySeconds)
+		use.raw = use.count / perVisit / max(use.seen, decaySeconds/20)
+		p.visits += use.count / perVisit
+		p.idle = min(p.idle, use.idleMs/1000)
 	}
-	all := 0.0
+	total := 0.0
 	for at := p.first; at >= 0; at = u.room[at].next {
-		in := &u.room[at]
-		if silent[in.region] = 1; in.idleMs/1000 > p.idle {
-			silent[in.region] = math.Exp(-in.raw * (in.idleMs/1000 - p.idle))
+		use := &u.room[at]
+		if silence[use.region] = 1; use.idleMs/1000 > p.idle {
+			silence[use.region] = math.Exp(-use.raw * (use.idleMs/1000 - p.idle))
 		}
-		all += in.raw * silent[in.region]
+		total += use.raw * silence[use.region]
 	}
-	p.quiet = math.Exp(-all * p.idle)
+	p.quiet = math.Exp(-total * p.idle)
 	for at := p.first; at >= 0; at = u.room[at].next {
-		u.room[at].rate = u.room[at].raw * p.stays(silent[u.room[at].region], gone)
+		u.room[at].rate = u.room[at].raw * p.stays(silence[u.room[at].region], abandoned)
 	}
 }
 
 // stays is the chance that a prefix is still used in a region that has been silent for longer than others by a chance, if it
 // is used there. Either it is, or it left that region, or nobody uses it any more.
-func (p *prefix) stays(silent, gone float64) float64 {
-	one := (1 - gone - left) * p.quiet * silent
-	return one / (one + left*p.quiet + gone)
+func (p *prefix) stays(silence, abandoned float64) float64 {
+	active := (1 - abandoned - left) * p.quiet * silence
+	return active / (active + left*p.quiet + abandoned)
 }
 
 // expects is the rate of a prefix's visits in a region, a second: what was seen there, or what its use elsewhere lets expect.
-func (s *scales) expects(p *prefix, to int) float64 {
-	best, others := 0.0, -1
-	if in := &s.u.room[p.first]; in.next < 0 && int(in.region) != to { // most are used in one region only
-		return max(s.follows(p, in, to, 0), 0)
+func (v *scales) expects(p *prefix, to int) float64 {
+	best, otherRegions := 0.0, -1
+	if use := &v.u.room[p.first]; use.next < 0 && int(use.region) != to { // most are used in one region only
+		return max(v.follows(p, use, to, 0), 0)
 	}
-	for at := p.first; at >= 0; at = s.u.room[at].next {
-		switch in := &s.u.room[at]; {
-		case int(in.region) == to:
-			best = in.rate
-		case in.count >= s.m.Uses:
-			others++
+	for at := p.first; at >= 0; at = v.u.room[at].next {
+		switch use := &v.u.room[at]; {
+		case int(use.region) == to:
+			best = use.rate
+		case use.count >= v.m.Uses:
+			otherRegions++
 		}
 	}
-	for at := p.first; at >= 0; at = s.u.room[at].next {
-		if in := &s.u.room[at]; int(in.region) != to {
-			best = max(best, s.follows(p, in, to, min(max(others, 0), 1)))
+	for at := p.first; at >= 0; at = v.u.room[at].next {
+		if use := &v.u.room[at]; int(use.region) != to {
+			best = max(best, v.follows(p, use, to, min(max(otherRegions, 0), 1)))
 		}
 	}
 	return best
@@ -85,25 +85,25 @@
 // there, whose rate is gamma distributed about ratio times that elsewhere, and a region's own, which hardly do. How many visits
 // came there in the time since the prefix is known, and how many regions use it, tell which kind it is of (Bayes' rule). So a
 // region's own soon counts as such, while one gamma distribution for both kinds would still expect it after long silence.
-func (s *scales) follows(p *prefix, here *used, to, others int) float64 {
-	l, there := &s.likely[here.region][to], s.u.in(p, to)
-	mean := l.ratio * here.rate
+func (v *scales) follows(p *prefix, source *used, to, others int) float64 {
+	spill, target := &v.likely[source.region][to], v.u.in(p, to)
+	mean := spill.ratio * source.rate
 	if mean <= 0 {
 		return 0
 	}
-	t, c, q := max(here.seen, min(here.ageMs, there.idleMs)/1000), there.count/perVisit, l.comes[others]
-	come, own := alike/mean+t, alike/(hardly*mean)+t
+	observed, visits, prior := max(source.seen, min(source.ageMs, target.idleMs)/1000), target.count/perVisit, spill.comes[others]
+	sharedBeta, localBeta := alike/mean+observed, alike/(hardly*mean)+observed
 	// How much more likely what was seen is of its region's own, (own/come)^-(alike+c) / hardly^alike; without visits the power
 	// is four, as decisions weigh 100,000 prefixes.
-	x := come / (own * hardly)
-	odds := x * x * x * x
-	if c > 0 {
-		odds *= math.Pow(come/own, c)
+	ratio := sharedBeta / (localBeta * hardly)
+	odds := ratio * ratio * ratio * ratio
+	if visits > 0 {
+		odds *= math.Pow(sharedBeta/localBeta, visits)
 	}
-	comes := q / (q + (1-q)*odds)
-	rate := (alike + c) * (comes/come + (1-comes)/own)
-	if c > 0 {
-		rate *= p.stays(math.Exp(-(alike+c)/come*(there.idleMs/1000-p.idle)), s.gone)
+	sharedChance := prior / (prior + (1-prior)*odds)
+	rate := (alike + visits) * (sharedChance/sharedBeta + (1-sharedChance)/localBeta)
+	if visits > 0 {
+		rate *= p.stays(math.Exp(-(alike+visits)/sharedBeta*(target.idleMs/1000-p.idle)), v.gone)
 	}
 	return rate
 }
@@ -120,50 +120,50 @@
 			}
 		}
 	}
-	type sums struct {
-		of, come    [2]float64
-		here, there float64
+	type totals struct {
+		observed, shared       [2]float64
+		sourceRate, targetRate float64
 	}
-	all := make([]sums, n*n)
-	ended, known := 0.0, 0.0
+	byPair := make([]totals, n*n)
+	abandoned, known := 0.0, 0.0
 	for i := range u.list {
 		p := &u.list[i]
 		if p.visits >= m.Uses {
 			known++
 			if p.quiet < 0.01 {
-				ended++
+				abandoned++
 			}
 		}
 		for at := p.first; at >= 0; at = u.room[at].next {
-			a := &u.room[at]
-			if a.count == 0 || a.count < 2*m.Uses || a.ageMs <= m.LeaseMs/2 || a.rate < a.raw/2 {
+			source := &u.room[at]
+			if source.count == 0 || source.count < 2*m.Uses || source.ageMs <= m.LeaseMs/2 || source.rate < source.raw/2 {
 				continue
 			}
-			like := uint32(0) // where it is used as well, by no less than a tenth
+			regions := uint32(0) // where it is used as well, by no less than a tenth
 			for o := p.first; o >= 0; o = u.room[o].next {
-				if u.room[o].raw > a.raw/10 && o != at {
-					like |= 1 << u.room[o].region
+				if u.room[o].raw > source.raw/10 && o != at {
+					regions |= 1 << u.room[o].region
 				}
 			}
-			for b := range n {
-				if b == int(a.region) {
+			for target := range n {
+				if target == int(source.region) {
 					continue
 				}
-				sum, others := &all[int(a.region)*n+b], 0
-				if like&^(1<<b) != 0 {
+				total, others := &byPair[int(source.region)*n+target], 0
+				if regions&^(1<<target) != 0 {
 					others = 1
 				}
-				sum.of[others]++
-				if like>>b&1 == 1 {
-					sum.come[others]++
-					sum.here += a.raw
-					sum.there += u.in(p, b).raw
+				total.observed[others]++
+				if regions>>target&1 == 1 {
+					total.shared[others]++
+					total.sourceRate += source.raw
+					total.targetRate += u.in(p, target).raw
 				}
 			}
 		}
 	}
 	if known > 0 {
-		d.gone += spillRate * min(1, known/20) * (min(max(ended/known, 0.02), 0.3) - d.gone)
+		d.gone += spillRate * min(1, known/20) * (min(max(abandoned/known, 0.02), 0.3) - d.gone)
 	}
 	d.spill = map[string]map[string]float64{}
 	for a, from := range m.Regions {
@@ -172,16 +172,16 @@
 			if a == b {
 				continue
 			}
-			l, sum := &d.likely[a*n+b], all[a*n+b]
-			for i := range l.comes {
-				if sum.of[i] > 0 {
-					l.comes[i] += spillRate * min(1, sum.of[i]/20) * (min(max(sum.come[i]/sum.of[i], 0.01), 0.99) - l.comes[i])
+			spill, total := &d.likely[a*n+b], byPair[a*n+b]
+			for i := range spill.comes {
+				if total.observed[i] > 0 {
+					spill.comes[i] += spillRate * min(1, total.observed[i]/20) * (min(max(total.shared[i]/total.observed[i], 0.01), 0.99) - spill.comes[i])
 				}
 			}
-			if sum.here > 0 {
-				l.ratio += spillRate * min(1, sum.here*60) * (min(sum.there/sum.here, spillMost) - l.ratio)
+			if total.sourceRate > 0 {
+				spill.ratio += spillRate * min(1, total.sourceRate*60) * (min(total.targetRate/total.sourceRate, spillMost) - spill.ratio)
 			}
-			row[to.Name] = math.Round(l.ratio*1e4) / 1e4
+			row[to.Name] = math.Round(spill.ratio*1e4) / 1e4
 		}
 		d.spill[from.Name] = row
 	}
--- a/internal/decide/reuse/expect_test.go
+++ b/internal/decide/reuse/expect_test.go
@@ -10,12 +10,12 @@
 	s := NewSampler(1e6)
 	s.Use(1, 100)
 	s.Use(1, 300)
-	again := 0.0
+	reused := 0.0
 	for _, v := range s.hist.Buckets {
-		again += v
+		reused += v
 	}
-	if math.Abs(s.hist.Cold-300) > 1e-6 || math.Abs(again-100) > 1e-6 {
-		t.Errorf("%g new, %g again", s.hist.Cold, again)
+	if math.Abs(s.hist.Cold-300) > 1e-6 || math.Abs(reused-100) > 1e-6 {
+		t.Errorf("%g new, %g again", s.hist.Cold, reused)
 	}
 }
 
@@ -23,7 +23,7 @@
 // that has been used there and is silent everywhere is expected less than one that is silent there alone.
 func TestExpects(t *testing.T) {
 	m := Model{Regions: []Region{{"a", 1e6}, {"b", 1e6}, {"c", 1e6}}}.Filled()
-	expected := func(comes float64, hot ...[]Use) float64 {
+	expected := func(share float64, hot ...[]Use) float64 {
 		var reports []Report
 		for a, list := range hot {
 			reports = append(reports, Report{Region: m.Regions[a].Name, Hot: list})
@@ -32,21 +32,21 @@
 		d.uses.gather(m, reports, "", d.gone)
 		d.learn(m, &State{}, &d.uses)
 		for i := range d.likely {
-			d.likely[i] = likely{[2]float64{comes, 0.9}, 1}
+			d.likely[i] = likely{[2]float64{share, 0.9}, 1}
 		}
 		return d.scales(m, View{}, &d.uses, nil).expects(&d.uses.list[0], 1)
 	}
-	at := func(count float64, age, idle int64) []Use {
+	uses := func(count float64, age, idle int64) []Use {
 		return []Use{{Prefix: crowd, Tokens: 1000, Count: count, AgeMs: age * 1000, IdleMs: idle * 1000}}
 	}
-	early, late, seldom := expected(0.5, at(10, 10, 1)), expected(0.5, at(25, 300, 1)), expected(0.1, at(10, 10, 1))
-	if early < 0.01 || late > early/10 || seldom > early/2 {
-		t.Errorf("early %g, late %g, seldom %g", early, late, seldom)
+	early, late, rare := expected(0.5, uses(10, 10, 1)), expected(0.5, uses(25, 300, 1)), expected(0.1, uses(10, 10, 1))
+	if early < 0.01 || late > early/10 || rare > early/2 {
+		t.Errorf("early %g, late %g, seldom %g", early, late, rare)
 	}
-	quiet, alone := expected(0.5, at(20, 300, 150), at(20, 300, 150)), expected(0.5, at(20, 300, 1), at(20, 300, 150))
-	used := expected(0.5, at(20, 300, 1), at(20, 300, 1))
-	if quiet > used/3 || alone > used/2 {
-		t.Errorf("used %g, silent there %g, silent everywhere %g", used, alone, quiet)
+	silentEverywhere, silentThere := expected(0.5, uses(20, 300, 150), uses(20, 300, 150)), expected(0.5, uses(20, 300, 1), uses(20, 300, 150))
+	used := expected(0.5, uses(20, 300, 1), uses(20, 300, 1))
+	if silentEverywhere > used/3 || silentThere > used/2 {
+		t.Errorf("used %g, silent there %g, silent everywhere %g", used, silentThere, silentEverywhere)
 	}
-	t.Logf("early %.4f, late %.6f, where few come %.4f; used %.4f, silent there %.4f, silent everywhere %.4f", early, late, seldom, used, alone, quiet)
+	t.Logf("early %.4f, late %.6f, where few come %.4f; used %.4f, silent there %.4f, silent everywhere %.4f", early, late, rare, used, silentThere, silentEverywhere)
 }
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -24,24 +24,24 @@
 }
 
 // let settles what a copy was for that ends, and tells whether its release is asked about: it was decided, and its opening rests.
-func (s *State) let(c Copy, restMs float64, why string) (asked bool) {
-	decided := why == unused || why == crowded || why == enough
+func (s *State) let(c Copy, cooldownMs float64, reason string) (pending bool) {
+	decided := reason == unused || reason == crowded || reason == enough
 	if !c.Used && decided && c.Phase == Here {
 		s.Hindsight.Copies.Settle(turn.Wrong)
 	} else if !c.Used {
 		s.Hindsight.Copies.Settle(turn.Void)
 	}
-	if asked = decided && restMs > 0; asked {
+	if pending = decided && cooldownMs > 0; pending {
 		s.Hindsight.Releases.Begin()
 	}
-	return asked
+	return pending
 }
 
 // over settles the release that a rest is of, where that is asked about and has not been settled.
-func (s *State) over(r *Rest, v turn.Verdict) {
+func (s *State) over(r *Rest, verdict turn.Verdict) {
 	if r.Asked {
 		r.Asked = false
-		s.Hindsight.Releases.Settle(v)
+		s.Hindsight.Releases.Settle(verdict)
 	}
 }
 
@@ -53,10 +53,10 @@
 		if !r.Asked {
 			continue
 		}
-		to := m.region(r.To)
-		at, used := u.at.find(r.Prefix)
+		region := m.region(r.To)
+		place, used := u.at.find(r.Prefix)
 		switch {
-		case used && to >= 0 && u.in(&u.list[at], to).idleMs+freshFor*m.ReportMs < r.SinceMs:
+		case used && region >= 0 && u.in(&u.list[place], region).idleMs+freshFor*m.ReportMs < r.SinceMs:
 			s.over(r, turn.Wrong)
 		case r.SinceMs >= m.LeaseMs:
 			s.over(r, turn.Right)
@@ -69,30 +69,30 @@
 
 // hindsight looks at the counts: they go on, and no more is open than copies that wait for a use and rests that are asked about.
 func (a *Auditor) hindsight(s *State) {
-	was := Hindsight{}
+	previous := Hindsight{}
 	if a.last != nil {
-		was = a.last.Hindsight
+		previous = a.last.Hindsight
 	}
-	for _, one := range []struct {
-		what   string
-		is, on turn.Judged
-	}{{"copies", s.Hindsight.Copies, was.Copies}, {"releases", s.Hindsight.Releases, was.Releases}} {
-		if bad := one.is.Follows(one.on); bad != "" {
-			a.fault(s, "%s in hindsight: %s", one.what, bad)
+	for _, entry := range []struct {
+		kind            string
+		current, before turn.Judged
+	}{{"copies", s.Hindsight.Copies, previous.Copies}, {"releases", s.Hindsight.Releases, previous.Releases}} {
+		if bad := entry.current.Follows(entry.before); bad != "" {
+			a.fault(s, "%s in hindsight: %s", entry.kind, bad)
 		}
 	}
-	wait, asked := int64(0), int64(0)
+	unused, pending := int64(0), int64(0)
 	for _, c := range s.Copies {
 		if !c.Used {
-			wait++
+			unused++
 		}
 	}
 	for _, r := range s.Rests {
 		if r.Asked {
-			asked++
+			pending++
 		}
 	}
-	if h := s.Hindsight; h.Copies.Open > wait || h.Releases.Open > asked {
-		a.fault(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, wait, asked)
+	if h := s.Hindsight; h.Copies.Open > unused || h.Releases.Open > pending {
+		a.fault(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, unused, pending)
 	}
 }
--- a/internal/decide/reuse/hindsight_test.go
+++ b/internal/decide/reuse/hindsight_test.go
@@ -10,7 +10,7 @@
 // for within a lease after that; one whose server starts again first is void. The auditor takes every state, and finds counts that
 // are lost or made up.
 func TestCopiesInHindsight(t *testing.T) {
-	quiet := func(f *fleet, seconds int) {
+	idle := func(f *fleet, seconds int) {
 		for range seconds {
 			f.second(func() {})
 		}
@@ -25,28 +25,28 @@
 				f.words[r] = append(f.words[r], Word{ID: f.to(r, crowd).ID, Used: 1})
 				f.meters[r].Use(crowd, 3000, f.now)
 			}
-			quiet(f, 90)
+			idle(f, 90)
 		}, turn.Judged{Right: 2}, turn.Judged{Right: 2}},
-		{"not found, and not asked for", func(f *fleet) { quiet(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
+		{"not found, and not asked for", func(f *fleet) { idle(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
 		{"not found, asked for afterwards", func(f *fleet) {
 			for f.to("b", crowd) != nil {
-				quiet(f, 1)
+				idle(f, 1)
 			}
-			quiet(f, 20)
+			idle(f, 20)
 			f.meters["b"].Use(crowd, 3000, f.now)
-			quiet(f, 90)
+			idle(f, 90)
 		}, turn.Judged{Wrong: 2}, turn.Judged{Right: 1, Wrong: 1}},
 		{"its server starts again", func(f *fleet) {
 			for i := range f.servers {
 				f.servers[i].Boot = "2"
 			}
-			quiet(f, 1)
+			idle(f, 1)
 		}, turn.Judged{Void: 2}, turn.Judged{}},
 	} {
 		f := newFleet("")
 		f.m.LeaseMs = 40_000
 		f.flash(10)
-		quiet(f, 5)
+		idle(f, 5)
 		c.after(f)
 		h := f.last.Hindsight
 		if h.Copies != c.copies || h.Releases != c.releases {
--- a/internal/decide/reuse/index.go
+++ b/internal/decide/reuse/index.go
@@ -21,11 +21,11 @@
 // slot is where a key is, or would be entered.
 func (x *index) slot(k Key) int {
 	mask := uint64(len(x.keys) - 1)
-	at := mix(k^x.salt) & mask
-	for x.place[at] != 0 && x.keys[at] != k {
-		at = (at + 1) & mask
+	i := mix(k^x.salt) & mask
+	for x.place[i] != 0 && x.keys[i] != k {
+		i = (i + 1) & mask
 	}
-	return int(at)
+	return int(i)
 }
 
 // find gives a key's place.
@@ -33,27 +33,27 @@
 	if x.n == 0 {
 		return 0, false
 	}
-	at := x.slot(k)
-	return int(x.place[at]) - 1, x.place[at] != 0
+	i := x.slot(k)
+	return int(x.place[i]) - 1, x.place[i] != 0
 }
 
 // enter gives a key's place, which is the next one if it was not known.
 func (x *index) enter(k Key) (place int, known bool) {
-	at := x.slot(k)
-	if x.place[at] != 0 {
-		return int(x.place[at]) - 1, true
+	slot := x.slot(k)
+	if x.place[slot] != 0 {
+		return int(x.place[slot]) - 1, true
 	}
 	if x.n++; 2*x.n > len(x.keys) {
 		old := *x
 		x.keys, x.place = make([]Key, 2*len(old.keys)), make([]int32, 2*len(old.keys))
 		for i, p := range old.place {
 			if p != 0 {
-				to := x.slot(old.keys[i])
-				x.keys[to], x.place[to] = old.keys[i], p
+				target := x.slot(old.keys[i])
+				x.keys[target], x.place[target] = old.keys[i], p
 			}
 		}
-		at = x.slot(k)
+		slot = x.slot(k)
 	}
-	x.keys[at], x.place[at] = k, int32(x.n)
+	x.keys[slot], x.place[slot] = k, int32(x.n)
 	return x.n - 1, false
 }
--- a/internal/decide/reuse/index_test.go
+++ b/internal/decide/reuse/index_test.go
@@ -18,24 +18,24 @@
 			want := map[Key]int{}
 			for _, v := range rapid.SliceOfN(rapid.Uint64Range(0, 3000), 0, 2000).Draw(t, "keys") {
 				k := Key(v)
-				before, is := want[k]
-				if place, found := x.find(k); found != is || found && place != before {
+				previous, known := want[k]
+				if place, found := x.find(k); found != known || found && place != previous {
 					t.Fatalf("key %d is found at %d: %v", k, place, found)
 				}
-				if want[k], _ = x.enter(k); is && want[k] != before || !is && want[k] != len(want)-1 {
+				if want[k], _ = x.enter(k); known && want[k] != previous || !known && want[k] != len(want)-1 {
 					t.Fatalf("key %d is entered at %d", k, want[k])
 				}
 			}
 		}
 		var list []option
-		for i, each := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 300).Draw(t, "each") {
-			list = append(list, option{p: &prefix{key: Key(i / 3)}, to: i % 3, each: float64(each)})
+		for i, value := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 300).Draw(t, "each") {
+			list = append(list, option{p: &prefix{key: Key(i / 3)}, to: i % 3, each: float64(value)})
 		}
-		order := func(x, y option) int {
+		compare := func(x, y option) int {
 			return cmp.Or(cmp.Compare(y.each, x.each), cmp.Compare(x.p.key, y.p.key), cmp.Compare(x.to, y.to))
 		}
-		all, n := slices.SortedFunc(slices.Values(list), order), rapid.IntRange(1, len(list)).Draw(t, "n")
-		if got := slices.SortedFunc(slices.Values(first(list, n)), order); !slices.Equal(got, all[:n]) {
+		all, n := slices.SortedFunc(slices.Values(list), compare), rapid.IntRange(1, len(list)).Draw(t, "n")
+		if got := slices.SortedFunc(slices.Values(first(list, n)), compare); !slices.Equal(got, all[:n]) {
 			t.Fatalf("%d of %d: %v", n, len(all), got)
 		}
 	})
--- a/internal/decide/reuse/lease.go
+++ b/internal/decide/reuse/lease.go
@@ -46,7 +46,7 @@
 // ended tells why a copy is not to be believed in any more, or "".
 func (c *Copy) ended(servers map[string]Server, conditions map[string]Condition, broken Fault) string {
 	s, known := servers[c.Server]
-	at := conditions[c.To]
+	condition := conditions[c.To]
 	switch {
 	case broken == BelievesAfterRestart && known && s.Boot != c.Boot:
 	case !known:
@@ -57,10 +57,10 @@
 		return "its server drains"
 	}
 	switch {
-	case at == Lost:
+	case condition == Lost:
 		return "its region is lost"
-	case c.Phase == Ordered && at != Up && at != "":
-		return "its region is " + string(at)
+	case c.Phase == Ordered && condition != Up && condition != "":
+		return "its region is " + string(condition)
 	case c.Phase == Ordered && conditions[c.From] == Lost:
 		return "where it was to come from is lost"
 	case c.LeftMs <= 0 && c.Phase == Ordered:
@@ -144,14 +144,14 @@
 
 // Check tells what of a state cannot be used, as a *RecordError.
 func (s *State) Check() error {
-	bad := func(field, says string, of ...any) error {
-		return &RecordError{Field: field, Says: fmt.Sprintf(says, of...)}
+	invalid := func(field, format string, args ...any) error {
+		return &RecordError{Field: field, Says: fmt.Sprintf(format, args...)}
 	}
 	if len(s.Copies) > MaxCopies || len(s.Rests) > maxRests || len(s.Notes) > maxNotes || len(s.Spill) > MaxRegions {
-		return bad("its lists", "%d copies, %d rests, %d notes, %d regions are too many", len(s.Copies), len(s.Rests), len(s.Notes), len(s.Spill))
+		return invalid("its lists", "%d copies, %d rests, %d notes, %d regions are too many", len(s.Copies), len(s.Rests), len(s.Notes), len(s.Spill))
 	}
 	if s.Seq < 0 || s.Orders < 0 {
-		return bad("seq", "%d with %d orders", s.Seq, s.Orders)
+		return invalid("seq", "%d with %d orders", s.Seq, s.Orders)
 	}
 	if err := s.checkLeaving(); err != nil {
 		return err
@@ -161,25 +161,25 @@
 		field := fmt.Sprintf("copies[%d]", i)
 		switch {
 		case c.ID <= 0 || c.ID > s.Orders || ids[c.ID]:
-			return bad(field, "id %d is none of %d orders, or is there twice", c.ID, s.Orders)
+			return invalid(field, "id %d is none of %d orders, or is there twice", c.ID, s.Orders)
 		case c.Phase != Ordered && c.Phase != Here:
-			return bad(field, "phase %q", c.Phase)
+			return invalid(field, "phase %q", c.Phase)
 		case c.Tokens <= 0 || c.To == "" || c.Server == "" || c.From == c.To && c.Leaves == "" || len(c.Leaves) > maxName:
-			return bad(field, "%d tokens from %q to %q at %q", c.Tokens, c.From, c.To, c.Server)
+			return invalid(field, "%d tokens from %q to %q at %q", c.Tokens, c.From, c.To, c.Server)
 		case !lasts(c.LeftMs) || !lasts(c.AgeMs):
-			return bad(field, "durations %g and %g", c.LeftMs, c.AgeMs)
+			return invalid(field, "durations %g and %g", c.LeftMs, c.AgeMs)
 		}
 		ids[c.ID] = true
 	}
 	for i, r := range s.Rests {
 		if !lasts(r.LeftMs) || !lasts(r.SinceMs) || r.To == "" {
-			return bad(fmt.Sprintf("rests[%d]", i), "%g ms at %q", r.LeftMs, r.To)
+			return invalid(fmt.Sprintf("rests[%d]", i), "%g ms at %q", r.LeftMs, r.To)
 		}
 	}
 	for from, row := range s.Spill {
 		for to, v := range row {
 			if len(row) > MaxRegions || !(v >= 0 && v <= spillMost) {
-				return bad("spill", "%g from %q to %q", v, from, to)
+				return invalid("spill", "%g from %q to %q", v, from, to)
 			}
 		}
 	}
--- a/internal/decide/reuse/lease_test.go
+++ b/internal/decide/reuse/lease_test.go
@@ -15,8 +15,8 @@
 // leases longer, never shorter.
 func TestLeaseModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if why := leases(t, ""); why != "" {
-			t.Fatal(why)
+		if violation := leases(t, ""); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-func leases(t *rapid.T, broken Fault) (why string) {
+func leases(t *rapid.T, broken Fault) (violation string) {
 	f := newFleet(broken)
 	f.m.LeaseMs = 10_000
 	for i := range 6 { // six prefixes' worth of copies stand there already, under leases that differ
@@ -49,28 +49,28 @@
 		}
 		f.last.Copies = append(f.last.Copies, c)
 	}
-	owed, gone, idle := map[int64]time.Duration{}, map[int64]bool{}, map[int64]time.Duration{}
-	boots, took := 1, f.now
+	lastUse, lost, idle := map[int64]time.Duration{}, map[int64]bool{}, map[int64]time.Duration{}
+	boots, takeover := 1, f.now
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
-		var words []Word
+		var statuses []Word
 		i := rapid.IntRange(0, len(f.servers)-1).Draw(t, "server")
 		id := int64(rapid.IntRange(1, 6).Draw(t, "copy"))
-		here := map[int64]Copy{}
+		present := map[int64]Copy{}
 		for _, c := range f.last.Copies {
-			here[c.ID] = c
+			present[c.ID] = c
 		}
 		switch rapid.SampledFrom([]string{"pass", "pass", "use", "use", "here", "gone", "boot", "drain", "leave", "take over"}).Draw(t, "what") {
 		case "use":
-			if c, there := here[id]; there && c.Phase == Here {
-				words = append(words, Word{ID: id, Used: 1})
-				owed[id], idle[id] = f.now, 0
+			if c, found := present[id]; found && c.Phase == Here {
+				statuses = append(statuses, Word{ID: id, Used: 1})
+				lastUse[id], idle[id] = f.now, 0
 			}
 		case "here":
-			words = append(words, Word{ID: id, Here: true})
+			statuses = append(statuses, Word{ID: id, Here: true})
 			idle[id] = 0 // it has a lease from its arrival on
 		case "gone":
-			words = append(words, Word{ID: id, Gone: true})
-			gone[id] = true
+			statuses = append(statuses, Word{ID: id, Gone: true})
+			lost[id] = true
 		case "boot":
 			boots++
 			f.servers[i].Boot = fmt.Sprint(boots)
@@ -80,41 +80,41 @@
 			f.servers[i].Region, f.servers[i].ID = "c", fmt.Sprint("new", boots, f.now)
 		case "take over":
 			f.d = &Decider{Me: f.d.Me + "x", Broken: broken}
-			took = f.now
+			takeover = f.now
 		}
-		past := time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond
-		f.now += past
+		elapsed := time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond
+		f.now += elapsed
 		f.rev++
-		if len(words) > 0 && words[0].Used > 0 {
-			owed[id] = f.now
+		if len(statuses) > 0 && statuses[0].Used > 0 {
+			lastUse[id] = f.now
 		}
 		before := f.last
-		f.step([]Report{{Router: "a-r", Region: "a", Copies: words, Rev: f.rev}})
+		f.step([]Report{{Router: "a-r", Region: "a", Copies: statuses, Rev: f.rev}})
 		servers := map[string]Server{}
 		for _, s := range f.servers {
 			servers[s.ID] = s
 		}
 		for _, c := range f.last.Copies {
 			s, known := servers[c.Server]
-			if !known || s.Boot != c.Boot || s.Draining || gone[c.ID] {
-				return fmt.Sprintf("copy %d is believed in: server %+v, reported gone: %v", c.ID, s, gone[c.ID])
+			if !known || s.Boot != c.Boot || s.Draining || lost[c.ID] {
+				return fmt.Sprintf("copy %d is believed in: server %+v, reported gone: %v", c.ID, s, lost[c.ID])
 			}
-			delete(here, c.ID)
-			if idle[c.ID] += past; idle[c.ID] > 16*time.Second && f.now-took > 16*time.Second {
+			delete(present, c.ID)
+			if idle[c.ID] += elapsed; idle[c.ID] > 16*time.Second && f.now-takeover > 16*time.Second {
 				return fmt.Sprintf("copy %d was not used for %s and stays", c.ID, idle[c.ID])
 			}
 			if c.Phase == Here && c.LeftMs > 10_000 {
 				return fmt.Sprintf("copy %d has %g ms left", c.ID, c.LeftMs)
 			}
 		}
-		for _, c := range here { // what went
+		for _, c := range present { // what went
 			s, known := servers[c.Server]
-			since, used := owed[c.ID]
-			owes := 6666 * time.Millisecond
-			if took >= since { // by another decider, which has not heard of the use if it was not written: half a lease at least
-				owes = 5 * time.Second
+			since, used := lastUse[c.ID]
+			minHeld := 6666 * time.Millisecond
+			if takeover >= since { // by another decider, which has not heard of the use if it was not written: half a lease at least
+				minHeld = 5 * time.Second
 			}
-			if known && s.Boot == c.Boot && !s.Draining && !gone[c.ID] && used && f.now-since < owes {
+			if known && s.Boot == c.Boot && !s.Draining && !lost[c.ID] && used && f.now-since < minHeld {
 				return fmt.Sprintf("copy %d was used %s ago and is released", c.ID, f.now-since)
 			}
 		}
--- a/internal/decide/reuse/leave_test.go
+++ b/internal/decide/reuse/leave_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-func warm(broken Fault, link bool) *fleet {
+func warm(broken Fault, links bool) *fleet {
 	f := newFleet(broken)
-	if link {
+	if links {
 		f.within()
 	}
 	for range 40 {
@@ -47,13 +47,13 @@
 
 // moved are the prefixes of copies that were ordered for a server's sake.
 func (f *fleet) moved(server string) map[Key]Copy {
-	out := map[Key]Copy{}
+	copies := map[Key]Copy{}
 	for _, c := range f.copies {
 		if c.Leaves == server {
-			out[c.Prefix] = c
+			copies[c.Prefix] = c
 		}
 	}
-	return out
+	return copies
 }
 
 // What a region's server keeps by itself and others use is copied to where it will be asked for before the server goes, and not what the
@@ -61,28 +61,28 @@
 func TestLeavingIsEmptied(t *testing.T) {
 	f := warm("", true)
 	f.flash(10)
-	old := f.to("b", crowd)
-	f.leave(old.Server, 10_000)
+	copied := f.to("b", crowd)
+	f.leave(copied.Server, 10_000)
 	f.leave("a1", 10_000)
 	for range 3 {
 		f.hot()
 	}
-	if c := f.moved(old.Server)[crowd]; c.Server == old.Server || c.From != "b" || c.To != "b" {
-		t.Errorf("%s leaves: %+v", old.Server, c)
+	if c := f.moved(copied.Server)[crowd]; c.Server == copied.Server || c.From != "b" || c.To != "b" {
+		t.Errorf("%s leaves: %+v", copied.Server, c)
 	}
 	if f.last.Emptied()["a1"] != f.seen {
 		t.Errorf("it is not said that nothing is left: %+v", f.last.Leaving)
 	}
-	moved := f.moved("a1")
-	delete(moved, crowd) // may be at home at either
+	drainCopies := f.moved("a1")
+	delete(drainCopies, crowd) // may be at home at either
 	for k := range Key(12) {
-		c, is := moved[700+k]
-		if home := place(700+k, []string{"a1", "a2"}); is != (home == "a1") || is && (c.Server != "a2" || c.From != "a" || c.To != "a") {
-			t.Errorf("kept at %s: %v %+v", home, is, c)
+		c, found := drainCopies[700+k]
+		if home := place(700+k, []string{"a1", "a2"}); found != (home == "a1") || found && (c.Server != "a2" || c.From != "a" || c.To != "a") {
+			t.Errorf("kept at %s: %v %+v", home, found, c)
 		}
 	}
-	if len(moved) < 3 || len(moved) > 9 {
-		t.Errorf("%d copies", len(moved))
+	if len(drainCopies) < 3 || len(drainCopies) > 9 {
+		t.Errorf("%d copies", len(drainCopies))
 	}
 	// They stay while it is out, and nothing is copied twice; they end with its return.
 	f.servers[0].Draining, f.leaving[1].LeftMs = true, 0
@@ -90,13 +90,13 @@
 		f.hot()
 	}
 	again := f.moved("a1")
-	if delete(again, crowd); !maps.Equal(again, moved) {
-		t.Errorf("%d copies, %d before", len(again), len(moved))
+	if delete(again, crowd); !maps.Equal(again, drainCopies) {
+		t.Errorf("%d copies, %d before", len(again), len(drainCopies))
 	}
 	f.servers[0] = Server{ID: "a1", Region: "a", Boot: "2"}
 	f.leaving = nil
 	f.hot()
-	for k := range moved {
+	for k := range drainCopies {
 		if c := f.to("a", k); c != nil || len(f.last.Leaving) > 0 {
 			t.Errorf("it is back: %+v, copy %+v", f.last.Leaving, c)
 		}
@@ -148,13 +148,13 @@
 	for range 3 {
 		f.hot()
 	}
-	word := f.last.Leaving["a2"]
+	state := f.last.Leaving["a2"]
 	f.leaving, f.seen = nil, f.seen-1
 	f.d = &Decider{Me: "other"}
 	n := len(f.copies)
 	f.flash(5)
-	if there := slices.ContainsFunc(f.copies[n:], func(c Copy) bool { return c.Server == "a2" }); there || f.last.Leaving["a2"] != word || !word.Done {
-		t.Errorf("copied there: %v; %+v, %+v before", there, f.last.Leaving, word)
+	if found := slices.ContainsFunc(f.copies[n:], func(c Copy) bool { return c.Server == "a2" }); found || f.last.Leaving["a2"] != state || !state.Done {
+		t.Errorf("copied there: %v; %+v, %+v before", found, f.last.Leaving, state)
 	}
 }
 
--- a/internal/decide/reuse/mattson_test.go
+++ b/internal/decide/reuse/mattson_test.go
@@ -25,25 +25,25 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	zipf := rand.NewZipf(rng, 1.1, 8, 20000)
 	size := func(k uint64) int { return 200 + int(mix(Key(k)*31)%4000) }
-	fresh, now := uint64(1<<40), time.Duration(0)
-	var later []uint64
+	nextFresh, now := uint64(1<<40), time.Duration(0)
+	var pendingTurns []uint64
 	for i := range n {
 		now += time.Duration(rng.ExpFloat64() * float64(5*time.Millisecond))
 		var k uint64
 		switch p := rng.Float64(); {
 		case p < 0.6:
 			k = (zipf.Uint64() + uint64(i/2000)*3) % 20000
-		case p < 0.8 && len(later) > 0: // a session's next turn
-			at := rng.IntN(len(later))
-			k = later[at]
-			later[at] = later[len(later)-1]
-			later = later[:len(later)-1]
+		case p < 0.8 && len(pendingTurns) > 0: // a session's next turn
+			at := rng.IntN(len(pendingTurns))
+			k = pendingTurns[at]
+			pendingTurns[at] = pendingTurns[len(pendingTurns)-1]
+			pendingTurns = pendingTurns[:len(pendingTurns)-1]
 		case i%20000 < 2000 || p < 0.9: // a scan, or a session's first
-			fresh++
-			k = fresh
+			nextFresh++
+			k = nextFresh
 			if i%20000 >= 2000 {
 				for range rng.IntN(5) {
-					later = append(later, k)
+					pendingTurns = append(pendingTurns, k)
 				}
 			}
 		default:
@@ -74,27 +74,27 @@
 		return sum
 	}
 	last := map[Key]int{}
-	out := make([]float64, len(memories))
+	missed := make([]float64, len(memories))
 	all := 0.0
 	for i, u := range uses {
-		d := math.Inf(1)
+		distance := math.Inf(1)
 		if at, known := last[u.key]; known {
-			d = upTo(i) - upTo(at+1) + float64(u.tokens)
+			distance = upTo(i) - upTo(at+1) + float64(u.tokens)
 			add(at, -float64(u.tokens))
 		}
 		for j, m := range memories {
-			if d > m {
-				out[j] += float64(u.tokens)
+			if distance > m {
+				missed[j] += float64(u.tokens)
 			}
 		}
 		all += float64(u.tokens)
 		add(i, float64(u.tokens))
 		last[u.key] = i
 	}
-	for j := range out {
-		out[j] /= all
+	for j := range missed {
+		missed[j] /= all
 	}
-	return out
+	return missed
 }
 
 func grid() (out []float64) {
@@ -104,9 +104,9 @@
 	return out
 }
 
-func off(c Curve, memories, truth []float64) (mean float64) {
+func off(c Curve, memories, exact []float64) (mean float64) {
 	for i, m := range memories {
-		mean += math.Abs(c.At(m)-truth[i]) / float64(len(memories))
+		mean += math.Abs(c.At(m)-exact[i]) / float64(len(memories))
 	}
 	return mean
 }
@@ -116,28 +116,28 @@
 func through(uses []drawn, routers int, period, delay time.Duration, seed uint64) Curve {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	meters := make([]*Meter, routers)
-	due := make([]time.Duration, routers)
+	nextReport := make([]time.Duration, routers)
 	for i := range meters {
-		meters[i], due[i] = NewMeter(40e6), time.Duration(rng.Int64N(int64(period)))
+		meters[i], nextReport[i] = NewMeter(40e6), time.Duration(rng.Int64N(int64(period)))
 	}
-	type sent struct {
-		s  Sample
-		at time.Duration
+	type report struct {
+		sample Sample
+		at     time.Duration
 	}
-	var way []sent
+	var inFlight []report
 	for _, u := range uses {
 		for i := range meters {
-			if due[i] <= u.at {
-				way = append(way, sent{meters[i].Taken(due[i]), due[i] + time.Duration(rng.Int64N(int64(delay)))})
-				due[i] += period
+			if nextReport[i] <= u.at {
+				inFlight = append(inFlight, report{meters[i].Taken(nextReport[i]), nextReport[i] + time.Duration(rng.Int64N(int64(delay)))})
+				nextReport[i] += period
 			}
 		}
-		slices.SortStableFunc(way, func(a, b sent) int { return cmp.Compare(a.at, b.at) })
-		for len(way) > 0 && way[0].at <= u.at {
+		slices.SortStableFunc(inFlight, func(a, b report) int { return cmp.Compare(a.at, b.at) })
+		for len(inFlight) > 0 && inFlight[0].at <= u.at {
 			for _, m := range meters[:min(2, routers)] {
-				m.Heard(way[0].s, way[0].at, period)
+				m.Heard(inFlight[0].sample, inFlight[0].at, period)
 			}
-			way = way[1:]
+			inFlight = inFlight[1:]
 		}
 		for _, m := range meters { // fed back as in service: all meters hear all; the rest need the threshold only
 			m.tap.threshold = min(m.tap.threshold, meters[0].region.threshold)
@@ -161,25 +161,25 @@
 			for seed := range uint64(seeds) {
 				uses := stream(seed, 120_000, routers, sticky)
 				truth := exact(uses, memories)
-				e := off(through(uses, routers, time.Second, 300*time.Millisecond, seed), memories, truth)
-				sum, worst = sum+e/seeds, max(worst, e)
-				var own, own2 []Curve
+				meanErr := off(through(uses, routers, time.Second, 300*time.Millisecond, seed), memories, truth)
+				sum, worst = sum+meanErr/seeds, max(worst, meanErr)
+				var ownCurves, scaledCurves []Curve
 				for r := range routers {
-					s, s2 := NewSampler(40e6), NewSampler(40e6)
+					sampler, scaledSampler := NewSampler(40e6), NewSampler(40e6)
 					for _, u := range uses {
 						if u.router == r {
-							s.Seen(float64(u.tokens))
-							s.Use(u.key, u.tokens)
+							sampler.Seen(float64(u.tokens))
+							sampler.Use(u.key, u.tokens)
 						}
 					}
-					s2.hist = s.hist
-					s2.hist.Buckets = [buckets]float64{}
-					for i, v := range s.hist.Buckets {
-						s2.hist.Buckets[bucket(edge(i)*float64(routers)*0.999)] += v
+					scaledSampler.hist = sampler.hist
+					scaledSampler.hist.Buckets = [buckets]float64{}
+					for i, v := range sampler.hist.Buckets {
+						scaledSampler.hist.Buckets[bucket(edge(i)*float64(routers)*0.999)] += v
 					}
-					own, own2 = append(own, s.Curve()), append(own2, s2.Curve())
+					ownCurves, scaledCurves = append(ownCurves, sampler.Curve()), append(scaledCurves, scaledSampler.Curve())
 				}
-				raw, scaled = raw+off(Merge(own...), memories, truth)/seeds, scaled+off(Merge(own2...), memories, truth)/seeds
+				raw, scaled = raw+off(Merge(ownCurves...), memories, truth)/seeds, scaled+off(Merge(scaledCurves...), memories, truth)/seeds
 			}
 			t.Logf("%.0f%% sticky, %2d routers: mean absolute error %.4f (worst of %.0f seeds %.4f); own parts merged %.4f, scaled by routers %.4f",
 				100*sticky, routers, sum, seeds, worst, raw, scaled)
--- a/internal/decide/reuse/meter.go
+++ b/internal/decide/reuse/meter.go
@@ -42,33 +42,33 @@
 	seen      float64
 }
 
-func (t *tap) use(k Key, tokens int, now time.Duration) {
-	if t.seen += float64(tokens); t.rated == 0 {
-		t.rated = now // of the first
+func (c *tap) use(k Key, tokens int, now time.Duration) {
+	if c.seen += float64(tokens); c.rated == 0 {
+		c.rated = now // of the first
 	}
-	if uint64(spot(k)) >= t.threshold {
+	if uint64(spot(k)) >= c.threshold {
 		return
 	}
-	if t.n == maxRefs { // those highest in the order go, and their like is not sampled any more
-		var list [maxRefs]uint32
-		for i, r := range t.refs {
-			list[i] = r.spot
+	if c.n == maxRefs { // those highest in the order go, and their like is not sampled any more
+		var hashes [maxRefs]uint32
+		for i, r := range c.refs {
+			hashes[i] = r.spot
 		}
-		slices.Sort(list[:])
-		t.threshold = uint64(list[maxRefs*3/4])
+		slices.Sort(hashes[:])
+		c.threshold = uint64(hashes[maxRefs*3/4])
 		kept := 0
-		for _, r := range t.refs {
-			if uint64(r.spot) < t.threshold {
-				t.refs[kept] = r
+		for _, r := range c.refs {
+			if uint64(r.spot) < c.threshold {
+				c.refs[kept] = r
 				kept++
 			}
 		}
-		if t.n = kept; kept == 0 || uint64(spot(k)) >= t.threshold {
+		if c.n = kept; kept == 0 || uint64(spot(k)) >= c.threshold {
 			return
 		}
 	}
-	t.refs[t.n] = ref{spot(k), uint32(tokens), ticks(now)}
-	t.n++
+	c.refs[c.n] = ref{spot(k), uint32(tokens), ticks(now)}
+	c.n++
 }
 
 // Sample are a router's sampled uses since its last report: at most 2.7 KB in JSON.
@@ -78,19 +78,19 @@
 	Refs []byte  `json:"refs,omitempty"`
 }
 
-func (t *tap) take(now time.Duration) Sample {
-	s := Sample{Rate: float64(t.threshold) / spots, Seen: t.seen}
-	for _, r := range t.refs[:t.n] {
+func (c *tap) take(now time.Duration) Sample {
+	s := Sample{Rate: float64(c.threshold) / spots, Seen: c.seen}
+	for _, r := range c.refs[:c.n] {
 		s.Refs = binary.BigEndian.AppendUint32(s.Refs, r.spot)
 		s.Refs = binary.BigEndian.AppendUint32(s.Refs, r.tokens)
 		s.Refs = binary.BigEndian.AppendUint16(s.Refs, uint16(min(ticks(now)-r.at, math.MaxUint16)))
 	}
-	if past := (now - t.rated).Seconds(); past > 0 && t.rated > 0 {
-		part := 1 - math.Exp(-past/rateFor)
-		t.rate += (t.seen/past - t.rate) * part
-		t.weight += (1 - t.weight) * part
+	if elapsed := (now - c.rated).Seconds(); elapsed > 0 && c.rated > 0 {
+		alpha := 1 - math.Exp(-elapsed/rateFor)
+		c.rate += (c.seen/elapsed - c.rate) * alpha
+		c.weight += (1 - c.weight) * alpha
 	}
-	t.n, t.seen, t.rated = 0, 0, now
+	c.n, c.seen, c.rated = 0, 0, now
 	return s
 }
 
@@ -144,8 +144,8 @@
 	if s.Seen > 0 && !math.IsInf(s.Seen, 0) {
 		m.region.Seen(s.Seen)
 	}
-	for b := s.Refs; len(b) >= refSize; b = b[refSize:] {
-		r := ref{binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), ticks(now) - uint32(binary.BigEndian.Uint16(b[8:]))}
+	for refs := s.Refs; len(refs) >= refSize; refs = refs[refSize:] {
+		r := ref{binary.BigEndian.Uint32(refs), binary.BigEndian.Uint32(refs[4:]), ticks(now) - uint32(binary.BigEndian.Uint16(refs[8:]))}
 		if !m.region.samples(r.spot) {
 			continue
 		}
@@ -167,8 +167,8 @@
 	if m.faded == 0 {
 		m.faded = now
 	}
-	if past := now - m.faded; past > histFor/20 {
-		m.region.Fade(math.Exp(-float64(past) / float64(histFor)))
+	if elapsed := now - m.faded; elapsed > histFor/20 {
+		m.region.Fade(math.Exp(-float64(elapsed) / float64(histFor)))
 		m.faded = now
 	}
 }
@@ -211,15 +211,15 @@
 	first, last time.Duration // count is faded to last
 }
 
-func fade(past time.Duration) float32 { return float32(math.Exp(-float64(past) / float64(hotFor))) }
+func fade(dt time.Duration) float32 { return float32(math.Exp(-float64(dt) / float64(hotFor))) }
 
 func (h *hot) use(k Key, tokens int, now time.Duration) {
-	least, at := float32(math.Inf(1)), -1
+	lowest, lowestAt := float32(math.Inf(1)), -1
 	for i := range h.all[:h.n] {
-		o := &h.all[i]
-		if o.key == k {
-			f := fade(now - o.last)
-			o.count, o.over, o.last, o.tokens = o.count*f+1, o.over*f, now, uint32(tokens)
+		entry := &h.all[i]
+		if entry.key == k {
+			factor := fade(now - entry.last)
+			entry.count, entry.over, entry.last, entry.tokens = entry.count*factor+1, entry.over*factor, now, uint32(tokens)
 			return
 		}
 	}
@@ -229,21 +229,21 @@
 		return
 	}
 	for i := range h.all {
-		if c := h.all[i].count * fade(now-h.all[i].last); c < least {
-			least, at = c, i
+		if count := h.all[i].count * fade(now-h.all[i].last); count < lowest {
+			lowest, lowestAt = count, i
 		}
 	}
-	h.all[at] = hotOne{k, uint32(tokens), least + 1, least, now, now}
+	h.all[lowestAt] = hotOne{k, uint32(tokens), lowest + 1, lowest, now, now}
 }
 
-func (h *hot) list(now time.Duration, most int) []Use {
-	var out []Use
-	for _, o := range h.all[:h.n] {
-		f := float64(fade(now - o.last))
-		out = append(out, Use{Prefix: o.key, Tokens: int(o.tokens), Count: float64(o.count-o.over) * f, Over: float64(o.over) * f,
-			AgeMs: (now - o.first).Milliseconds(), IdleMs: (now - o.last).Milliseconds()})
+func (h *hot) list(now time.Duration, limit int) []Use {
+	var uses []Use
+	for _, entry := range h.all[:h.n] {
+		factor := float64(fade(now - entry.last))
+		uses = append(uses, Use{Prefix: entry.key, Tokens: int(entry.tokens), Count: float64(entry.count-entry.over) * factor, Over: float64(entry.over) * factor,
+			AgeMs: (now - entry.first).Milliseconds(), IdleMs: (now - entry.last).Milliseconds()})
 	}
-	slices.SortFunc(out, func(a, b Use) int {
+	slices.SortFunc(uses, func(a, b Use) int {
 		switch {
 		case a.Count != b.Count:
 			if a.Count > b.Count {
@@ -255,5 +255,5 @@
 		}
 		return 1
 	})
-	return out[:min(len(out), most)]
+	return uses[:min(len(uses), limit)]
 }
--- a/internal/decide/reuse/model.go
+++ b/internal/decide/reuse/model.go
@@ -94,12 +94,12 @@
 // Filled is the model with its defaults: a lease of 240 s, a quarter of the memory, half of a link, 4 copies of a prefix, 32
 // orders under way, 2 uses, a gain of 2, servers with fewer than 2 requests warmed, and reports each second.
 func (m Model) Filled() Model {
-	for _, d := range []struct {
-		at *float64
-		v  float64
+	for _, setting := range []struct {
+		target *float64
+		value  float64
 	}{{&m.LeaseMs, 240_000}, {&m.Share, 0.25}, {&m.LinkShare, 0.5}, {&m.Uses, 2}, {&m.Gain, 2}, {&m.ReportMs, 1000}} {
-		if *d.at == 0 {
-			*d.at = d.v
+		if *setting.target == 0 {
+			*setting.target = setting.value
 		}
 	}
 	if m.Copies == 0 {
@@ -136,12 +136,12 @@
 		}
 	}
 	for _, s := range []struct {
-		key         string
-		v, min, max float64
+		key             string
+		value, min, max float64
 	}{{"lease_ms", m.LeaseMs, 1000, 3_600_000}, {"share", m.Share, 0, 1}, {"link_share", m.LinkShare, 0, 1}, {"copies", float64(m.Copies), 1, MaxRegions},
 		{"orders", float64(m.Orders), 1, MaxCopies}, {"read_tokens", m.besides(&Link{From: "any"}), 0, 1_000_000}, {"warm_below", float64(m.WarmBelow), 1, 10_000}, {"uses", m.Uses, 1, 1000}, {"gain", m.Gain, 1, 100}, {"report_ms", m.ReportMs, 50, 60_000}} {
-		if !(s.v >= s.min && s.v <= s.max) {
-			return &ModelError{s.key, fmt.Sprintf("%g, must be from %g to %g", s.v, s.min, s.max)}
+		if !(s.value >= s.min && s.value <= s.max) {
+			return &ModelError{s.key, fmt.Sprintf("%g, must be from %g to %g", s.value, s.min, s.max)}
 		}
 	}
 	return nil
--- a/internal/decide/reuse/record_test.go
+++ b/internal/decide/reuse/record_test.go
@@ -95,8 +95,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := DecodeReport(b)
-	if err != nil || back.Hot[5] != r.Hot[5] || len(back.Hot) != HotTold {
+	decoded, err := DecodeReport(b)
+	if err != nil || decoded.Hot[5] != r.Hot[5] || len(decoded.Hot) != HotTold {
 		t.Fatalf("%v, %d bytes", err, len(b))
 	}
 	t.Logf("at most %d bytes", len(b))
--- a/internal/decide/reuse/report.go
+++ b/internal/decide/reuse/report.go
@@ -44,14 +44,14 @@
 // MarshalJSON packs them; durations are cut to tenths of a second, counts to a 256th.
 func (u Uses) MarshalJSON() ([]byte, error) {
 	b := make([]byte, 0, useSize*len(u))
-	short := func(ms int64) uint16 { return uint16(min(max(ms/100, 0), math.MaxUint16)) }
+	tenths := func(ms int64) uint16 { return uint16(min(max(ms/100, 0), math.MaxUint16)) }
 	for _, one := range u {
 		b = binary.BigEndian.AppendUint64(b, uint64(one.Prefix))
 		b = binary.BigEndian.AppendUint32(b, uint32(one.Tokens))
 		b = binary.BigEndian.AppendUint32(b, uint32(min(one.Count, 1<<23)*256))
 		b = binary.BigEndian.AppendUint16(b, uint16(min(one.Over*16, math.MaxUint16)))
-		b = binary.BigEndian.AppendUint16(b, short(one.AgeMs))
-		b = binary.BigEndian.AppendUint16(b, short(one.IdleMs))
+		b = binary.BigEndian.AppendUint16(b, tenths(one.AgeMs))
+		b = binary.BigEndian.AppendUint16(b, tenths(one.IdleMs))
 	}
 	return json.Marshal(b)
 }
--- a/internal/decide/reuse/sampler.go
+++ b/internal/decide/reuse/sampler.go
@@ -68,7 +68,7 @@
 // Samples tells whether a key is among those that are followed.
 func (s *Sampler) Samples(k Key) bool { return s.samples(spot(k)) }
 
-func (s *Sampler) samples(spot uint32) bool { return uint64(spot) < s.threshold }
+func (s *Sampler) samples(hash uint32) bool { return uint64(hash) < s.threshold }
 
 // Seen takes all tokens that were used, sampled or not: by it the curve is adjusted for heavy prefixes that the hash happens
 // to take or to leave (SHARDS-adj).
@@ -77,43 +77,43 @@
 // Use takes a use of a prefix, in the order of the stream; what is not sampled is passed over.
 func (s *Sampler) Use(k Key, tokens int) { s.use(spot(k), tokens) }
 
-func (s *Sampler) use(k uint32, tokens int) {
-	if !s.samples(k) || tokens <= 0 {
+func (s *Sampler) use(hash uint32, tokens int) {
+	if !s.samples(hash) || tokens <= 0 {
 		return
 	}
 	if s.next == slots {
 		s.compact()
 	}
 	weight := float64(tokens) / s.Rate()
-	if at := s.find(k); at >= 0 {
-		d := uint64(s.sum) - uint64(s.prefix(int(s.slot[at])+1)) // used after it was used last
-		s.used[at] += float32(tokens)
-		// What it has grown by is new: a session that goes on takes more room with each turn.
-		if grown := tokens - int(s.tokens[at]); grown > 0 {
-			fresh := float64(grown) / s.Rate()
-			s.hist.Cold += fresh
-			s.hist.coldPull += float64(s.used[at]) * fresh
-			weight -= fresh
+	if entry := s.find(hash); entry >= 0 {
+		distance := uint64(s.sum) - uint64(s.prefix(int(s.slot[entry])+1)) // used after it was used last
+		s.used[entry] += float32(tokens)
+		// What it has growth by is new: a session that goes on takes more room with each turn.
+		if growth := tokens - int(s.tokens[entry]); growth > 0 {
+			added := float64(growth) / s.Rate()
+			s.hist.Cold += added
+			s.hist.coldPull += float64(s.used[entry]) * added
+			weight -= added
 		}
-		s.hist.add(float64(d)/s.Rate()+float64(tokens), weight, float64(s.used[at])*weight)
-		s.lift(at)
-		s.tokens[at] = uint32(min(tokens, maxTokens))
-		s.put(at)
+		s.hist.add(float64(distance)/s.Rate()+float64(tokens), weight, float64(s.used[entry])*weight)
+		s.lift(entry)
+		s.tokens[entry] = uint32(min(tokens, maxTokens))
+		s.put(entry)
 		return
 	}
 	s.hist.Cold += weight
 	s.hist.coldPull += float64(tokens) * weight
 	if s.n == Places {
 		s.shrink()
-		if !s.samples(k) {
+		if !s.samples(hash) {
 			return
 		}
 	}
-	at := s.n
+	entry := s.n
 	s.n++
-	s.keys[at], s.tokens[at], s.used[at] = k, uint32(min(tokens, maxTokens)), float32(tokens)
-	s.enter(at)
-	s.put(at)
+	s.keys[entry], s.tokens[entry], s.used[entry] = hash, uint32(min(tokens, maxTokens)), float32(tokens)
+	s.enter(entry)
+	s.put(entry)
 	s.forget()
 }
 
@@ -126,18 +126,18 @@
 }
 
 // put makes an entry the one used last.
-func (s *Sampler) put(at int) {
-	s.slot[at], s.owner[s.next] = uint16(s.next), uint16(at+1)
-	s.weigh(s.next, s.tokens[at])
-	s.sum += uint64(s.tokens[at])
+func (s *Sampler) put(entry int) {
+	s.slot[entry], s.owner[s.next] = uint16(s.next), uint16(entry+1)
+	s.weigh(s.next, s.tokens[entry])
+	s.sum += uint64(s.tokens[entry])
 	s.next++
 }
 
 // lift takes an entry out of the order of uses.
-func (s *Sampler) lift(at int) {
-	s.weigh(int(s.slot[at]), -s.tokens[at])
-	s.owner[s.slot[at]] = 0
-	s.sum -= uint64(s.tokens[at])
+func (s *Sampler) lift(entry int) {
+	s.weigh(int(s.slot[entry]), -s.tokens[entry])
+	s.owner[s.slot[entry]] = 0
+	s.sum -= uint64(s.tokens[entry])
 }
 
 // weigh adds to a slot of the Fenwick tree, modulo 2^32.
@@ -159,10 +159,10 @@
 func (s *Sampler) compact() {
 	to := 0
 	for from := range slots {
-		if o := s.owner[from]; o != 0 {
+		if owner := s.owner[from]; owner != 0 {
 			s.owner[from] = 0
-			s.owner[to] = o
-			s.slot[o-1] = uint16(to)
+			s.owner[to] = owner
+			s.slot[owner-1] = uint16(to)
 			to++
 		}
 	}
@@ -172,79 +172,79 @@
 		s.tree[i+1] = s.tokens[s.owner[i]-1]
 	}
 	for i := 1; i <= slots; i++ {
-		if up := i + i&-i; up <= slots {
-			s.tree[up] += s.tree[i]
+		if parent := i + i&-i; parent <= slots {
+			s.tree[parent] += s.tree[i]
 		}
 	}
 }
 
 // shrink lowers the threshold until a part of the table is free.
 func (s *Sampler) shrink() {
-	var list [Places]uint32
-	copy(list[:], s.keys[:s.n])
-	slices.Sort(list[:s.n])
-	s.threshold = uint64(list[int(shrinkTo*float64(s.n))])
+	var hashes [Places]uint32
+	copy(hashes[:], s.keys[:s.n])
+	slices.Sort(hashes[:s.n])
+	s.threshold = uint64(hashes[int(shrinkTo*float64(s.n))])
 	s.drop()
 }
 
 // drop removes what is not sampled any more.
 func (s *Sampler) drop() {
-	for at := 0; at < s.n; {
-		if s.samples(s.keys[at]) {
-			at++
+	for entry := 0; entry < s.n; {
+		if s.samples(s.keys[entry]) {
+			entry++
 			continue
 		}
-		s.remove(at)
+		s.remove(entry)
 	}
 	clear(s.index[:])
-	for at := range s.n {
-		s.enter(at)
+	for entry := range s.n {
+		s.enter(entry)
 	}
 }
 
 // remove takes an entry out and has the last take its place; the index is made anew by the caller.
-func (s *Sampler) remove(at int) {
-	s.lift(at)
+func (s *Sampler) remove(entry int) {
+	s.lift(entry)
 	s.n--
-	if last := s.n; at != last {
-		s.keys[at], s.tokens[at], s.slot[at], s.used[at] = s.keys[last], s.tokens[last], s.slot[last], s.used[last]
-		s.owner[s.slot[at]] = uint16(at + 1)
+	if last := s.n; entry != last {
+		s.keys[entry], s.tokens[entry], s.slot[entry], s.used[entry] = s.keys[last], s.tokens[last], s.slot[last], s.used[last]
+		s.owner[s.slot[entry]] = uint16(entry + 1)
 	}
 }
 
 // forget removes what was not used within the limit, with some slack so that the index is made anew seldom.
 func (s *Sampler) forget() {
-	if most := s.limit * s.Rate(); s.limit > 0 && float64(s.sum) > 1.1*most {
-		for ; s.low < s.next && float64(s.sum) > most; s.low++ {
-			if o := s.owner[s.low]; o != 0 {
-				s.remove(int(o) - 1)
+	if limit := s.limit * s.Rate(); s.limit > 0 && float64(s.sum) > 1.1*limit {
+		for ; s.low < s.next && float64(s.sum) > limit; s.low++ {
+			if owner := s.owner[s.low]; owner != 0 {
+				s.remove(int(owner) - 1)
 			}
 		}
 		clear(s.index[:])
-		for at := range s.n {
-			s.enter(at)
+		for entry := range s.n {
+			s.enter(entry)
 		}
 	}
 }
 
 // cell is where the index begins to look; a spot's high bits say little, as only low ones are sampled.
-func cell(k uint32) uint32 { return k * 2654435761 >> (32 - 11) }
+func cell(hash uint32) uint32 { return hash * 2654435761 >> (32 - 11) }
 
-func (s *Sampler) find(k uint32) int {
-	for i := cell(k); s.index[i] != 0; i = (i + 1) % cells {
-		if at := int(s.index[i]) - 1; s.keys[at] == k {
-			return at
+func (s *Sampler) find(hash uint32) int {
+	for i := cell(hash); s.index[i] != 0; i = (i + 1) % cells {
+		if entry := int(s.index[i]) - 1; s.keys[entry] == hash {
+			return entry
 		}
 	}
 	return -1
 }
 
-func (s *Sampler) enter(at int) {
-	i := cell(s.keys[at])
+func (s *Sampler) enter(entry int) {
+	i := cell(s.keys[entry])
 	for s.index[i] != 0 {
 		i = (i + 1) % cells
 	}
-	s.index[i] = uint16(at + 1)
+	s.index[i] = uint16(entry + 1)
 }
 
 // Histogram is what a sampler has counted: tokens of uses by reuse distance, in buckets whose bounds grow by a quarter of an
--- a/internal/decide/reuse/value.go
+++ b/internal/decide/reuse/value.go
@@ -40,69 +40,69 @@
 var unknown = used{idleMs: math.Inf(1)}
 
 // in is how a prefix is used in a region.
-func (u *usage) in(p *prefix, a int) *used {
-	if p.known>>a&1 == 0 {
+func (u *usage) in(p *prefix, region int) *used {
+	if p.known>>region&1 == 0 {
 		return &unknown
 	}
 	i := p.first
-	for u.room[i].region != int32(a) {
+	for u.room[i].region != int32(region) {
 		i = u.room[i].next
 	}
 	return &u.room[i]
 }
 
 // enter is the same for one that is to be counted there; uses stay in the order of regions.
-func (u *usage) enter(p *prefix, a int) *used {
-	if p.known>>a&1 == 1 {
-		return u.in(p, a)
+func (u *usage) enter(p *prefix, region int) *used {
+	if p.known>>region&1 == 1 {
+		return u.in(p, region)
 	}
-	p.known |= 1 << a
-	at := &p.first
-	for *at >= 0 && u.room[*at].region < int32(a) {
-		at = &u.room[*at].next
+	p.known |= 1 << region
+	link := &p.first
+	for *link >= 0 && u.room[*link].region < int32(region) {
+		link = &u.room[*link].next
 	}
-	one := used{region: int32(a), next: *at, idleMs: math.Inf(1)}
-	*at = int32(len(u.room))
-	u.room = append(u.room, one)
+	use := used{region: int32(region), next: *link, idleMs: math.Inf(1)}
+	*link = int32(len(u.room))
+	u.room = append(u.room, use)
 	return &u.room[len(u.room)-1]
 }
 
 // gather adds up what the routers of each region say, in the room of an earlier step.
-func (u *usage) gather(m Model, reports []Report, broken Fault, gone float64) {
+func (u *usage) gather(m Model, reports []Report, broken Fault, abandoned float64) {
 	n := len(m.Regions)
 	u.at.reset()
-	hot := 0
+	total := 0
 	for _, r := range reports {
-		hot += len(r.Hot)
+		total += len(r.Hot)
 	}
-	u.list, u.room = slices.Grow(u.list[:0], hot), slices.Grow(u.room[:0], hot)
+	u.list, u.room = slices.Grow(u.list[:0], total), slices.Grow(u.room[:0], total)
 	u.curve, u.rate = make([]Curve, n), make([]float64, n)
 	curves := make([][]Curve, n)
 	for _, r := range reports {
-		a := m.region(r.Region)
-		if a < 0 {
+		region := m.region(r.Region)
+		if region < 0 {
 			continue
 		}
-		curves[a] = append(curves[a], r.Curve)
-		u.rate[a] += r.Rate
+		curves[region] = append(curves[region], r.Curve)
+		u.rate[region] += r.Rate
 		for _, h := range r.Hot {
 			i, known := u.at.enter(h.Prefix)
 			if !known {
 				u.list = append(u.list, prefix{key: h.Prefix, tokens: h.Tokens, first: -1})
 			}
-			one := u.enter(&u.list[i], a)
-			one.count += h.Count
+			use := u.enter(&u.list[i], region)
+			use.count += h.Count
 			if broken == CountsScan {
-				one.count += h.Over
+				use.count += h.Over
 			}
-			one.ageMs, one.idleMs = max(one.ageMs, float64(h.AgeMs)), min(one.idleMs, float64(h.IdleMs))
+			use.ageMs, use.idleMs = max(use.ageMs, float64(h.AgeMs)), min(use.idleMs, float64(h.IdleMs))
 		}
 	}
 	for i := range u.list {
-		u.pace(&u.list[i], gone)
+		u.pace(&u.list[i], abandoned)
 	}
-	for a := range m.Regions {
-		u.curve[a] = Merge(curves[a]...)
+	for region := range m.Regions {
+		u.curve[region] = Merge(curves[region]...)
 	}
 }
 
@@ -122,22 +122,22 @@
 
 func (d *Decider) scales(m Model, v View, u *usage, copies []Copy) *scales {
 	n := len(m.Regions)
-	s := &scales{m: m, u: u, links: make([]*Link, n*n), keeps: make([]float64, n), price: make([]float64, n), closed: make([]bool, n), lost: make([]bool, n), gone: d.gone, least: m.Uses}
+	val := &scales{m: m, u: u, links: make([]*Link, n*n), keeps: make([]float64, n), price: make([]float64, n), closed: make([]bool, n), lost: make([]bool, n), gone: d.gone, least: m.Uses}
 	if d.Broken == CountsScan {
-		s.least = 1
+		val.least = 1
 	}
 	for a, r := range m.Regions {
 		c := v.Conditions[r.Name]
-		s.closed[a], s.lost[a] = c != Up && c != "", c == Lost
-		s.likely = append(s.likely, d.likely[a*n:(a+1)*n])
+		val.closed[a], val.lost[a] = c != Up && c != "", c == Lost
+		val.likely = append(val.likely, d.likely[a*n:(a+1)*n])
 	}
 	for a := range m.Regions {
-		s.settle(a, copies)
+		val.settle(a, copies)
 	}
 	for i, l := range m.Links {
-		s.links[m.region(l.From)*n+m.region(l.To)] = &m.Links[i]
+		val.links[m.region(l.From)*n+m.region(l.To)] = &m.Links[i]
 	}
-	return s
+	return val
 }
 
 // settle comes to how long a region keeps what is not held, and to what a held token costs there.
@@ -147,35 +147,35 @@
 // stand in the curve and do not happen, so they are taken off both the tokens that come new and the curve's slope: what is left
 // is what a little less room costs the rest. Without that, prefixes near the edge of what is kept, which are those worth
 // holding, raise the price of holding each other.
-func (s *scales) settle(a int, copies []Copy) {
-	type one struct{ tokens, rate float64 }
-	var held []one
+func (v *scales) settle(region int, copies []Copy) {
+	type heldCopy struct{ tokens, rate float64 }
+	var held []heldCopy
 	for _, c := range copies {
-		if c.To == s.m.Regions[a].Name {
-			h := one{tokens: float64(c.Tokens)}
-			if i, used := s.u.at.find(c.Prefix); used {
-				h.rate = s.expects(&s.u.list[i], a)
+		if c.To == v.m.Regions[region].Name {
+			h := heldCopy{tokens: float64(c.Tokens)}
+			if i, used := v.u.at.find(c.Prefix); used {
+				h.rate = v.expects(&v.u.list[i], region)
 			}
 			held = append(held, h)
 		}
 	}
-	c, memory, rate := s.u.curve[a], s.m.Regions[a].Memory, s.u.rate[a]
-	room, misses, slopes := memory, 0.0, 0.0
+	curve, memory, rate := v.u.curve[region], v.m.Regions[region].Memory, v.u.rate[region]
+	memoryLeft, misses, slopes := memory, 0.0, 0.0
 	for range settles {
-		s.keeps[a] = c.Keeps(room, rate)
-		room, misses, slopes = memory, 0, 0
+		v.keeps[region] = curve.Keeps(memoryLeft, rate)
+		memoryLeft, misses, slopes = memory, 0, 0
 		for _, h := range held {
-			lost := h.tokens * math.Exp(-h.rate*s.keeps[a])
-			room -= lost
+			lost := h.tokens * math.Exp(-h.rate*v.keeps[region])
+			memoryLeft -= lost
 			misses += h.rate * lost
 			slopes += h.rate * h.rate * lost
 		}
-		room = max(room, memory/10)
+		memoryLeft = max(memoryLeft, memory/10)
 	}
-	all := rate * c.At(room)
+	total := rate * curve.At(memoryLeft)
 	step := memory / 20
-	slope := rate * max(c.At(max(room-step, 1))-c.At(room), 0) / step
-	s.price[a] = max((slope*all-slopes)/max(all-misses, all/4, 1), slope/2)
+	slope := rate * max(curve.At(max(memoryLeft-step, 1))-curve.At(memoryLeft), 0) / step
+	v.price[region] = max((slope*total-slopes)/max(total-misses, total/4, 1), slope/2)
 }
 
 // settles is how often room and time kept are put into each other; they settle at once, as what held prefixes take is small.
@@ -188,53 +188,53 @@
 const leastSaved, leastHeld = 0.1, 0.02
 
 // pushes is how many tokens a second are read again in a region for so many that are held there.
-func (s *scales) pushes(tokens float64, to int) float64 { return s.price[to] * tokens }
+func (v *scales) pushes(tokens float64, to int) float64 { return v.price[to] * tokens }
 
 // pays tells whether holding on to a prefix that is there does: it saves reads, and as many as it has others read again. To be
 // ordered it must gain more.
-func (s *scales) pays(p *prefix, to int) bool {
-	return s.saves(p, to) >= leastHeld && s.expects(p, to) > s.price[to]
+func (v *scales) pays(p *prefix, to int) bool {
+	return v.saves(p, to) >= leastHeld && v.expects(p, to) > v.price[to]
 }
 
 // saves is how many reads of a prefix that is there a lease saves.
-func (s *scales) saves(p *prefix, to int) float64 {
-	rate := s.expects(p, to)
-	return rate * s.m.LeaseMs / 1000 * math.Exp(-rate*s.keeps[to])
+func (v *scales) saves(p *prefix, to int) float64 {
+	rate := v.expects(p, to)
+	return rate * v.m.LeaseMs / 1000 * math.Exp(-rate*v.keeps[to])
 }
 
 // weigh tells what copying a prefix over a link is worth within a lease, if it is used at a rate; nothing
 // where that is surely less than floor for each token.
-func (s *scales) weigh(p *prefix, l *Link, to int, rate, floor float64) worth {
-	// It is there already where it was used within the time that the memory keeps what is not used; then nothing is sent.
-	there := 0.0
-	if s.u.in(p, to).idleMs/1000 < s.keeps[to] {
-		there = 1
+func (v *scales) weigh(p *prefix, link *Link, to int, rate, floor float64) worth {
+	// It is present already where it was used within the time that the memory keeps what is not used; then nothing is sent.
+	present := 0.0
+	if v.u.in(p, to).idleMs/1000 < v.keeps[to] {
+		present = 1
 	}
 	tokens := float64(p.tokens)
-	horizon := s.m.LeaseMs/1000 - tokens/(s.m.LinkShare*l.Rate)
-	n := rate * horizon
-	if horizon <= 0 || n <= max(floor, leastSaved) { // more than each use is not saved
+	horizon := v.m.LeaseMs/1000 - tokens/(v.m.LinkShare*link.Rate)
+	uses := rate * horizon
+	if horizon <= 0 || uses <= max(floor, leastSaved) { // more than each use is not saved
 		return worth{}
 	}
-	keeps := s.keeps[to]
-	price, x := l.Price, rate*keeps
-	if s.m.ReadTokens != nil {
-		price += s.m.besides(l) / tokens
+	retention := v.keeps[to]
+	cost, x := link.Price, rate*retention
+	if v.m.ReadTokens != nil {
+		cost += v.m.besides(link) / tokens
 	}
-	price *= 1 - there
+	cost *= 1 - present
 	// No more is saved: 1 − exp(−n) < n − n²/2 + n³/6, and exp(−x) is less than one through the first terms of exp(x).
-	most := (1 - there) * min(n*(1-n*(1./2-n*(1./6))), 1)
-	if (most+(n-most)/(1+x*(1+x*(1./2+x*(1./6+x*(1./24))))))*(1+1e-9) <= price+max(floor, leastSaved) {
+	bound := (1 - present) * min(uses*(1-uses*(1./2-uses*(1./6))), 1)
+	if (bound+(uses-bound)/(1+x*(1+x*(1./2+x*(1./6+x*(1./24))))))*(1+1e-9) <= cost+max(floor, leastSaved) {
 		return worth{}
 	}
-	lost := math.Exp(-x)                      // the chance that it is pushed out between two uses
-	first := (1 - there) * (1 - math.Exp(-n)) // the first use reads it, if there is one
-	saved := tokens * (first + max(n-first, 0)*lost)
-	if saved <= (price+max(floor, leastSaved))*tokens {
+	evictedChance := math.Exp(-x)                     // the chance that it is pushed out between two uses
+	firstUse := (1 - present) * (1 - math.Exp(-uses)) // the first use reads it, if there is one
+	saved := tokens * (firstUse + max(uses-firstUse, 0)*evictedChance)
+	if saved <= (cost+max(floor, leastSaved))*tokens {
 		return worth{}
 	}
 	// Held, it takes room from others, unless it would be there anyway.
-	return worth{rate, saved, price*tokens + s.pushes(tokens, to)*horizon*(1-min((there+first)*(1-lost), 1))}
+	return worth{rate, saved, cost*tokens + v.pushes(tokens, to)*horizon*(1-min((present+firstUse)*(1-evictedChance), 1))}
 }
 
 func (o option) why() string {
@@ -255,56 +255,56 @@
 
 // best are the copies to any region that would save most for each token, and more than they cost by the gain; has tells of
 // those that are there or rest.
-func (s *scales) best(gain float64, has func(k Key, to int) bool) []option {
-	var out []option
+func (v *scales) best(gain float64, occupied func(k Key, to int) bool) []option {
+	var options []option
 	floor := 0.0
-	for i := range s.u.list {
-		p := &s.u.list[i]
+	for i := range v.u.list {
+		p := &v.u.list[i]
 		sources := uint32(0) // where it surely was used often enough, and is kept
-		for at := p.first; at >= 0; at = s.u.room[at].next {
-			if in := &s.u.room[at]; !s.lost[in.region] && in.count >= s.least && in.idleMs/1000 < s.keeps[in.region] {
-				sources |= 1 << in.region
+		for at := p.first; at >= 0; at = v.u.room[at].next {
+			if use := &v.u.room[at]; !v.lost[use.region] && use.count >= v.least && use.idleMs/1000 < v.keeps[use.region] {
+				sources |= 1 << use.region
 			}
 		}
 		if sources == 0 {
 			continue
 		}
-		for to := range s.m.Regions {
-			if s.closed[to] {
+		for to := range v.m.Regions {
+			if v.closed[to] {
 				continue
 			}
 			found, rate := option{}, -1.0
 			for set := sources &^ (1 << to); set > 0; set &= set - 1 {
-				link := s.links[bits.TrailingZeros32(set)*len(s.m.Regions)+to]
+				link := v.links[bits.TrailingZeros32(set)*len(v.m.Regions)+to]
 				if link == nil {
 					continue
 				}
 				if rate < 0 {
-					rate = s.expects(p, to)
+					rate = v.expects(p, to)
 				}
-				if one := s.weigh(p, link, to, rate, floor); one.saved > gain*one.costs && (found.p == nil || one.saved-one.costs > found.saved-found.costs) {
+				if one := v.weigh(p, link, to, rate, floor); one.saved > gain*one.costs && (found.p == nil || one.saved-one.costs > found.saved-found.costs) {
 					found = option{p: p, worth: one, link: link, to: to}
 				}
 			}
-			if s.m.Own && found.p == nil && sources>>to&1 == 1 {
-				own := &Link{To: s.m.Regions[to].Name, Rate: math.Inf(1)}
-				if one := s.weigh(p, own, to, s.expects(p, to), floor); one.saved > gain*one.costs {
+			if v.m.Own && found.p == nil && sources>>to&1 == 1 {
+				own := &Link{To: v.m.Regions[to].Name, Rate: math.Inf(1)}
+				if one := v.weigh(p, own, to, v.expects(p, to), floor); one.saved > gain*one.costs {
 					found = option{p: p, worth: one, link: own, to: to}
 				}
 			}
 			if found.p == nil {
 				continue
 			}
-			if found.each = (found.saved - found.costs) / float64(p.tokens); found.each > floor && !has(p.key, to) {
-				if out = append(out, found); len(out) >= 4*mostOptions {
-					out = first(out, mostOptions)
-					floor = slices.MinFunc(out, func(x, y option) int { return cmp.Compare(x.each, y.each) }).each
+			if found.each = (found.saved - found.costs) / float64(p.tokens); found.each > floor && !occupied(p.key, to) {
+				if options = append(options, found); len(options) >= 4*mostOptions {
+					options = first(options, mostOptions)
+					floor = slices.MinFunc(options, func(x, y option) int { return cmp.Compare(x.each, y.each) }).each
 				}
 			}
 		}
 	}
-	out = first(out, mostOptions)
-	slices.SortFunc(out, func(x, y option) int {
+	options = first(options, mostOptions)
+	slices.SortFunc(options, func(x, y option) int {
 		switch {
 		case x.before(&y):
 			return -1
@@ -313,36 +313,36 @@
 		}
 		return 0
 	})
-	return out
+	return options
 }
 
 // before tells which of two copies saves more for each token; the order of all is whole.
-func (o *option) before(than *option) bool {
+func (o *option) before(other *option) bool {
 	switch {
-	case o.each != than.each:
-		return o.each > than.each
-	case o.p.key != than.p.key:
-		return o.p.key < than.p.key
+	case o.each != other.each:
+		return o.each > other.each
+	case o.p.key != other.p.key:
+		return o.p.key < other.p.key
 	}
-	return o.to < than.to
+	return o.to < other.to
 }
 
 // first are the first n of a list, in any order (quickselect: Hoare 1961).
-func first(list []option, n int) []option {
-	if len(list) <= n {
-		return list
+func first(options []option, n int) []option {
+	if len(options) <= n {
+		return options
 	}
-	for low, high := 0, len(list)-1; low < high; {
-		pivot, i, j := list[(low+high)/2], low, high
+	for low, high := 0, len(options)-1; low < high; {
+		pivot, i, j := options[(low+high)/2], low, high
 		for i <= j {
-			for list[i].before(&pivot) {
+			for options[i].before(&pivot) {
 				i++
 			}
-			for pivot.before(&list[j]) {
+			for pivot.before(&options[j]) {
 				j--
 			}
 			if i <= j {
-				list[i], list[j] = list[j], list[i]
+				options[i], options[j] = options[j], options[i]
 				i, j = i+1, j-1
 			}
 		}
@@ -352,8 +352,8 @@
 		case n-1 >= i:
 			low = i
 		default:
-			return list[:n]
+			return options[:n]
 		}
 	}
-	return list[:n]
+	return options[:n]
 }
--- a/internal/decide/reuse/warm.go
+++ b/internal/decide/reuse/warm.go
@@ -27,11 +27,11 @@
 		return b
 	}
 	names := slices.SortedFunc(maps.Keys(b), func(x, y string) int { return cmp.Or(b[y]-b[x], cmp.Compare(x, y)) })
-	out := Busy{}
+	busiest := Busy{}
 	for _, name := range names[:MaxBusy] {
-		out[name] = b[name]
+		busiest[name] = b[name]
 	}
-	return out
+	return busiest
 }
 
 func (b Busy) valid() bool {
@@ -45,43 +45,43 @@
 
 // MayWarm tells whether a server has so little to do that a prefix may be read to it in background: what this router has
 // there, with what the others said last.
-func (m Model) MayWarm(server string, own int, others []Busy, broken Fault) bool {
+func (m Model) MayWarm(server string, requests int, others []Busy, broken Fault) bool {
 	for _, b := range others {
-		own += b[server]
+		requests += b[server]
 	}
-	return own < m.WarmBelow || broken == WarmsBusy
+	return requests < m.WarmBelow || broken == WarmsBusy
 }
 
 // Turn is how many of the routers that may carry an order out come before one of them: the order's own order among them, by a
 // hash, so that orders are spread and the next takes over from one that can't.
-func (c Copy) Turn(me string, routers []string) (before int) {
+func (c Copy) Turn(router string, routers []string) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprint("copy\x00", c.ID, name)) }
 	for _, name := range routers {
-		if name != me && weight(name) < weight(me) {
-			before++
+		if name != router && weight(name) < weight(router) {
+			earlier++
 		}
 	}
-	return before
+	return earlier
 }
 
 // Held is what servers hold under leases, in tokens, by server.
 func (s *State) Held() map[string]float64 {
-	out := map[string]float64{}
+	tokens := map[string]float64{}
 	for _, c := range s.Copies {
 		if c.Phase == Here {
-			out[c.Server] += float64(c.Tokens)
+			tokens[c.Server] += float64(c.Tokens)
 		}
 	}
-	return out
+	return tokens
 }
 
 // homes tells which server of a region is to hold a prefix, or holds it by itself where those that leave count as well; false: none can.
-func (v View) homes(region string, leaving bool) func(k Key) (Server, bool) {
-	fit := map[string]Server{}
+func (v View) homes(region string, includeDraining bool) func(k Key) (Server, bool) {
+	candidates := map[string]Server{}
 	var names []string
 	for _, s := range v.Servers {
-		if s.Region == region && !s.Draining && (leaving || !v.away(s.ID)) {
-			fit[s.ID] = s
+		if s.Region == region && !s.Draining && (includeDraining || !v.away(s.ID)) {
+			candidates[s.ID] = s
 			names = append(names, s.ID)
 		}
 	}
@@ -90,7 +90,7 @@
 		if home == nil {
 			home = place
 		}
-		s, ok := fit[home(k, names)]
+		s, ok := candidates[home(k, names)]
 		return s, ok
 	}
 }
