--- a/internal/config/reuse_test.go
+++ b/internal/config/reuse_test.go
@@ -30,7 +30,7 @@
 	}
 	for text, want := range map[string]float64{"": 200, "read_tokens = 0\n": 0, "read_tokens = 50\n": 50} {
 		m, err := ReuseOf(someChat + "[reuse]\n" + text + someRegions)
-		if got := m.Costing(200).ReadTokens; err != nil || *got != want {
+		if got := m.WithReadTokens(200).ReadTokens; err != nil || *got != want {
 			t.Errorf("%q: %g, %v", text, *got, err)
 		}
 	}
--- a/internal/decide/reuse/audit_test.go
+++ b/internal/decide/reuse/audit_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// audited has a fleet see flash crowds, scans, restarts and lost regions drawn from a seed, and its states looked at; spoil may
+// runAudited has a fleet see flash crowds, scans, restarts and lost regions drawn from a seed, and its states looked at; spoil may
 // change one before.
-func audited(seed uint64, broken Fault, corrupt func(step int, s *State)) *Auditor {
+func runAudited(seed uint64, broken Fault, corrupt func(step int, s *State)) *Auditor {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(broken)
-	f.m.LeaseMs, f.m.Copies, f.m.Orders = 20_000, 1, 3
-	f.within()
-	auditor := &Auditor{Model: f.m, Regions: map[string]string{}, Never: func(k Key) bool { return k >= 1<<40 }}
+	f.model.LeaseMs, f.model.Copies, f.model.Orders = 20_000, 1, 3
+	f.addLocalLinks()
+	auditor := &Auditor{Model: f.model, Regions: map[string]string{}, Forbidden: func(k Key) bool { return k >= 1<<40 }}
 	for _, s := range f.servers {
 		auditor.Regions[s.ID] = s.Region
 	}
 	for step := range 150 {
-		s := f.second(func() {
+		s := f.advance(func() {
 			for range 12 {
 				f.meters["abc"[step/40%3:step/40%3+1]].Use(Key(100+step/30*10+rng.IntN(8)), 2000, f.now)
 			}
@@ -27,18 +27,18 @@
 			case 0:
 				f.servers[rng.IntN(len(f.servers))].Boot += "x"
 			case 1:
-				f.at["b"] = []Condition{Up, Lost, Held}[rng.IntN(3)]
+				f.conditions["b"] = []Condition{Up, Lost, Held}[rng.IntN(3)]
 			case 2, 3:
-				f.leave(f.servers[rng.IntN(len(f.servers))].ID, 5000)
+				f.drain(f.servers[rng.IntN(len(f.servers))].ID, 5000)
 			case 4:
-				f.leaving = nil // they stay, or are back
+				f.drains = nil // they stay, or are back
 			}
 		})
 		if s != nil {
 			if corrupt != nil {
 				corrupt(step, s)
 			}
-			auditor.Take(s)
+			auditor.Observe(s)
 		}
 	}
 	return auditor
@@ -48,11 +48,11 @@
 func TestAuditor(t *testing.T) {
 	ordered := 0
 	for seed := range uint64(6) {
-		a := audited(seed, "", nil)
-		if len(a.Faults) > 0 {
-			t.Errorf("seed %d: %v", seed, a.Faults[0])
+		a := runAudited(seed, "", nil)
+		if len(a.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, a.Violations[0])
 		}
-		ordered += a.Ordered
+		ordered += a.OrderedCopies
 	}
 	if ordered < 30 {
 		t.Errorf("%d copies were ordered over all seeds", ordered)
@@ -66,23 +66,23 @@
 	}
 	for want, corrupt := range map[string]func(int, *State){
 		"it follows state":          func(step int, s *State) { s.Seq += int64(step % 2) },
-		"was there and is on its":   onFirstCopy(func(_ *State, c *Copy) { c.Phase = []Phase{Here, Ordered}[int(c.AgeMs/1000)%2] }),
+		"was there and is on its":   onFirstCopy(func(_ *State, c *Copy) { c.Phase = []Phase{Present, Ordered}[int(c.AgeMs/1000)%2] }),
 		"a server of":               onFirstCopy(func(_ *State, c *Copy) { c.Server = map[string]string{"a": "b1", "b": "c1", "c": "a1"}[c.To] }),
 		"left of a lease":           onFirstCopy(func(_ *State, c *Copy) { c.LeftMs = 30_000 }),
-		"never ordered":             onFirstCopy(func(s *State, c *Copy) { s.Orders++; c.ID, c.Phase = s.Orders, Here }),
+		"never ordered":             onFirstCopy(func(s *State, c *Copy) { s.LastOrder++; c.ID, c.Phase = s.LastOrder, Present }),
 		"copies take":               onFirstCopy(func(_ *State, c *Copy) { c.Tokens = 1_000_000 }),
 		"which is not to be copied": onFirstCopy(func(_ *State, c *Copy) { c.Prefix = 1 << 41 }),
 		"version":                   func(step int, s *State) { s.Version = int64(step % 2) },
-		"orders go back":            func(step int, s *State) { s.Orders = int64(1000 - step) },
+		"orders go back":            func(step int, s *State) { s.LastOrder = int64(1000 - step) },
 		"at most": onFirstCopy(func(s *State, c *Copy) {
 			for range 3 {
-				s.Orders++
-				s.Copies = append(s.Copies, Copy{ID: s.Orders, Prefix: c.Prefix, Tokens: 1, To: "a", Phase: Ordered})
+				s.LastOrder++
+				s.Copies = append(s.Copies, Copy{ID: s.LastOrder, Prefix: c.Prefix, Tokens: 1, To: "a", Phase: Ordered})
 			}
 		}),
 	} {
-		if a := audited(1, "", corrupt); !strings.Contains(strings.Join(a.Faults, "\n"), want) {
-			t.Errorf("%q is not found: %v", want, a.Faults[:min(len(a.Faults), 2)])
+		if a := runAudited(1, "", corrupt); !strings.Contains(strings.Join(a.Violations, "\n"), want) {
+			t.Errorf("%q is not found: %v", want, a.Violations[:min(len(a.Violations), 2)])
 		}
 	}
 }
--- a/internal/decide/reuse/decide_test.go
+++ b/internal/decide/reuse/decide_test.go
@@ -9,31 +9,31 @@
 
 // fleet is three regions whose routers report each second, with a store that takes what the decider writes.
 type fleet struct {
-	m       Model
-	d       *Decider
-	last    *State
-	now     time.Duration
-	servers []Server
-	at      map[string]Condition
-	meters  map[string]*Meter // by region: one router each
-	words   map[string][]Word
-	rev     int64
-	copies  []Copy // all that were ordered
-	leaving []Leaving
-	seen    int64
-	late    bool // copies do not arrive by themselves
-	audit   Auditor
+	model         Model
+	decider       *Decider
+	last          *State
+	now           time.Duration
+	servers       []Server
+	conditions    map[string]Condition
+	meters        map[string]*Meter // by region: one router each
+	statuses      map[string][]CopyStatus
+	rev           int64
+	orderedCopies []Copy // all that were ordered
+	drains        []Drain
+	outageSeq     int64
+	holdArrivals  bool // copies do not arrive by themselves
+	auditor       Auditor
 }
 
 func newFleet(broken Fault) *fleet {
-	f := &fleet{d: &Decider{Me: "r", Broken: broken}, now: time.Hour, at: map[string]Condition{}, meters: map[string]*Meter{}, words: map[string][]Word{}}
+	f := &fleet{decider: &Decider{Router: "r", Broken: broken}, now: time.Hour, conditions: map[string]Condition{}, meters: map[string]*Meter{}, statuses: map[string][]CopyStatus{}}
 	for _, r := range []string{"a", "b", "c"} {
-		f.m.Regions = append(f.m.Regions, Region{r, 400_000})
+		f.model.Regions = append(f.model.Regions, Region{r, 400_000})
 		f.servers = append(f.servers, Server{ID: r + "1", Region: r, Boot: "1"}, Server{ID: r + "2", Region: r, Boot: "1"})
 		f.meters[r] = NewMeter(2e6)
 		for _, o := range []string{"a", "b", "c"} {
 			if o != r {
-				f.m.Links = append(f.m.Links, Link{From: r, To: o, Rate: 20_000, Price: 0.1})
+				f.model.Links = append(f.model.Links, Link{From: r, To: o, Rate: 20_000, Price: 0.1})
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 
 // churn has each region use sessions of its own, which push out what is not used within about 40 s.
 func (f *fleet) churn() {
-	for _, r := range f.m.Regions {
+	for _, r := range f.model.Regions {
 		for range 10 {
 			f.rev++
 			f.meters[r.Name].Use(Key(1<<40+f.rev), 1000, f.now)
@@ -50,46 +50,46 @@
 	}
 }
 
-// second passes a second and steps.
-func (f *fleet) second(draw func()) *State {
+// advance passes a advance and steps.
+func (f *fleet) advance(draw func()) *State {
 	f.now += time.Second
 	f.churn()
 	draw()
 	var reports []Report
-	for _, r := range f.m.Regions {
+	for _, r := range f.model.Regions {
 		m := f.meters[r.Name]
-		s := m.Taken(f.now)
-		m.Heard(s, f.now, 0)
+		s := m.TakeSample(f.now)
+		m.AddSample(s, f.now, 0)
 		f.rev++
-		reports = append(reports, Report{Router: r.Name + "-r", Region: r.Name, Sample: s, Curve: m.Curve(), Rate: s.Seen, Hot: m.Hot(f.now), Copies: f.words[r.Name], Rev: f.rev})
-		f.words[r.Name] = nil
+		reports = append(reports, Report{Router: r.Name + "-r", Region: r.Name, Sample: s, Curve: m.Curve(), Rate: s.TotalTokens, Hot: m.Hot(f.now), Copies: f.statuses[r.Name], Rev: f.rev})
+		f.statuses[r.Name] = nil
 	}
 	return f.step(reports)
 }
 
 func (f *fleet) step(reports []Report) *State {
-	s := f.d.Next(View{Model: f.m, Last: f.last, Reports: reports, Servers: f.servers, Conditions: f.at, Leaving: f.leaving, Seen: f.seen}, f.now)
+	s := f.decider.Next(View{Model: f.model, Last: f.last, Reports: reports, Servers: f.servers, Conditions: f.conditions, Drains: f.drains, OutageSeq: f.outageSeq}, f.now)
 	if s != nil {
 		known := int64(0)
 		if f.last != nil {
-			known = f.last.Orders
+			known = f.last.LastOrder
 		}
 		for _, c := range s.Copies {
 			if c.ID > known {
-				f.copies = append(f.copies, c)
-				if !f.late {
-					f.words[c.To] = append(f.words[c.To], Word{ID: c.ID, Here: true})
+				f.orderedCopies = append(f.orderedCopies, c)
+				if !f.holdArrivals {
+					f.statuses[c.To] = append(f.statuses[c.To], CopyStatus{ID: c.ID, Arrived: true})
 				}
 			}
 		}
 		f.last = s
-		f.audit.Model = f.m
-		f.audit.Take(s)
+		f.auditor.Model = f.model
+		f.auditor.Observe(s)
 	}
 	return s
 }
 
-func (f *fleet) to(region string, key Key) *Copy {
+func (f *fleet) copyAt(region string, key Key) *Copy {
 	if f.last != nil {
 		for i, c := range f.last.Copies {
 			if c.To == region && c.Prefix == key {
@@ -100,17 +100,17 @@
 	return nil
 }
 
-const crowd = Key(77)
+const flashKey = Key(77)
 
-// flash has an opening come up at all regions but the last, five times a second.
-func (f *fleet) flash(seconds int) (copiedAfter int) {
+// flashCrowd has an opening come up at all regions but the last, five times a second.
+func (f *fleet) flashCrowd(seconds int) (copiedAfter int) {
 	for i := range seconds {
-		f.second(func() {
+		f.advance(func() {
 			for range 5 {
-				f.meters["a"].Use(crowd, 3000, f.now)
+				f.meters["a"].Use(flashKey, 3000, f.now)
 			}
 		})
-		if copiedAfter == 0 && f.to("b", crowd) != nil {
+		if copiedAfter == 0 && f.copyAt("b", flashKey) != nil {
 			copiedAfter = i + 1
 		}
 	}
@@ -122,60 +122,60 @@
 func TestFlashAndScan(t *testing.T) {
 	f := newFleet("")
 	for range 60 {
-		f.second(func() {})
+		f.advance(func() {})
 	}
-	if len(f.copies) > 0 {
-		t.Fatalf("sessions used once are copied: %+v", f.copies[0])
+	if len(f.orderedCopies) > 0 {
+		t.Fatalf("sessions used once are copied: %+v", f.orderedCopies[0])
 	}
-	if copiedAfter := f.flash(10); copiedAfter == 0 || copiedAfter > 5 {
+	if copiedAfter := f.flashCrowd(10); copiedAfter == 0 || copiedAfter > 5 {
 		t.Errorf("copied after %d s", copiedAfter)
 	}
 	for _, broken := range []Fault{"", CountsScan} {
 		f := newFleet(broken)
 		for range 120 {
-			f.second(func() {
+			f.advance(func() {
 				for range 20 {
 					f.rev++
 					f.meters["a"].Use(Key(1<<50+f.rev), 3000, f.now)
 				}
 			})
 		}
-		if n := len(f.copies); (n > 0) != (broken == CountsScan) {
+		if n := len(f.orderedCopies); (n > 0) != (broken == CountsScan) {
 			t.Errorf("%q: a scan triggers %d copies", broken, n)
 		}
 	}
 }
 
 // What a copy costs whatever its length keeps short openings where they are, and long ones not; it counts for what is sent only.
-func TestShortOpeningsStay(t *testing.T) {
+func TestShortPrefixesAreNotCopied(t *testing.T) {
 	for _, c := range []struct {
 		readTokens, tokens float64
 		holdOwn, copied    bool
 	}{{0, 60, false, true}, {200, 60, false, false}, {200, 2000, false, true}, {200, 60, true, true}} {
 		f := newFleet("")
-		f.m = f.m.Costing(c.readTokens)
+		f.model = f.model.WithReadTokens(c.readTokens)
 		if c.holdOwn {
-			f.m.Own, f.m.Links = true, nil
+			f.model.HoldOwn, f.model.Links = true, nil
 		}
 		for range 30 {
-			f.second(func() {})
+			f.advance(func() {})
 		}
 		for range 40 {
-			f.second(func() {
+			f.advance(func() {
 				if f.now/time.Second%20 < 2 { // it would be pushed out in between now and then
-					f.meters["a"].Use(crowd, int(c.tokens), f.now)
+					f.meters["a"].Use(flashKey, int(c.tokens), f.now)
 				}
 			})
 		}
-		if got := len(f.copies) > 0; got != c.copied {
-			t.Errorf("%+v: %v", c, f.copies)
+		if got := len(f.orderedCopies) > 0; got != c.copied {
+			t.Errorf("%+v: %v", c, f.orderedCopies)
 		}
 	}
 }
 
 // Copies end with their server's process, its drain, its region and one report of loss; nothing is copied into a region that
 // is lost, returning or held; what is released rests.
-func TestEndsByEvidence(t *testing.T) {
+func TestCopyEndsWithItsServerOrRegion(t *testing.T) {
 	for name, cause := range map[string]func(f *fleet, c *Copy){
 		"boot": func(f *fleet, c *Copy) {
 			for i := range f.servers {
@@ -188,23 +188,23 @@
 			}
 		},
 		"leave": func(f *fleet, c *Copy) { f.servers = nil },
-		"lost":  func(f *fleet, c *Copy) { f.at["b"] = Lost },
-		"word":  func(f *fleet, c *Copy) { f.words["c"] = []Word{{ID: c.ID, Gone: true}} },
+		"lost":  func(f *fleet, c *Copy) { f.conditions["b"] = Lost },
+		"word":  func(f *fleet, c *Copy) { f.statuses["c"] = []CopyStatus{{ID: c.ID, Lost: true}} },
 	} {
 		for _, broken := range []Fault{"", BelievesAfterRestart} {
 			f := newFleet(broken)
 			for range 30 {
-				f.second(func() {})
+				f.advance(func() {})
 			}
-			f.flash(10)
-			c := f.to("b", crowd)
-			if c == nil || c.Phase != Here {
+			f.flashCrowd(10)
+			c := f.copyAt("b", flashKey)
+			if c == nil || c.Phase != Present {
 				t.Fatalf("%s: no copy: %+v", name, c)
 			}
 			id := c.ID
 			cause(f, c)
-			f.flash(1)
-			c = f.to("b", crowd)
+			f.flashCrowd(1)
+			c = f.copyAt("b", flashKey)
 			remains := c != nil && c.ID == id
 			if remains != (name == "boot" && broken != "") {
 				t.Errorf("%s, %q: the copy stays: %v", name, broken, remains)
@@ -213,9 +213,9 @@
 	}
 	for _, c := range []Condition{Lost, Returning, Held} {
 		f := newFleet("")
-		f.at["b"] = c
-		f.flash(10)
-		if f.to("b", crowd) != nil {
+		f.conditions["b"] = c
+		f.flashCrowd(10)
+		if f.copyAt("b", flashKey) != nil {
 			t.Errorf("copied into a region that is %s", c)
 		}
 	}
@@ -225,14 +225,14 @@
 func TestHysteresisAndBounds(t *testing.T) {
 	for _, broken := range []Fault{"", NoHysteresis} {
 		f := newFleet(broken)
-		f.m.LeaseMs = 8000
+		f.model.LeaseMs = 8000
 		for range 30 {
-			f.second(func() {})
+			f.advance(func() {})
 		}
 		recopied, id, releasedAt := 0, int64(0), time.Duration(0)
 		for range 60 {
-			f.flash(1)
-			switch c := f.to("b", crowd); {
+			f.flashCrowd(1)
+			switch c := f.copyAt("b", flashKey); {
 			case c == nil && id > 0:
 				id, releasedAt = 0, f.now
 			case c != nil && c.ID != id:
@@ -243,19 +243,19 @@
 			}
 		}
 		if (recopied > 0) != (broken == NoHysteresis) {
-			t.Errorf("%q: %d of %d copies come again within a lease", broken, recopied, len(f.copies))
+			t.Errorf("%q: %d of %d copies come again within a lease", broken, recopied, len(f.orderedCopies))
 		}
 	}
 	f := newFleet("")
-	f.m.Orders, f.m.Copies, f.m.LinkShare = 3, 1, 0.25
+	f.model.Orders, f.model.Copies, f.model.LinkShare = 3, 1, 0.25
 	for range 20 {
-		f.second(func() {
+		f.advance(func() {
 			for i := range 40 {
 				f.meters["a"].Use(Key(500+i), 3000, f.now)
 			}
 		})
 		sent, tokens, prefixes := map[string]float64{}, map[string]float64{}, map[Key]int{}
-		for _, c := range f.copies {
+		for _, c := range f.orderedCopies {
 			sent[c.From+c.To] += float64(c.Tokens)
 		}
 		ordered := 0
@@ -282,8 +282,8 @@
 			}
 		}
 	}
-	if len(f.copies) < 5 {
-		t.Errorf("%d copies", len(f.copies))
+	if len(f.orderedCopies) < 5 {
+		t.Errorf("%d copies", len(f.orderedCopies))
 	}
 }
 
@@ -297,12 +297,12 @@
 // A setting that cannot be used is named, with what to do; so is a record.
 func TestErrors(t *testing.T) {
 	f := newFleet("")
-	if err := f.m.Filled().Check(); err != nil {
+	if err := f.model.Filled().Check(); err != nil {
 		t.Error(err)
 	}
-	f.m.Links[2].Rate = -1
+	f.model.Links[2].Rate = -1
 	var modelErr *ModelError
-	if err := f.m.Filled().Check(); !errors.As(err, &modelErr) || modelErr.Key != "link[2]" || modelErr.Advice() == "" {
+	if err := f.model.Filled().Check(); !errors.As(err, &modelErr) || modelErr.Key != "link[2]" || modelErr.Advice() == "" {
 		t.Error(err)
 	}
 	var recordErr *RecordError
@@ -314,13 +314,13 @@
 // BenchmarkDecider is one step over 100 routers in 5 regions, which name as many different prefixes as their reports may, and
 // 100,000, far more than they may.
 func BenchmarkDecider(b *testing.B) {
-	for _, perRouter := range []int{HotTold, 1000} {
-		b.Run(fmt.Sprint(100*perRouter, " prefixes"), func(b *testing.B) { steps(b, perRouter, 0) })
-		b.Run(fmt.Sprint(100*perRouter, " prefixes, five servers leave"), func(b *testing.B) { steps(b, perRouter, 5) })
+	for _, perRouter := range []int{MaxHotReported, 1000} {
+		b.Run(fmt.Sprint(100*perRouter, " prefixes"), func(b *testing.B) { benchmarkSteps(b, perRouter, 0) })
+		b.Run(fmt.Sprint(100*perRouter, " prefixes, five servers leave"), func(b *testing.B) { benchmarkSteps(b, perRouter, 5) })
 	}
 }
 
-func steps(b *testing.B, perRouter, draining int) {
+func benchmarkSteps(b *testing.B, perRouter, draining int) {
 	m := Model{}
 	var servers []Server
 	for i := range 5 {
@@ -339,10 +339,10 @@
 		}
 	}
 	meter := NewMeter(100e6)
-	for i, u := range stream(1, 20_000, 1, 0) {
+	for i, u := range drawStream(1, 20_000, 1, 0) {
 		meter.Use(u.key, u.tokens, u.at)
 		if i%500 == 0 {
-			meter.Heard(meter.Taken(u.at), u.at, 0)
+			meter.AddSample(meter.TakeSample(u.at), u.at, 0)
 		}
 	}
 	var reports []Report
@@ -353,10 +353,10 @@
 		}
 		reports = append(reports, report)
 	}
-	d := &Decider{Me: "r"}
+	d := &Decider{Router: "r"}
 	v := View{Model: m, Reports: reports, Servers: servers}
 	for i := range draining {
-		v.Leaving = append(v.Leaving, Leaving{fmt.Sprint("z", i, "-0"), 1, 60_000})
+		v.Drains = append(v.Drains, Drain{fmt.Sprint("z", i, "-0"), 1, 60_000})
 	}
 	now := time.Hour
 	for b.Loop() {
--- a/internal/decide/reuse/expect_test.go
+++ b/internal/decide/reuse/expect_test.go
@@ -6,7 +6,7 @@
 )
 
 // What a session has grown by is new; what it had is used again.
-func TestGrowthIsNew(t *testing.T) {
+func TestGrowthCountsAsCold(t *testing.T) {
 	s := NewSampler(1e6)
 	s.Use(1, 100)
 	s.Use(1, 300)
@@ -21,23 +21,23 @@
 
 // A prefix used in one region is expected in another at once, and no more after long silence there, sooner where few come; one
 // that has been used there and is silent everywhere is expected less than one that is silent there alone.
-func TestExpects(t *testing.T) {
+func TestExpectedRate(t *testing.T) {
 	m := Model{Regions: []Region{{"a", 1e6}, {"b", 1e6}, {"c", 1e6}}}.Filled()
 	expected := func(share float64, hot ...[]Use) float64 {
 		var reports []Report
 		for a, list := range hot {
 			reports = append(reports, Report{Region: m.Regions[a].Name, Hot: list})
 		}
-		d := &Decider{gone: goneFirst}
-		d.uses.gather(m, reports, "", d.gone)
-		d.learn(m, &State{}, &d.uses)
-		for i := range d.likely {
-			d.likely[i] = likely{[2]float64{share, 0.9}, 1}
+		d := &Decider{abandoned: initialAbandoned}
+		d.usage.aggregate(m, reports, "", d.abandoned)
+		d.learnSpillover(m, &State{}, &d.usage)
+		for i := range d.spillovers {
+			d.spillovers[i] = spillover{[2]float64{share, 0.9}, 1}
 		}
-		return d.scales(m, View{}, &d.uses, nil).expects(&d.uses.list[0], 1)
+		return d.newValuer(m, View{}, &d.usage, nil).expectedRate(&d.usage.prefixes[0], 1)
 	}
 	uses := func(count float64, age, idle int64) []Use {
-		return []Use{{Prefix: crowd, Tokens: 1000, Count: count, AgeMs: age * 1000, IdleMs: idle * 1000}}
+		return []Use{{Prefix: flashKey, Tokens: 1000, Count: count, AgeMs: age * 1000, IdleMs: idle * 1000}}
 	}
 	early, late, rare := expected(0.5, uses(10, 10, 1)), expected(0.5, uses(25, 300, 1)), expected(0.1, uses(10, 10, 1))
 	if early < 0.01 || late > early/10 || rare > early/2 {
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -15,18 +15,18 @@
 	Releases turn.Judged `json:"releases,omitzero"`
 }
 
-// found notes a copy's first use.
-func (s *State) found(c *Copy) {
+// recordUse notes a copy's first use.
+func (s *State) recordUse(c *Copy) {
 	if !c.Used {
 		c.Used = true
 		s.Hindsight.Copies.Settle(turn.Right)
 	}
 }
 
-// let settles what a copy was for that ends, and tells whether its release is asked about: it was decided, and its opening rests.
-func (s *State) let(c Copy, cooldownMs float64, reason string) (pending bool) {
-	decided := reason == unused || reason == crowded || reason == enough
-	if !c.Used && decided && c.Phase == Here {
+// settleCopy settles what a copy was for that ends, and tells whether its release is asked about: it was decided, and its opening rests.
+func (s *State) settleCopy(c Copy, cooldownMs float64, reason string) (pending bool) {
+	decided := reason == reasonUnused || reason == reasonCrowded || reason == reasonNoBenefit
+	if !c.Used && decided && c.Phase == Present {
 		s.Hindsight.Copies.Settle(turn.Wrong)
 	} else if !c.Used {
 		s.Hindsight.Copies.Settle(turn.Void)
@@ -37,38 +37,38 @@
 	return pending
 }
 
-// over settles the release that a rest is of, where that is asked about and has not been settled.
-func (s *State) over(r *Rest, verdict turn.Verdict) {
-	if r.Asked {
-		r.Asked = false
+// settleRelease settles the release that a rest is of, where that is asked about and has not been settled.
+func (s *State) settleRelease(r *Cooldown, verdict turn.Verdict) {
+	if r.Pending {
+		r.Pending = false
 		s.Hindsight.Releases.Settle(verdict)
 	}
 }
 
-// again settles releases by whether their openings were used in their regions since; it tells whether any was. How long ago
+// settleReleases settles releases by whether their openings were used in their regions since; it tells whether any was. How long ago
 // a use was is as old as its report, so uses shortly after a release are not taken for it: they may be from before.
-func (s *State) again(m Model, u *usage) (any bool) {
-	for i := range s.Rests {
-		r := &s.Rests[i]
-		if !r.Asked {
+func (s *State) settleReleases(m Model, u *usage) (any bool) {
+	for i := range s.Cooldowns {
+		r := &s.Cooldowns[i]
+		if !r.Pending {
 			continue
 		}
-		region := m.region(r.To)
-		place, used := u.at.find(r.Prefix)
+		region := m.regionIndex(r.To)
+		place, used := u.index.find(r.Prefix)
 		switch {
-		case used && region >= 0 && u.in(&u.list[place], region).idleMs+freshFor*m.ReportMs < r.SinceMs:
-			s.over(r, turn.Wrong)
+		case used && region >= 0 && u.inRegion(&u.prefixes[place], region).idleMs+freshPeriods*m.ReportMs < r.SinceMs:
+			s.settleRelease(r, turn.Wrong)
 		case r.SinceMs >= m.LeaseMs:
-			s.over(r, turn.Right)
+			s.settleRelease(r, turn.Right)
 		}
-		any = any || !r.Asked
+		any = any || !r.Pending
 	}
-	s.Rests = slices.DeleteFunc(s.Rests, func(r Rest) bool { return r.LeftMs <= 0 && !r.Asked })
+	s.Cooldowns = slices.DeleteFunc(s.Cooldowns, func(r Cooldown) bool { return r.LeftMs <= 0 && !r.Pending })
 	return any
 }
 
-// hindsight looks at the counts: they go on, and no more is open than copies that wait for a use and rests that are asked about.
-func (a *Auditor) hindsight(s *State) {
+// checkHindsight looks at the counts: they go on, and no more is open than copies that wait for a use and rests that are asked about.
+func (a *Auditor) checkHindsight(s *State) {
 	previous := Hindsight{}
 	if a.last != nil {
 		previous = a.last.Hindsight
@@ -78,7 +78,7 @@
 		current, before turn.Judged
 	}{{"copies", s.Hindsight.Copies, previous.Copies}, {"releases", s.Hindsight.Releases, previous.Releases}} {
 		if bad := entry.current.Follows(entry.before); bad != "" {
-			a.fault(s, "%s in hindsight: %s", entry.kind, bad)
+			a.addViolation(s, "%s in hindsight: %s", entry.kind, bad)
 		}
 	}
 	unused, pending := int64(0), int64(0)
@@ -87,12 +87,12 @@
 			unused++
 		}
 	}
-	for _, r := range s.Rests {
-		if r.Asked {
+	for _, r := range s.Cooldowns {
+		if r.Pending {
 			pending++
 		}
 	}
 	if h := s.Hindsight; h.Copies.Open > unused || h.Releases.Open > pending {
-		a.fault(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, unused, pending)
+		a.addViolation(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, unused, pending)
 	}
 }
--- a/internal/decide/reuse/hindsight_test.go
+++ b/internal/decide/reuse/hindsight_test.go
@@ -12,7 +12,7 @@
 func TestCopiesInHindsight(t *testing.T) {
 	idle := func(f *fleet, seconds int) {
 		for range seconds {
-			f.second(func() {})
+			f.advance(func() {})
 		}
 	}
 	for _, c := range []struct {
@@ -22,18 +22,18 @@
 	}{
 		{"found", func(f *fleet) {
 			for _, r := range []string{"b", "c"} {
-				f.words[r] = append(f.words[r], Word{ID: f.to(r, crowd).ID, Used: 1})
-				f.meters[r].Use(crowd, 3000, f.now)
+				f.statuses[r] = append(f.statuses[r], CopyStatus{ID: f.copyAt(r, flashKey).ID, Hits: 1})
+				f.meters[r].Use(flashKey, 3000, f.now)
 			}
 			idle(f, 90)
 		}, turn.Judged{Right: 2}, turn.Judged{Right: 2}},
 		{"not found, and not asked for", func(f *fleet) { idle(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
 		{"not found, asked for afterwards", func(f *fleet) {
-			for f.to("b", crowd) != nil {
+			for f.copyAt("b", flashKey) != nil {
 				idle(f, 1)
 			}
 			idle(f, 20)
-			f.meters["b"].Use(crowd, 3000, f.now)
+			f.meters["b"].Use(flashKey, 3000, f.now)
 			idle(f, 90)
 		}, turn.Judged{Wrong: 2}, turn.Judged{Right: 1, Wrong: 1}},
 		{"its server starts again", func(f *fleet) {
@@ -44,23 +44,23 @@
 		}, turn.Judged{Void: 2}, turn.Judged{}},
 	} {
 		f := newFleet("")
-		f.m.LeaseMs = 40_000
-		f.flash(10)
+		f.model.LeaseMs = 40_000
+		f.flashCrowd(10)
 		idle(f, 5)
 		c.after(f)
 		h := f.last.Hindsight
 		if h.Copies != c.copies || h.Releases != c.releases {
-			t.Errorf("%s: copies %v, releases %v; %+v %+v %+v", c.name, h.Copies, h.Releases, f.last.Copies, f.last.Rests, f.last.Notes)
+			t.Errorf("%s: copies %v, releases %v; %+v %+v %+v", c.name, h.Copies, h.Releases, f.last.Copies, f.last.Cooldowns, f.last.Notes)
 		}
-		for _, fault := range f.audit.Faults {
+		for _, fault := range f.auditor.Violations {
 			t.Errorf("%s: %s", c.name, fault)
 		}
 		for _, broken := range []Hindsight{{}, {Copies: turn.Judged{Open: 9, Right: 9, Wrong: 9, Void: 9}, Releases: h.Releases}} {
 			s := *f.last
 			s.Seq, s.Hindsight = s.Seq+1, broken
-			b := &Auditor{Model: f.m}
-			b.Take(f.last)
-			if b.Take(&s); len(b.Faults) == 0 {
+			b := &Auditor{Model: f.model}
+			b.Observe(f.last)
+			if b.Observe(&s); len(b.Violations) == 0 {
 				t.Errorf("%s: %+v after %+v is not found", c.name, broken, h)
 			}
 		}
--- a/internal/decide/reuse/index_test.go
+++ b/internal/decide/reuse/index_test.go
@@ -10,7 +10,7 @@
 
 // A table of prefixes gives each the place that a map would, also in the room of an earlier step; the first of a list are those that
 // sorting finds, ties among them.
-func TestIndexAndFirst(t *testing.T) {
+func TestIndexAndTopOptions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := index{salt: Key(rapid.Uint64().Draw(t, "salt"))}
 		for range 2 {
@@ -22,20 +22,20 @@
 				if place, found := x.find(k); found != known || found && place != previous {
 					t.Fatalf("key %d is found at %d: %v", k, place, found)
 				}
-				if want[k], _ = x.enter(k); known && want[k] != previous || !known && want[k] != len(want)-1 {
+				if want[k], _ = x.insert(k); known && want[k] != previous || !known && want[k] != len(want)-1 {
 					t.Fatalf("key %d is entered at %d", k, want[k])
 				}
 			}
 		}
 		var list []option
 		for i, value := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 300).Draw(t, "each") {
-			list = append(list, option{p: &prefix{key: Key(i / 3)}, to: i % 3, each: float64(value)})
+			list = append(list, option{p: &prefix{key: Key(i / 3)}, to: i % 3, margin: float64(value)})
 		}
 		compare := func(x, y option) int {
-			return cmp.Or(cmp.Compare(y.each, x.each), cmp.Compare(x.p.key, y.p.key), cmp.Compare(x.to, y.to))
+			return cmp.Or(cmp.Compare(y.margin, x.margin), cmp.Compare(x.p.key, y.p.key), cmp.Compare(x.to, y.to))
 		}
 		all, n := slices.SortedFunc(slices.Values(list), compare), rapid.IntRange(1, len(list)).Draw(t, "n")
-		if got := slices.SortedFunc(slices.Values(first(list, n)), compare); !slices.Equal(got, all[:n]) {
+		if got := slices.SortedFunc(slices.Values(topOptions(list, n)), compare); !slices.Equal(got, all[:n]) {
 			t.Fatalf("%d of %d: %v", n, len(all), got)
 		}
 	})
--- a/internal/decide/reuse/lease_test.go
+++ b/internal/decide/reuse/lease_test.go
@@ -15,18 +15,18 @@
 // leases longer, never shorter.
 func TestLeaseModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if violation := leases(t, ""); violation != "" {
+		if violation := checkLeases(t, ""); violation != "" {
 			t.Fatal(violation)
 		}
 	})
 }
 
 // The model finds a decider that believes in copies after a restart.
-func TestLeaseModelFinds(t *testing.T) {
+func TestLeaseModelFindsStaleCopies(t *testing.T) {
 	found := ""
 	rapid.Check(t, func(t *rapid.T) {
 		if found == "" {
-			found = leases(t, BelievesAfterRestart)
+			found = checkLeases(t, BelievesAfterRestart)
 		}
 	})
 	if found == "" {
@@ -34,16 +34,16 @@
 	}
 }
 
-func leases(t *rapid.T, broken Fault) (violation string) {
+func checkLeases(t *rapid.T, broken Fault) (violation string) {
 	f := newFleet(broken)
-	f.m.LeaseMs = 10_000
+	f.model.LeaseMs = 10_000
 	for i := range 6 { // six prefixes' worth of copies stand there already, under leases that differ
 		if f.last == nil {
 			f.last = &State{Seq: 1, By: "x"}
 		}
-		f.last.Orders++
+		f.last.LastOrder++
 		s := f.servers[i%len(f.servers)]
-		c := Copy{ID: f.last.Orders, Prefix: Key(i), Tokens: 100, From: "elsewhere", To: s.Region, Server: s.ID, Boot: s.Boot, Phase: Here, LeftMs: 10_000}
+		c := Copy{ID: f.last.LastOrder, Prefix: Key(i), Tokens: 100, From: "elsewhere", To: s.Region, Server: s.ID, Boot: s.Boot, Phase: Present, LeftMs: 10_000}
 		if i%3 == 2 {
 			c.Phase = Ordered
 		}
@@ -52,7 +52,7 @@
 	lastUse, lost, idle := map[int64]time.Duration{}, map[int64]bool{}, map[int64]time.Duration{}
 	boots, takeover := 1, f.now
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
-		var statuses []Word
+		var statuses []CopyStatus
 		i := rapid.IntRange(0, len(f.servers)-1).Draw(t, "server")
 		id := int64(rapid.IntRange(1, 6).Draw(t, "copy"))
 		present := map[int64]Copy{}
@@ -61,15 +61,15 @@
 		}
 		switch rapid.SampledFrom([]string{"pass", "pass", "use", "use", "here", "gone", "boot", "drain", "leave", "take over"}).Draw(t, "what") {
 		case "use":
-			if c, found := present[id]; found && c.Phase == Here {
-				statuses = append(statuses, Word{ID: id, Used: 1})
+			if c, found := present[id]; found && c.Phase == Present {
+				statuses = append(statuses, CopyStatus{ID: id, Hits: 1})
 				lastUse[id], idle[id] = f.now, 0
 			}
 		case "here":
-			statuses = append(statuses, Word{ID: id, Here: true})
+			statuses = append(statuses, CopyStatus{ID: id, Arrived: true})
 			idle[id] = 0 // it has a lease from its arrival on
 		case "gone":
-			statuses = append(statuses, Word{ID: id, Gone: true})
+			statuses = append(statuses, CopyStatus{ID: id, Lost: true})
 			lost[id] = true
 		case "boot":
 			boots++
@@ -79,13 +79,13 @@
 		case "leave":
 			f.servers[i].Region, f.servers[i].ID = "c", fmt.Sprint("new", boots, f.now)
 		case "take over":
-			f.d = &Decider{Me: f.d.Me + "x", Broken: broken}
+			f.decider = &Decider{Router: f.decider.Router + "x", Broken: broken}
 			takeover = f.now
 		}
 		elapsed := time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond
 		f.now += elapsed
 		f.rev++
-		if len(statuses) > 0 && statuses[0].Used > 0 {
+		if len(statuses) > 0 && statuses[0].Hits > 0 {
 			lastUse[id] = f.now
 		}
 		before := f.last
@@ -103,7 +103,7 @@
 			if idle[c.ID] += elapsed; idle[c.ID] > 16*time.Second && f.now-takeover > 16*time.Second {
 				return fmt.Sprintf("copy %d was not used for %s and stays", c.ID, idle[c.ID])
 			}
-			if c.Phase == Here && c.LeftMs > 10_000 {
+			if c.Phase == Present && c.LeftMs > 10_000 {
 				return fmt.Sprintf("copy %d has %g ms left", c.ID, c.LeftMs)
 			}
 		}
@@ -118,7 +118,7 @@
 				return fmt.Sprintf("copy %d was used %s ago and is released", c.ID, f.now-since)
 			}
 		}
-		if f.last.Seq < before.Seq || f.last.Orders < before.Orders {
+		if f.last.Seq < before.Seq || f.last.LastOrder < before.LastOrder {
 			return "the state goes back"
 		}
 		out, err := json.Marshal(f.last)
--- a/internal/decide/reuse/mattson_test.go
+++ b/internal/decide/reuse/mattson_test.go
@@ -11,17 +11,17 @@
 	"unsafe"
 )
 
-// drawn is one use in a drawn stream.
-type drawn struct {
+// drawnUse is one use in a drawnUse stream.
+type drawnUse struct {
 	key    Key
 	tokens int
 	at     time.Duration
 	router int
 }
 
-// stream draws uses of openings by Zipf's law whose ranks drift, sessions that use their own opening a few times soon after
+// drawStream draws uses of openings by Zipf's law whose ranks drift, sessions that use their own opening a few times soon after
 // another, and scans of openings that are used once; each use comes to a router at random, or sticks to one by its key.
-func stream(seed uint64, n, routers int, sticky float64) (out []drawn) {
+func drawStream(seed uint64, n, routers int, sticky float64) (out []drawnUse) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	zipf := rand.NewZipf(rng, 1.1, 8, 20000)
 	size := func(k uint64) int { return 200 + int(mix(Key(k)*31)%4000) }
@@ -53,14 +53,14 @@
 		if mix(Key(k)+5)%1000 < uint64(1000*sticky) {
 			r = int(mix(Key(k)+9) % uint64(routers))
 		}
-		out = append(out, drawn{Key(mix(Key(k ^ seed<<50))), size(k), now, r})
+		out = append(out, drawnUse{Key(mix(Key(k ^ seed<<50))), size(k), now, r})
 	}
 	return out
 }
 
-// exact is Mattson's stack algorithm over tokens (Mattson, Gecsei, Slutz, Traiger, "Evaluation techniques for storage
+// exactMissRatios is Mattson's stack algorithm over tokens (Mattson, Gecsei, Slutz, Traiger, "Evaluation techniques for storage
 // hierarchies", IBM Systems Journal 1970), by a tree of partial sums: the part of tokens missed, by memory.
-func exact(uses []drawn, memories []float64) []float64 {
+func exactMissRatios(uses []drawnUse, memories []float64) []float64 {
 	tree := make([]float64, len(uses)+1)
 	add := func(at int, v float64) {
 		for i := at + 1; i <= len(uses); i += i & -i {
@@ -97,23 +97,23 @@
 	return missed
 }
 
-func grid() (out []float64) {
+func memorySizes() (out []float64) {
 	for m := 2000.0; m <= 30e6; m *= 1.25 {
 		out = append(out, m)
 	}
 	return out
 }
 
-func off(c Curve, memories, exact []float64) (mean float64) {
+func meanError(c Curve, memories, exact []float64) (mean float64) {
 	for i, m := range memories {
-		mean += math.Abs(c.At(m)-exact[i]) / float64(len(memories))
+		mean += math.Abs(c.MissRatio(m)-exact[i]) / float64(len(memories))
 	}
 	return mean
 }
 
-// through has routers take a stream, each with a meter of its own that hears all reports, with delays that differ; the curve
+// routedCurve has routers take a stream, each with a meter of its own that hears all reports, with delays that differ; the curve
 // is the first router's.
-func through(uses []drawn, routers int, period, delay time.Duration, seed uint64) Curve {
+func routedCurve(uses []drawnUse, routers int, period, delay time.Duration, seed uint64) Curve {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	meters := make([]*Meter, routers)
 	nextReport := make([]time.Duration, routers)
@@ -128,19 +128,19 @@
 	for _, u := range uses {
 		for i := range meters {
 			if nextReport[i] <= u.at {
-				inFlight = append(inFlight, report{meters[i].Taken(nextReport[i]), nextReport[i] + time.Duration(rng.Int64N(int64(delay)))})
+				inFlight = append(inFlight, report{meters[i].TakeSample(nextReport[i]), nextReport[i] + time.Duration(rng.Int64N(int64(delay)))})
 				nextReport[i] += period
 			}
 		}
 		slices.SortStableFunc(inFlight, func(a, b report) int { return cmp.Compare(a.at, b.at) })
 		for len(inFlight) > 0 && inFlight[0].at <= u.at {
 			for _, m := range meters[:min(2, routers)] {
-				m.Heard(inFlight[0].sample, inFlight[0].at, period)
+				m.AddSample(inFlight[0].sample, inFlight[0].at, period)
 			}
 			inFlight = inFlight[1:]
 		}
 		for _, m := range meters { // fed back as in service: all meters hear all; the rest need the threshold only
-			m.tap.threshold = min(m.tap.threshold, meters[0].region.threshold)
+			m.collector.threshold = min(m.collector.threshold, meters[0].region.threshold)
 		}
 		meters[u.router].Use(u.key, u.tokens, u.at)
 	}
@@ -150,7 +150,7 @@
 // The curve of a region is within 0.02 of the exact one in the mean, for one router and where the stream is split over many;
 // curves that routers make of their own part alone, merged as they are or with their distances scaled up, are not.
 func TestCurveAgainstMattson(t *testing.T) {
-	memories := grid()
+	memories := memorySizes()
 	for _, sticky := range []float64{0, 0.5, 1} {
 		for _, routers := range []int{1, 5, 20} {
 			var sum, worst, raw, scaled float64
@@ -159,27 +159,27 @@
 				seeds = 5
 			}
 			for seed := range uint64(seeds) {
-				uses := stream(seed, 120_000, routers, sticky)
-				truth := exact(uses, memories)
-				meanErr := off(through(uses, routers, time.Second, 300*time.Millisecond, seed), memories, truth)
+				uses := drawStream(seed, 120_000, routers, sticky)
+				truth := exactMissRatios(uses, memories)
+				meanErr := meanError(routedCurve(uses, routers, time.Second, 300*time.Millisecond, seed), memories, truth)
 				sum, worst = sum+meanErr/seeds, max(worst, meanErr)
 				var ownCurves, scaledCurves []Curve
 				for r := range routers {
 					sampler, scaledSampler := NewSampler(40e6), NewSampler(40e6)
 					for _, u := range uses {
 						if u.router == r {
-							sampler.Seen(float64(u.tokens))
+							sampler.AddTotal(float64(u.tokens))
 							sampler.Use(u.key, u.tokens)
 						}
 					}
 					scaledSampler.hist = sampler.hist
-					scaledSampler.hist.Buckets = [buckets]float64{}
+					scaledSampler.hist.Buckets = [bucketCount]float64{}
 					for i, v := range sampler.hist.Buckets {
-						scaledSampler.hist.Buckets[bucket(edge(i)*float64(routers)*0.999)] += v
+						scaledSampler.hist.Buckets[bucket(bucketLimit(i)*float64(routers)*0.999)] += v
 					}
 					ownCurves, scaledCurves = append(ownCurves, sampler.Curve()), append(scaledCurves, scaledSampler.Curve())
 				}
-				raw, scaled = raw+off(Merge(ownCurves...), memories, truth)/seeds, scaled+off(Merge(scaledCurves...), memories, truth)/seeds
+				raw, scaled = raw+meanError(Merge(ownCurves...), memories, truth)/seeds, scaled+meanError(Merge(scaledCurves...), memories, truth)/seeds
 			}
 			t.Logf("%.0f%% sticky, %2d routers: mean absolute error %.4f (worst of %.0f seeds %.4f); own parts merged %.4f, scaled by routers %.4f",
 				100*sticky, routers, sum, seeds, worst, raw, scaled)
@@ -198,7 +198,7 @@
 		t.Logf("a meter takes %d bytes", size)
 	}
 	m := NewMeter(40e6)
-	uses := stream(1, 5000, 1, 0)
+	uses := drawStream(1, 5000, 1, 0)
 	if n := testing.AllocsPerRun(1, func() {
 		for _, u := range uses {
 			m.Use(u.key, u.tokens, u.at)
--- a/internal/decide/reuse/model.go
+++ b/internal/decide/reuse/model.go
@@ -28,23 +28,23 @@
 	// ReadTokens is what bringing a prefix costs besides, whatever its length, in tokens read: a read in background is a whole request.
 	// nil: what the way it is brought costs, see Costing; that is nothing for links that send what was read.
 	ReadTokens *float64 `json:"read_tokens,omitempty" toml:"read_tokens,omitempty"`
-	// Own has a region hold prefixes of its own as well, where that pays as it would for a copy; nothing is sent. Servers that
+	// HoldOwn has a region hold prefixes of its own as well, where that pays as it would for a copy; nothing is sent. Servers that
 	// keep what they are told to are needed for it, which chat servers do not: no policy sets it.
-	Own bool `json:"own,omitempty" toml:"-"`
+	HoldOwn bool `json:"own,omitempty" toml:"-"`
 	// ReportMs is how often routers report.
 	ReportMs float64 `json:"report_ms,omitempty" toml:"report_ms,omitzero"`
 }
 
-// Costing is the model with what bringing a prefix costs besides, in tokens, where it does not say.
-func (m Model) Costing(tokens float64) Model {
+// WithReadTokens is the model with what bringing a prefix costs besides, in tokens, where it does not say.
+func (m Model) WithReadTokens(tokens float64) Model {
 	if m.ReadTokens == nil {
 		m.ReadTokens = &tokens
 	}
 	return m
 }
 
-// besides is what bringing a prefix over a link costs whatever its length; what a region holds of its own is not brought.
-func (m Model) besides(l *Link) float64 {
+// fixedCost is what bringing a prefix over a link costs whatever its length; what a region holds of its own is not brought.
+func (m Model) fixedCost(l *Link) float64 {
 	if m.ReadTokens == nil || l.From == "" {
 		return 0
 	}
@@ -67,12 +67,12 @@
 
 // Bounds of what stands in the store: with them a state has at most MaxBytes.
 const (
-	MaxRegions = 16
-	MaxCopies  = 512
-	maxRests   = 128
-	maxNotes   = 16
-	maxName    = 64
-	MaxBytes   = 176 << 10
+	MaxRegions   = 16
+	MaxCopies    = 512
+	maxCooldowns = 128
+	maxNotes     = 16
+	maxName      = 64
+	MaxBytes     = 176 << 10
 )
 
 // On tells whether there is anything to decide.
@@ -120,7 +120,7 @@
 		return &ModelError{"region", fmt.Sprintf("%d of them, must be from 2 to %d", n, MaxRegions)}
 	}
 	for i, r := range m.Regions {
-		if r.Name == "" || len(r.Name) > maxName || m.region(r.Name) != i {
+		if r.Name == "" || len(r.Name) > maxName || m.regionIndex(r.Name) != i {
 			return &ModelError{fmt.Sprintf("region[%d].name", i), fmt.Sprintf("%q is missing, too long or there twice", r.Name)}
 		}
 		if !(r.Memory > 0) || math.IsInf(r.Memory, 0) {
@@ -129,7 +129,7 @@
 	}
 	for i, l := range m.Links {
 		switch {
-		case m.region(l.From) < 0 || m.region(l.To) < 0:
+		case m.regionIndex(l.From) < 0 || m.regionIndex(l.To) < 0:
 			return &ModelError{fmt.Sprintf("link[%d]", i), fmt.Sprintf("it must lead from one region to another or to itself, not from %q to %q", l.From, l.To)}
 		case !(l.Rate > 0) || !(l.Price >= 0) || math.IsInf(l.Rate+l.Price, 0):
 			return &ModelError{fmt.Sprintf("link[%d]", i), fmt.Sprintf("its rate is %g and its price %g", l.Rate, l.Price)}
@@ -139,7 +139,7 @@
 		key             string
 		value, min, max float64
 	}{{"lease_ms", m.LeaseMs, 1000, 3_600_000}, {"share", m.Share, 0, 1}, {"link_share", m.LinkShare, 0, 1}, {"copies", float64(m.Copies), 1, MaxRegions},
-		{"orders", float64(m.Orders), 1, MaxCopies}, {"read_tokens", m.besides(&Link{From: "any"}), 0, 1_000_000}, {"warm_below", float64(m.WarmBelow), 1, 10_000}, {"uses", m.Uses, 1, 1000}, {"gain", m.Gain, 1, 100}, {"report_ms", m.ReportMs, 50, 60_000}} {
+		{"orders", float64(m.Orders), 1, MaxCopies}, {"read_tokens", m.fixedCost(&Link{From: "any"}), 0, 1_000_000}, {"warm_below", float64(m.WarmBelow), 1, 10_000}, {"uses", m.Uses, 1, 1000}, {"gain", m.Gain, 1, 100}, {"report_ms", m.ReportMs, 50, 60_000}} {
 		if !(s.value >= s.min && s.value <= s.max) {
 			return &ModelError{s.key, fmt.Sprintf("%g, must be from %g to %g", s.value, s.min, s.max)}
 		}
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (m Model) region(name string) int {
+func (m Model) regionIndex(name string) int {
 	return slices.IndexFunc(m.Regions, func(r Region) bool { return r.Name == name })
 }
 
--- a/internal/decide/reuse/order.go
+++ b/internal/decide/reuse/order.go
@@ -6,50 +6,50 @@
 )
 
 // spot of a copy: what is where.
-type spotOf struct {
+type copyTarget struct {
 	prefix Key
 	to     string
 }
 
-// order gives orders for the copies that save most for each token on the way, within the bounds.
-func (d *Decider) order(s *State, m Model, v View, u *usage) (any bool) {
-	val := d.scales(m, v, u, s.Copies)
-	if d.Broken != NoHysteresis && s.spare(m, val) {
+// orderCopies gives orders for the copies that save most for each token on the way, within the bounds.
+func (d *Decider) orderCopies(s *State, m Model, v View, u *usage) (any bool) {
+	val := d.newValuer(m, v, u, s.Copies)
+	if d.Broken != NoHysteresis && s.releaseUnneeded(m, val) {
 		any = true
 	}
-	limits := &ledger{d: d, s: s, m: m, held: map[Key]int{}, taken: map[string]float64{}, has: map[spotOf]bool{}, rests: map[spotOf]bool{}}
+	limits := &ledger{decider: d, state: s, model: m, copies: map[Key]int{}, tokens: map[string]float64{}, occupied: map[copyTarget]bool{}, cooldowns: map[copyTarget]bool{}}
 	for _, c := range s.Copies {
 		if c.Phase == Ordered {
-			limits.under++
+			limits.ordered++
 		}
-		limits.held[c.Prefix]++
-		limits.taken[c.To] += float64(c.Tokens)
-		limits.has[spotOf{c.Prefix, c.To}] = true
+		limits.copies[c.Prefix]++
+		limits.tokens[c.To] += float64(c.Tokens)
+		limits.occupied[copyTarget{c.Prefix, c.To}] = true
 	}
 	gain := m.Gain
 	if d.Broken == NoHysteresis {
 		gain = 1
 	} else {
-		for _, r := range s.Rests {
+		for _, r := range s.Cooldowns {
 			if r.LeftMs > 0 {
-				limits.has[spotOf{r.Prefix, r.To}], limits.rests[spotOf{r.Prefix, r.To}] = true, true
+				limits.occupied[copyTarget{r.Prefix, r.To}], limits.cooldowns[copyTarget{r.Prefix, r.To}] = true, true
 			}
 		}
 	}
-	if d.leave(s, v, val, limits) {
+	if d.orderDrainCopies(s, v, val, limits) {
 		any = true
 	}
 	if limits.full() {
 		return any
 	}
-	for _, o := range val.best(gain, func(k Key, to int) bool { return limits.has[spotOf{k, m.Regions[to].Name}] }) {
+	for _, o := range val.bestOptions(gain, func(k Key, to int) bool { return limits.occupied[copyTarget{k, m.Regions[to].Name}] }) {
 		if limits.full() {
 			break
 		}
-		if !limits.fits(o) || !d.affords(m, [2]string{o.link.From, o.link.To}, float64(o.p.tokens), *o.link) {
+		if !limits.fits(o) || !d.withinBudget(m, [2]string{o.link.From, o.link.To}, float64(o.p.tokens), *o.link) {
 			continue
 		}
-		if server, ok := v.homes(m.Regions[o.to].Name, d.Broken == CopiesToLeaving)(o.p.key); ok {
+		if server, ok := v.placement(m.Regions[o.to].Name, d.Broken == CopiesToDraining)(o.p.key); ok {
 			limits.add(o, server, "")
 			any = true
 		}
@@ -57,20 +57,20 @@
 	return any
 }
 
-// spare releases copies that a region keeps as well without a lease, because they are used so often there, and those that push
+// releaseUnneeded releases copies that a region keeps as well without a lease, because they are used so often there, and those that push
 // out more than they save by now: they stay where they are for as long as other things, and make room for others in the bounds.
-func (s *State) spare(m Model, val *scales) (any bool) {
+func (s *State) releaseUnneeded(m Model, val *valuer) (any bool) {
 	tokens := map[string]float64{}
 	kept := s.Copies[:0]
 	for _, c := range s.Copies {
-		to := m.region(c.To)
-		_, draining := s.Leaving[c.Leaves] // it is to be there until that server is back
-		if i, used := val.u.at.find(c.Prefix); used && to >= 0 && c.Phase == Here && !draining && val.u.curve[to].Tokens > 0 && !val.pays(&val.u.list[i], to) {
+		to := m.regionIndex(c.To)
+		_, draining := s.Drains[c.DrainServer] // it is to be there until that server is back
+		if i, used := val.usage.index.find(c.Prefix); used && to >= 0 && c.Phase == Present && !draining && val.usage.curve[to].Tokens > 0 && !val.worthHolding(&val.usage.prefixes[i], to) {
 			cooldownMs := 0.0
-			if val.u.in(&val.u.list[i], to).idleMs > c.AgeMs { // it waits there for its first use
+			if val.usage.inRegion(&val.usage.prefixes[i], to).idleMs > c.AgeMs { // it waits there for its first use
 				cooldownMs = m.LeaseMs
 			}
-			s.release(c, cooldownMs, enough)
+			s.release(c, cooldownMs, reasonNoBenefit)
 			any = true
 			continue
 		}
@@ -79,28 +79,28 @@
 	}
 	s.Copies = kept
 	for to, r := range m.Regions {
-		if limit := m.Share * r.Memory; tokens[r.Name] > tight*limit {
-			any = s.crowd(m, val, to, tokens[r.Name]-slack*limit) || any
+		if limit := m.Share * r.Memory; tokens[r.Name] > highWatermark*limit {
+			any = s.releaseExcess(m, val, to, tokens[r.Name]-lowWatermark*limit) || any
 		}
 	}
 	return any
 }
 
-// Where copies take more than tight of what they may, those that save least go until they take slack of it: what comes new, a
+// Where copies take more than highWatermark of what they may, those that save least go until they take lowWatermark of it: what comes new, a
 // flash crowd above all, finds room.
-const tight, slack = 0.95, 0.85
+const highWatermark, lowWatermark = 0.95, 0.85
 
-// crowd releases the copies of a region that save least for each token, until so many tokens are free.
-func (s *State) crowd(m Model, val *scales, to int, tokens float64) (any bool) {
+// releaseExcess releases the copies of a region that save least for each token, until so many tokens are free.
+func (s *State) releaseExcess(m Model, val *valuer, to int, tokens float64) (any bool) {
 	value := func(c Copy) float64 {
-		if i, used := val.u.at.find(c.Prefix); used {
-			return val.saves(&val.u.list[i], to)
+		if i, used := val.usage.index.find(c.Prefix); used {
+			return val.savedReads(&val.usage.prefixes[i], to)
 		}
 		return 0
 	}
 	var present []Copy
 	for _, c := range s.Copies {
-		if c.To == m.Regions[to].Name && c.Phase == Here {
+		if c.To == m.Regions[to].Name && c.Phase == Present {
 			present = append(present, c)
 		}
 	}
@@ -112,21 +112,21 @@
 		}
 		tokens -= float64(c.Tokens)
 		released[c.ID] = true
-		s.release(c, m.LeaseMs, crowded)
+		s.release(c, m.LeaseMs, reasonCrowded)
 	}
 	s.Copies = slices.DeleteFunc(s.Copies, func(c Copy) bool { return released[c.ID] })
 	return len(released) > 0
 }
 
-// affords tells whether a link has room for a prefix now; one larger than what gathers goes when all of that is there. What a
+// withinBudget tells whether a link has room for a prefix now; one larger than what gathers goes when all of that is there. What a
 // region holds of its own takes none.
-func (d *Decider) affords(m Model, key [2]string, tokens float64, link Link) bool {
-	return link.From == "" || d.purse[key] >= min(tokens, m.LinkShare*link.Rate*burst)
+func (d *Decider) withinBudget(m Model, key [2]string, tokens float64, link Link) bool {
+	return link.From == "" || d.budgets[key] >= min(tokens, m.LinkShare*link.Rate*burstSeconds)
 }
 
-// place is the server that would hold a prefix: the highest by a hash of both, so that a change of the list moves few
+// rendezvousServer is the server that would hold a prefix: the highest by a hash of both, so that a change of the list moves few
 // (rendezvous hashing: Thaler, Ravishankar 1998).
-func place(k Key, servers []string) (best string) {
+func rendezvousServer(k Key, servers []string) (best string) {
 	var highest uint64
 	for i, s := range servers {
 		weight := uint64(k)
--- a/internal/decide/reuse/record_test.go
+++ b/internal/decide/reuse/record_test.go
@@ -28,7 +28,7 @@
 		fl.last = s
 		for i := range 3 {
 			fl.now += time.Second
-			fl.step([]Report{{Router: "x", Region: "a", Rev: int64(i), Hot: []Use{{Prefix: crowd, Tokens: 100, Count: 9, AgeMs: 100}}}})
+			fl.step([]Report{{Router: "x", Region: "a", Rev: int64(i), Hot: []Use{{Prefix: flashKey, Tokens: 100, Count: 9, AgeMs: 100}}}})
 			out, err := json.Marshal(fl.last)
 			if err != nil {
 				t.Fatal(err)
@@ -43,13 +43,13 @@
 // FuzzDecodeReport: a report is read without a panic, and what is read can be heard and decided on.
 func FuzzDecodeReport(f *testing.F) {
 	m := NewMeter(1e6)
-	for i, u := range stream(1, 600, 1, 0) {
+	for i, u := range drawStream(1, 600, 1, 0) {
 		m.Use(u.key, u.tokens, u.at)
 		if i%100 == 0 {
-			m.Heard(m.Taken(u.at), u.at, 0)
+			m.AddSample(m.TakeSample(u.at), u.at, 0)
 		}
 	}
-	r := Report{Router: "r", Region: "a", Sample: m.Taken(time.Minute), Curve: m.Curve(), Rate: m.Rate(), Hot: m.Hot(time.Minute), Copies: []Word{{ID: 1, Used: 2}}}
+	r := Report{Router: "r", Region: "a", Sample: m.TakeSample(time.Minute), Curve: m.Curve(), Rate: m.Rate(), Hot: m.Hot(time.Minute), Copies: []CopyStatus{{ID: 1, Hits: 2}}}
 	b, err := json.Marshal(r)
 	if err != nil {
 		f.Fatal(err)
@@ -67,7 +67,7 @@
 			return
 		}
 		fl := newFleet("")
-		fl.meters["a"].Heard(r.Sample, fl.now, 0)
+		fl.meters["a"].AddSample(r.Sample, fl.now, 0)
 		r.Region, r.Rev = "a", 7
 		if s := fl.step([]Report{*r}); s != nil {
 			out, _ := json.Marshal(s)
@@ -81,35 +81,35 @@
 // A report is at most as long as it says when all of its lists are full, and comes out as it went in.
 func TestReportIsBounded(t *testing.T) {
 	r := Report{Router: strings.Repeat("r", maxName), Region: strings.Repeat("z", maxName), Rate: 1.23456789e9, Curve: Curve{Tokens: 1e15}}
-	r.Sample = Sample{Rate: 0.123456789, Seen: 1e14, Refs: make([]byte, refSize*maxRefs)}
-	for i := range HotTold {
-		r.Hot = append(r.Hot, Use{Prefix: 1<<63 + Key(i), Tokens: maxTokens, Count: 3.5, Over: 2, AgeMs: 6_000_000, IdleMs: 6_000_000})
+	r.Sample = Sample{Rate: 0.123456789, TotalTokens: 1e14, Refs: make([]byte, refSize*maxRefs)}
+	for i := range MaxHotReported {
+		r.Hot = append(r.Hot, Use{Prefix: 1<<63 + Key(i), Tokens: maxTokens, Count: 3.5, Overestimate: 2, AgeMs: 6_000_000, IdleMs: 6_000_000})
 	}
-	for i := range buckets {
+	for i := range bucketCount {
 		r.Curve.Miss = append(r.Curve.Miss, uint16(65535-i))
 	}
-	for range MaxWords {
-		r.Copies = append(r.Copies, Word{ID: 1 << 40, Here: true, Used: 100_000, Gone: true})
+	for range MaxCopyStatuses {
+		r.Copies = append(r.Copies, CopyStatus{ID: 1 << 40, Arrived: true, Hits: 100_000, Lost: true})
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoded, err := DecodeReport(b)
-	if err != nil || decoded.Hot[5] != r.Hot[5] || len(decoded.Hot) != HotTold {
+	if err != nil || decoded.Hot[5] != r.Hot[5] || len(decoded.Hot) != MaxHotReported {
 		t.Fatalf("%v, %d bytes", err, len(b))
 	}
 	t.Logf("at most %d bytes", len(b))
-	s := State{Seq: 1 << 40, Orders: 1 << 40, By: strings.Repeat("r", maxName)}
+	s := State{Seq: 1 << 40, LastOrder: 1 << 40, By: strings.Repeat("r", maxName)}
 	for i := range MaxCopies {
-		s.Copies = append(s.Copies, Copy{ID: 1<<40 - int64(i), Prefix: 1<<64 - 1, Tokens: maxTokens, From: "zone-of-the-north", To: "zone-of-the-south", Server: "server-with-a-long-name-1", Boot: "0123456789abcdef", Phase: Ordered, LeftMs: 239999.123456, AgeMs: 123456789.123456, Leaves: "server-with-a-long-name-2", Used: true})
+		s.Copies = append(s.Copies, Copy{ID: 1<<40 - int64(i), Prefix: 1<<64 - 1, Tokens: maxTokens, From: "zone-of-the-north", To: "zone-of-the-south", Server: "server-with-a-long-name-1", Boot: "0123456789abcdef", Phase: Ordered, LeftMs: 239999.123456, AgeMs: 123456789.123456, DrainServer: "server-with-a-long-name-2", Used: true})
 	}
-	for range maxRests {
-		s.Rests = append(s.Rests, Rest{Prefix: 1<<64 - 1, To: "zone-of-the-south", LeftMs: 480000.123456, Asked: true, SinceMs: 480000.123456})
+	for range maxCooldowns {
+		s.Cooldowns = append(s.Cooldowns, Cooldown{Prefix: 1<<64 - 1, To: "zone-of-the-south", LeftMs: 480000.123456, Pending: true, SinceMs: 480000.123456})
 	}
-	s.Leaving = map[string]Leave{}
-	for i := range MaxLeaving {
-		s.Leaving[fmt.Sprintf("server-with-a-long-name-%02d", i)] = Leave{Turn: 1 << 40, Done: true}
+	s.Drains = map[string]DrainState{}
+	for i := range MaxDrains {
+		s.Drains[fmt.Sprintf("server-with-a-long-name-%02d", i)] = DrainState{Epoch: 1 << 40, Done: true}
 	}
 	b, _ = json.Marshal(s)
 	if _, err := Decode(b); err != nil {
--- a/internal/decide/reuse/report.go
+++ b/internal/decide/reuse/report.go
@@ -16,24 +16,24 @@
 	Rate   float64 `json:"rate"`  // prefix tokens used at this router, a second
 	Hot    Uses    `json:"hot,omitempty"`
 	// Copies are those it has learned something of since its last report, at most MaxWords.
-	Copies []Word `json:"copies,omitempty"`
-	Busy   Busy   `json:"busy,omitempty"`
-	Rev    int64  `json:"-"` // the store's revision of the report
+	Copies []CopyStatus `json:"copies,omitempty"`
+	Busy   Busy         `json:"busy,omitempty"`
+	Rev    int64        `json:"-"` // the store's revision of the report
 }
 
 // Bounds of a report: 2.7 KB of samples, 0.6 KB of a curve, 5.7 KB of hot prefixes, 60 bytes for each copy that it has a
 // word on and 75 for each busy server.
 const (
-	MaxWords  = 256
-	MaxReport = 29 << 10
+	MaxCopyStatuses = 256
+	MaxReport       = 29 << 10
 )
 
-// Word is what a router or server says of one copy.
-type Word struct {
-	ID   int64 `json:"id"`
-	Here bool  `json:"here,omitempty"` // it has arrived
-	Used int   `json:"used,omitempty"` // requests that found it
-	Gone bool  `json:"gone,omitempty"` // its server has it not, or it could not be copied
+// CopyStatus is what a router or server says of one copy.
+type CopyStatus struct {
+	ID      int64 `json:"id"`
+	Arrived bool  `json:"here,omitempty"` // it has arrived
+	Hits    int   `json:"used,omitempty"` // requests that found it
+	Lost    bool  `json:"gone,omitempty"` // its server has it not, or it could not be copied
 }
 
 // Uses are packed in JSON: 22 bytes each, in base64.
@@ -49,7 +49,7 @@
 		b = binary.BigEndian.AppendUint64(b, uint64(one.Prefix))
 		b = binary.BigEndian.AppendUint32(b, uint32(one.Tokens))
 		b = binary.BigEndian.AppendUint32(b, uint32(min(one.Count, 1<<23)*256))
-		b = binary.BigEndian.AppendUint16(b, uint16(min(one.Over*16, math.MaxUint16)))
+		b = binary.BigEndian.AppendUint16(b, uint16(min(one.Overestimate*16, math.MaxUint16)))
 		b = binary.BigEndian.AppendUint16(b, tenths(one.AgeMs))
 		b = binary.BigEndian.AppendUint16(b, tenths(one.IdleMs))
 	}
@@ -62,13 +62,13 @@
 	if err := json.Unmarshal(data, &b); err != nil {
 		return err
 	}
-	if len(b)%useSize != 0 || len(b) > useSize*HotTold {
+	if len(b)%useSize != 0 || len(b) > useSize*MaxHotReported {
 		return fmt.Errorf("%d bytes of uses", len(b))
 	}
 	*u = nil
 	for ; len(b) > 0; b = b[useSize:] {
 		*u = append(*u, Use{Prefix: Key(binary.BigEndian.Uint64(b)), Tokens: int(binary.BigEndian.Uint32(b[8:])), Count: float64(binary.BigEndian.Uint32(b[12:])) / 256,
-			Over: float64(binary.BigEndian.Uint16(b[16:])) / 16, AgeMs: 100 * int64(binary.BigEndian.Uint16(b[18:])), IdleMs: 100 * int64(binary.BigEndian.Uint16(b[20:]))})
+			Overestimate: float64(binary.BigEndian.Uint16(b[16:])) / 16, AgeMs: 100 * int64(binary.BigEndian.Uint16(b[18:])), IdleMs: 100 * int64(binary.BigEndian.Uint16(b[20:]))})
 	}
 	return nil
 }
@@ -95,14 +95,14 @@
 		return &RecordError{Field: "router", Says: "a name is too long"}
 	case !r.Curve.valid():
 		return &RecordError{Field: "curve", Says: "it is no curve"}
-	case !(r.Rate >= 0 && r.Rate < 1e15) || !(r.Sample.Seen >= 0 && r.Sample.Seen < 1e15):
-		return &RecordError{Field: "rate", Says: fmt.Sprintf("%g a second, %g seen", r.Rate, r.Sample.Seen)}
+	case !(r.Rate >= 0 && r.Rate < 1e15) || !(r.Sample.TotalTokens >= 0 && r.Sample.TotalTokens < 1e15):
+		return &RecordError{Field: "rate", Says: fmt.Sprintf("%g a second, %g seen", r.Rate, r.Sample.TotalTokens)}
 	case !(r.Sample.Rate >= 0 && r.Sample.Rate <= 1) || len(r.Sample.Refs)%refSize != 0 || len(r.Sample.Refs) > refSize*maxRefs:
 		return &RecordError{Field: "sample", Says: fmt.Sprintf("%d bytes at a rate of %g", len(r.Sample.Refs), r.Sample.Rate)}
 	case !r.Busy.valid():
 		return &RecordError{Field: "busy", Says: fmt.Sprintf("%d servers, at most %d, or a count below 0", len(r.Busy), MaxBusy)}
-	case len(r.Copies) > MaxWords:
-		return &RecordError{Field: "copies", Says: fmt.Sprintf("%d, at most %d", len(r.Copies), MaxWords)}
+	case len(r.Copies) > MaxCopyStatuses:
+		return &RecordError{Field: "copies", Says: fmt.Sprintf("%d, at most %d", len(r.Copies), MaxCopyStatuses)}
 	}
 	for i, u := range r.Hot {
 		if u.Tokens <= 0 || u.Tokens > maxTokens {
--- a/internal/decide/reuse/sampler.go
+++ b/internal/decide/reuse/sampler.go
@@ -13,14 +13,14 @@
 type Key uint64
 
 const (
-	// Places is how many prefixes a sampler keeps at most.
-	Places = 1700
-	slots  = 2 * Places
-	cells  = 2048 // of the index, a power of two
+	// MaxSampled is how many prefixes a sampler keeps at most.
+	MaxSampled = 1700
+	slots      = 2 * MaxSampled
+	indexCells = 2048 // of the index, a power of two
 	// maxTokens is the longest prefix.
 	maxTokens = 1 << 20
-	// spots is the range of a key's place in the sampling order: a key is sampled while its spot is below the threshold.
-	spots = 1 << 32
+	// hashRange is the range of a key's place in the sampling order: a key is sampled while its spot is below the threshold.
+	hashRange = 1 << 32
 	// shrinkTo is the part of a full table that stays when the threshold falls.
 	shrinkTo = 0.875
 )
@@ -33,9 +33,9 @@
 	return x ^ x>>31
 }
 
-// spot is a key's place in the sampling order, alike at all routers; what is sampled is known by it too. Two prefixes are
-// taken for one when they have one spot: with a full table and a tenth sampled that befalls one new prefix in 250,000.
-func spot(k Key) uint32 { return uint32(mix(k) >> 32) }
+// sampleHash is a key's place in the sampling order, alike at all routers; what is sampled is known by it too. Two prefixes are
+// taken for one when they have one sampleHash: with a full table and a tenth sampled that befalls one new prefix in 250,000.
+func sampleHash(k Key) uint32 { return uint32(mix(k) >> 32) }
 
 // Sampler estimates reuse distances in tokens by spatially hashed sampling in fixed memory (SHARDS: Waldspurger, Park,
 // Garthwaite, Ahmad, "Efficient MRC Construction with SHARDS", FAST '15). Keys whose hash lies below a threshold are followed
@@ -43,112 +43,112 @@
 // weighs its tokens. What was not used within Limit tokens is forgotten, so that an endless stream of new prefixes does not
 // lower the threshold for ever. The zero value is not ready: see NewSampler.
 type Sampler struct {
-	limit     float64 // tokens, 0: none
-	threshold uint64  // sampled are the keys with a lower spot
-	n         int     // entries
-	next, low int     // the slot of the next use; below low all are empty
-	sum       uint64  // tokens of all entries
-	hist      Histogram
-
-	keys   [Places]uint32 // spots
-	tokens [Places]uint32
-	used   [Places]float32 // tokens of all its uses, faded
-	slot   [Places]uint16  // when an entry was used last, as a slot
-	owner  [slots]uint16   // by slot: the entry + 1
-	tree   [slots + 1]uint32
-	index  [cells]uint16 // by hash: the entry + 1
+	limit                float64 // tokens, 0: none
+	threshold            uint64  // sampled are the keys with a lower spot
+	count                int     // entries
+	nextSlot, oldestSlot int     // the slot of the next use; below low all are empty
+	totalTokens          uint64  // tokens of all entries
+	hist                 Histogram
+
+	hashes     [MaxSampled]uint32 // spots
+	tokens     [MaxSampled]uint32
+	usedTokens [MaxSampled]float32 // tokens of all its uses, faded
+	slot       [MaxSampled]uint16  // when an entry was used last, as a slot
+	owner      [slots]uint16       // by slot: the entry + 1
+	tree       [slots + 1]uint32
+	index      [indexCells]uint16 // by hash: the entry + 1
 }
 
 // NewSampler gives one that forgets what was not used within limit tokens (0: it forgets nothing).
-func NewSampler(limit float64) *Sampler { return &Sampler{limit: limit, threshold: spots} }
+func NewSampler(limit float64) *Sampler { return &Sampler{limit: limit, threshold: hashRange} }
 
 // Rate is the part of all prefixes that is sampled.
-func (s *Sampler) Rate() float64 { return float64(s.threshold) / spots }
+func (s *Sampler) Rate() float64 { return float64(s.threshold) / hashRange }
 
 // Samples tells whether a key is among those that are followed.
-func (s *Sampler) Samples(k Key) bool { return s.samples(spot(k)) }
+func (s *Sampler) Samples(k Key) bool { return s.samples(sampleHash(k)) }
 
 func (s *Sampler) samples(hash uint32) bool { return uint64(hash) < s.threshold }
 
-// Seen takes all tokens that were used, sampled or not: by it the curve is adjusted for heavy prefixes that the hash happens
+// AddTotal takes all tokens that were used, sampled or not: by it the curve is adjusted for heavy prefixes that the hash happens
 // to take or to leave (SHARDS-adj).
-func (s *Sampler) Seen(tokens float64) { s.hist.Seen += tokens }
+func (s *Sampler) AddTotal(tokens float64) { s.hist.Total += tokens }
 
 // Use takes a use of a prefix, in the order of the stream; what is not sampled is passed over.
-func (s *Sampler) Use(k Key, tokens int) { s.use(spot(k), tokens) }
+func (s *Sampler) Use(k Key, tokens int) { s.use(sampleHash(k), tokens) }
 
 func (s *Sampler) use(hash uint32, tokens int) {
 	if !s.samples(hash) || tokens <= 0 {
 		return
 	}
-	if s.next == slots {
+	if s.nextSlot == slots {
 		s.compact()
 	}
 	weight := float64(tokens) / s.Rate()
 	if entry := s.find(hash); entry >= 0 {
-		distance := uint64(s.sum) - uint64(s.prefix(int(s.slot[entry])+1)) // used after it was used last
-		s.used[entry] += float32(tokens)
+		distance := uint64(s.totalTokens) - uint64(s.prefixSum(int(s.slot[entry])+1)) // used after it was used last
+		s.usedTokens[entry] += float32(tokens)
 		// What it has growth by is new: a session that goes on takes more room with each turn.
 		if growth := tokens - int(s.tokens[entry]); growth > 0 {
 			added := float64(growth) / s.Rate()
 			s.hist.Cold += added
-			s.hist.coldPull += float64(s.used[entry]) * added
+			s.hist.coldCovariance += float64(s.usedTokens[entry]) * added
 			weight -= added
 		}
-		s.hist.add(float64(distance)/s.Rate()+float64(tokens), weight, float64(s.used[entry])*weight)
-		s.lift(entry)
+		s.hist.add(float64(distance)/s.Rate()+float64(tokens), weight, float64(s.usedTokens[entry])*weight)
+		s.unlink(entry)
 		s.tokens[entry] = uint32(min(tokens, maxTokens))
-		s.put(entry)
+		s.pushLatest(entry)
 		return
 	}
 	s.hist.Cold += weight
-	s.hist.coldPull += float64(tokens) * weight
-	if s.n == Places {
+	s.hist.coldCovariance += float64(tokens) * weight
+	if s.count == MaxSampled {
 		s.shrink()
 		if !s.samples(hash) {
 			return
 		}
 	}
-	entry := s.n
-	s.n++
-	s.keys[entry], s.tokens[entry], s.used[entry] = hash, uint32(min(tokens, maxTokens)), float32(tokens)
-	s.enter(entry)
-	s.put(entry)
-	s.forget()
+	entry := s.count
+	s.count++
+	s.hashes[entry], s.tokens[entry], s.usedTokens[entry] = hash, uint32(min(tokens, maxTokens)), float32(tokens)
+	s.insert(entry)
+	s.pushLatest(entry)
+	s.evictOld()
 }
 
-// Lower brings the threshold down to a part, where another router samples no more than that.
-func (s *Sampler) Lower(rate float64) {
-	if t := uint64(rate * spots); t < s.threshold && t > 0 {
+// LowerRate brings the threshold down to a part, where another router samples no more than that.
+func (s *Sampler) LowerRate(rate float64) {
+	if t := uint64(rate * hashRange); t < s.threshold && t > 0 {
 		s.threshold = t
-		s.drop()
+		s.dropUnsampled()
 	}
 }
 
-// put makes an entry the one used last.
-func (s *Sampler) put(entry int) {
-	s.slot[entry], s.owner[s.next] = uint16(s.next), uint16(entry+1)
-	s.weigh(s.next, s.tokens[entry])
-	s.sum += uint64(s.tokens[entry])
-	s.next++
+// pushLatest makes an entry the one used last.
+func (s *Sampler) pushLatest(entry int) {
+	s.slot[entry], s.owner[s.nextSlot] = uint16(s.nextSlot), uint16(entry+1)
+	s.addWeight(s.nextSlot, s.tokens[entry])
+	s.totalTokens += uint64(s.tokens[entry])
+	s.nextSlot++
 }
 
-// lift takes an entry out of the order of uses.
-func (s *Sampler) lift(entry int) {
-	s.weigh(int(s.slot[entry]), -s.tokens[entry])
+// unlink takes an entry out of the order of uses.
+func (s *Sampler) unlink(entry int) {
+	s.addWeight(int(s.slot[entry]), -s.tokens[entry])
 	s.owner[s.slot[entry]] = 0
-	s.sum -= uint64(s.tokens[entry])
+	s.totalTokens -= uint64(s.tokens[entry])
 }
 
-// weigh adds to a slot of the Fenwick tree, modulo 2^32.
-func (s *Sampler) weigh(slot int, tokens uint32) {
+// addWeight adds to a slot of the Fenwick tree, modulo 2^32.
+func (s *Sampler) addWeight(slot int, tokens uint32) {
 	for i := slot + 1; i <= slots; i += i & -i {
 		s.tree[i] += tokens
 	}
 }
 
-// prefix sums the first slots.
-func (s *Sampler) prefix(n int) (sum uint32) {
+// prefixSum sums the first slots.
+func (s *Sampler) prefixSum(n int) (sum uint32) {
 	for i := n; i > 0; i -= i & -i {
 		sum += s.tree[i]
 	}
@@ -166,7 +166,7 @@
 			to++
 		}
 	}
-	s.next, s.low = to, 0
+	s.nextSlot, s.oldestSlot = to, 0
 	clear(s.tree[:])
 	for i := range to {
 		s.tree[i+1] = s.tokens[s.owner[i]-1]
@@ -180,69 +180,69 @@
 
 // shrink lowers the threshold until a part of the table is free.
 func (s *Sampler) shrink() {
-	var hashes [Places]uint32
-	copy(hashes[:], s.keys[:s.n])
-	slices.Sort(hashes[:s.n])
-	s.threshold = uint64(hashes[int(shrinkTo*float64(s.n))])
-	s.drop()
+	var hashes [MaxSampled]uint32
+	copy(hashes[:], s.hashes[:s.count])
+	slices.Sort(hashes[:s.count])
+	s.threshold = uint64(hashes[int(shrinkTo*float64(s.count))])
+	s.dropUnsampled()
 }
 
-// drop removes what is not sampled any more.
-func (s *Sampler) drop() {
-	for entry := 0; entry < s.n; {
-		if s.samples(s.keys[entry]) {
+// dropUnsampled removes what is not sampled any more.
+func (s *Sampler) dropUnsampled() {
+	for entry := 0; entry < s.count; {
+		if s.samples(s.hashes[entry]) {
 			entry++
 			continue
 		}
 		s.remove(entry)
 	}
 	clear(s.index[:])
-	for entry := range s.n {
-		s.enter(entry)
+	for entry := range s.count {
+		s.insert(entry)
 	}
 }
 
 // remove takes an entry out and has the last take its place; the index is made anew by the caller.
 func (s *Sampler) remove(entry int) {
-	s.lift(entry)
-	s.n--
-	if last := s.n; entry != last {
-		s.keys[entry], s.tokens[entry], s.slot[entry], s.used[entry] = s.keys[last], s.tokens[last], s.slot[last], s.used[last]
+	s.unlink(entry)
+	s.count--
+	if last := s.count; entry != last {
+		s.hashes[entry], s.tokens[entry], s.slot[entry], s.usedTokens[entry] = s.hashes[last], s.tokens[last], s.slot[last], s.usedTokens[last]
 		s.owner[s.slot[entry]] = uint16(entry + 1)
 	}
 }
 
-// forget removes what was not used within the limit, with some slack so that the index is made anew seldom.
-func (s *Sampler) forget() {
-	if limit := s.limit * s.Rate(); s.limit > 0 && float64(s.sum) > 1.1*limit {
-		for ; s.low < s.next && float64(s.sum) > limit; s.low++ {
-			if owner := s.owner[s.low]; owner != 0 {
+// evictOld removes what was not used within the limit, with some slack so that the index is made anew seldom.
+func (s *Sampler) evictOld() {
+	if limit := s.limit * s.Rate(); s.limit > 0 && float64(s.totalTokens) > 1.1*limit {
+		for ; s.oldestSlot < s.nextSlot && float64(s.totalTokens) > limit; s.oldestSlot++ {
+			if owner := s.owner[s.oldestSlot]; owner != 0 {
 				s.remove(int(owner) - 1)
 			}
 		}
 		clear(s.index[:])
-		for entry := range s.n {
-			s.enter(entry)
+		for entry := range s.count {
+			s.insert(entry)
 		}
 	}
 }
 
-// cell is where the index begins to look; a spot's high bits say little, as only low ones are sampled.
-func cell(hash uint32) uint32 { return hash * 2654435761 >> (32 - 11) }
+// indexStart is where the index begins to look; a spot's high bits say little, as only low ones are sampled.
+func indexStart(hash uint32) uint32 { return hash * 2654435761 >> (32 - 11) }
 
 func (s *Sampler) find(hash uint32) int {
-	for i := cell(hash); s.index[i] != 0; i = (i + 1) % cells {
-		if entry := int(s.index[i]) - 1; s.keys[entry] == hash {
+	for i := indexStart(hash); s.index[i] != 0; i = (i + 1) % indexCells {
+		if entry := int(s.index[i]) - 1; s.hashes[entry] == hash {
 			return entry
 		}
 	}
 	return -1
 }
 
-func (s *Sampler) enter(entry int) {
-	i := cell(s.keys[entry])
+func (s *Sampler) insert(entry int) {
+	i := indexStart(s.hashes[entry])
 	for s.index[i] != 0 {
-		i = (i + 1) % cells
+		i = (i + 1) % indexCells
 	}
 	s.index[i] = uint16(entry + 1)
 }
@@ -250,51 +250,51 @@
 // Histogram is what a sampler has counted: tokens of uses by reuse distance, in buckets whose bounds grow by a quarter of an
 // octave, in estimated tokens of the whole stream.
 type Histogram struct {
-	Buckets [buckets]float64
+	Buckets [bucketCount]float64
 	Cold    float64 // used for the first time, or not within the limit
-	Seen    float64 // all that was used, exactly
+	Total   float64 // all that was used, exactly
 	// By bucket, how much it varies with the heavy prefixes that the hash happens to take.
-	pull     [buckets]float64
-	coldPull float64
+	covariance     [bucketCount]float64
+	coldCovariance float64
 }
 
 const (
-	perOctave = 4
-	least     = 256 // tokens up to which distances are one bucket
-	buckets   = 22*perOctave + 1
+	bucketsPerOctave = 4
+	minDistance      = 256 // tokens up to which distances are one bucket
+	bucketCount      = 22*bucketsPerOctave + 1
 )
 
 // bucket is the place of a distance; that of the longest holds all beyond.
 func bucket(d float64) int {
-	if d <= least {
+	if d <= minDistance {
 		return 0
 	}
-	return min(int(math.Ceil(perOctave*math.Log2(d/least))), buckets-1)
+	return min(int(math.Ceil(bucketsPerOctave*math.Log2(d/minDistance))), bucketCount-1)
 }
 
-// edge is the longest distance of a bucket.
-func edge(i int) float64 { return least * math.Exp2(float64(i)/perOctave) }
+// bucketLimit is the longest distance of a bucket.
+func bucketLimit(i int) float64 { return minDistance * math.Exp2(float64(i)/bucketsPerOctave) }
 
 func (h *Histogram) add(d, weight, pull float64) {
 	b := bucket(d)
 	h.Buckets[b] += weight
-	h.pull[b] += pull
+	h.covariance[b] += pull
 }
 
-// Fade lowers all counts to a part, so that what is old counts less.
-func (h *Histogram) Fade(part float64) {
+// Decay lowers all counts to a part, so that what is old counts less.
+func (h *Histogram) Decay(part float64) {
 	for i := range h.Buckets {
 		h.Buckets[i] *= part
-		h.pull[i] *= part
+		h.covariance[i] *= part
 	}
-	h.Cold, h.Seen, h.coldPull = h.Cold*part, h.Seen*part, h.coldPull*part
+	h.Cold, h.Total, h.coldCovariance = h.Cold*part, h.Total*part, h.coldCovariance*part
 }
 
-// Fade lowers all counts to a part; what is followed stays.
-func (s *Sampler) Fade(part float64) {
-	s.hist.Fade(part)
-	for i := range s.used[:s.n] {
-		s.used[i] *= float32(part)
+// Decay lowers all counts to a part; what is followed stays.
+func (s *Sampler) Decay(part float64) {
+	s.hist.Decay(part)
+	for i := range s.usedTokens[:s.count] {
+		s.usedTokens[i] *= float32(part)
 	}
 }
 
--- a/internal/decide/reuse/warm.go
+++ b/internal/decide/reuse/warm.go
@@ -21,8 +21,8 @@
 // MaxBusy bounds how many servers a report names.
 const MaxBusy = 32
 
-// Most are the servers that have most, as many as a report may name.
-func (b Busy) Most() Busy {
+// Busiest are the servers that have most, as many as a report may name.
+func (b Busy) Busiest() Busy {
 	if len(b) <= MaxBusy {
 		return b
 	}
@@ -52,9 +52,9 @@
 	return requests < m.WarmBelow || broken == WarmsBusy
 }
 
-// Turn is how many of the routers that may carry an order out come before one of them: the order's own order among them, by a
+// Rank is how many of the routers that may carry an order out come before one of them: the order's own order among them, by a
 // hash, so that orders are spread and the next takes over from one that can't.
-func (c Copy) Turn(router string, routers []string) (earlier int) {
+func (c Copy) Rank(router string, routers []string) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprint("copy\x00", c.ID, name)) }
 	for _, name := range routers {
 		if name != router && weight(name) < weight(router) {
@@ -64,23 +64,23 @@
 	return earlier
 }
 
-// Held is what servers hold under leases, in tokens, by server.
-func (s *State) Held() map[string]float64 {
+// HeldTokens is what servers hold under leases, in tokens, by server.
+func (s *State) HeldTokens() map[string]float64 {
 	tokens := map[string]float64{}
 	for _, c := range s.Copies {
-		if c.Phase == Here {
+		if c.Phase == Present {
 			tokens[c.Server] += float64(c.Tokens)
 		}
 	}
 	return tokens
 }
 
-// homes tells which server of a region is to hold a prefix, or holds it by itself where those that leave count as well; false: none can.
-func (v View) homes(region string, includeDraining bool) func(k Key) (Server, bool) {
+// placement tells which server of a region is to hold a prefix, or holds it by itself where those that leave count as well; false: none can.
+func (v View) placement(region string, includeDraining bool) func(k Key) (Server, bool) {
 	candidates := map[string]Server{}
 	var names []string
 	for _, s := range v.Servers {
-		if s.Region == region && !s.Draining && (includeDraining || !v.away(s.ID)) {
+		if s.Region == region && !s.Draining && (includeDraining || !v.draining(s.ID)) {
 			candidates[s.ID] = s
 			names = append(names, s.ID)
 		}
@@ -88,7 +88,7 @@
 	return func(k Key) (Server, bool) {
 		home := v.Home
 		if home == nil {
-			home = place
+			home = rendezvousServer
 		}
 		s, ok := candidates[home(k, names)]
 		return s, ok
--- a/internal/fleet/outage/leaving.go
+++ b/internal/fleet/outage/leaving.go
@@ -12,7 +12,7 @@
 
 // Leaving are the servers that wait for copies of what they hold, and those that are let out, as of the number of the state that this
 // router follows; where nothing is waited for they are none.
-func (a *Agent) Leaving() (out []reuse.Leaving, seen int64) {
+func (a *Agent) Leaving() (out []reuse.Drain, seen int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.model.CopyWaitMs <= 0 || !a.model.On() {
@@ -25,12 +25,12 @@
 	for _, thing := range slices.Sorted(maps.Keys(a.state.Leaving)) {
 		l := a.state.Leaving[thing]
 		_, server := outage.Split(thing)
-		out = append(out, reuse.Leaving{Server: server, Turn: l.Turn, LeftMs: max(a.model.CopyWaitMs-l.WaitMs-stood, 0)})
+		out = append(out, reuse.Drain{Server: server, Epoch: l.Turn, LeftMs: max(a.model.CopyWaitMs-l.WaitMs-stood, 0)})
 	}
 	for _, thing := range slices.Sorted(maps.Keys(a.state.Permits)) {
 		p := a.state.Permits[thing]
 		if kind, server := outage.Split(thing); kind == outage.Server && p.Stage != outage.Returning {
-			out = append(out, reuse.Leaving{Server: server, Turn: p.Seq})
+			out = append(out, reuse.Drain{Server: server, Epoch: p.Seq})
 		}
 	}
 	return out, a.state.Seq
--- a/internal/fleet/reuse/agent.go
+++ b/internal/fleet/reuse/agent.go
@@ -44,7 +44,7 @@
 	Servers    func() []reuse.Server             // as this router knows them
 	Conditions func() map[string]reuse.Condition // of regions, as the plan of sites has them; nil: all are up
 	// Leaving are servers that are about to be let out, or are, as of a number of the state of outages; nil: none.
-	Leaving func() ([]reuse.Leaving, int64)
+	Leaving func() ([]reuse.Drain, int64)
 	Homes   func(further map[reuse.Key][]string) // told of each change of where prefixes are held besides; nil: see Agent.Homes
 	// ReadTokens is what a copy by this Copier costs besides where the policy does not say, in tokens.
 	ReadTokens float64
@@ -95,7 +95,7 @@
 	model   reuse.Model
 	version int64 // of the policy
 	meter   *reuse.Meter
-	words   map[int64]reuse.Word
+	words   map[int64]reuse.CopyStatus
 	busy    []reuse.Busy  // what the other routers said of servers last
 	viewed  time.Duration // when that was read
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, client: client, says: loop.Complaints{Log: o.Log}, zero: time.Now(), words: map[int64]reuse.Word{}, heard: map[string]heard{},
+	a := &Agent{o: o, client: client, says: loop.Complaints{Log: o.Log}, zero: time.Now(), words: map[int64]reuse.CopyStatus{}, heard: map[string]heard{},
 		sending: map[int64]context.CancelFunc{}, mine: map[int64]reuse.Copy{}, ordered: map[int64]time.Duration{}}
 	a.further.Store(&map[reuse.Key][]reuse.Copy{})
 	return a, nil
@@ -135,7 +135,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.model, a.version = m.Costing(a.o.ReadTokens).Filled(), version
+	a.model, a.version = m.WithReadTokens(a.o.ReadTokens).Filled(), version
 	if on && a.meter == nil {
 		most := 0.0
 		for _, r := range m.Regions {
@@ -171,11 +171,11 @@
 	if shared {
 		a.meter.Use(k, tokens, a.now())
 	} else {
-		a.meter.Sample(k, tokens, a.now())
+		a.meter.UseSession(k, tokens, a.now())
 	}
 	for _, c := range (*a.further.Load())[k] {
 		if c.Server == server {
-			a.say(reuse.Word{ID: c.ID, Used: 1})
+			a.say(reuse.CopyStatus{ID: c.ID, Hits: 1})
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	for _, c := range (*a.further.Load())[k] {
 		if c.Server == server {
 			a.mu.Lock()
-			a.say(reuse.Word{ID: c.ID, Gone: true})
+			a.say(reuse.CopyStatus{ID: c.ID, Lost: true})
 			a.mu.Unlock()
 		}
 	}
@@ -215,12 +215,12 @@
 }
 
 // say keeps a word for the next report; the lock is held. Where there are too many, uses go unsaid.
-func (a *Agent) say(w reuse.Word) {
+func (a *Agent) say(w reuse.CopyStatus) {
 	one, known := a.words[w.ID]
-	if !known && len(a.words) >= reuse.MaxWords {
+	if !known && len(a.words) >= reuse.MaxCopyStatuses {
 		return
 	}
-	a.words[w.ID] = reuse.Word{ID: w.ID, Here: one.Here || w.Here, Used: one.Used + w.Used, Gone: one.Gone || w.Gone}
+	a.words[w.ID] = reuse.CopyStatus{ID: w.ID, Arrived: one.Arrived || w.Arrived, Hits: one.Hits + w.Hits, Lost: one.Lost || w.Lost}
 }
 
 // Run keeps the agent until ctx ends; what is on its way then is called off.
@@ -228,7 +228,7 @@
 	var carrying sync.WaitGroup
 	defer carrying.Wait()
 	a.carrying = &carrying
-	decider := &reuse.Decider{Me: a.o.Name, Broken: a.o.Broken}
+	decider := &reuse.Decider{Router: a.o.Name, Broken: a.o.Broken}
 	loop.Steps{Client: a.client, Watch: Records(a.client).State(),
 		Period: func() (time.Duration, bool) {
 			m := a.terms()
@@ -262,9 +262,9 @@
 func (a *Agent) report(ctx context.Context, period time.Duration) {
 	now := a.now()
 	a.mu.Lock()
-	r := reuse.Report{Router: a.o.Name, Region: a.o.Region, Sample: a.meter.Taken(now), Curve: a.meter.Curve(), Rate: a.meter.Rate(), Hot: a.meter.Hot(now)}
+	r := reuse.Report{Router: a.o.Name, Region: a.o.Region, Sample: a.meter.TakeSample(now), Curve: a.meter.Curve(), Rate: a.meter.Rate(), Hot: a.meter.Hot(now)}
 	if a.o.Busy != nil {
-		r.Busy = reuse.Busy(a.o.Busy()).Most()
+		r.Busy = reuse.Busy(a.o.Busy()).Busiest()
 	}
 	for _, id := range slices.Sorted(maps.Keys(a.words)) {
 		r.Copies = append(r.Copies, a.words[id])
@@ -347,8 +347,8 @@
 	if a.o.Conditions != nil {
 		v.Conditions = a.o.Conditions()
 	}
-	if v.Seen = math.MaxInt64; a.o.Leaving != nil {
-		v.Leaving, v.Seen = a.o.Leaving()
+	if v.OutageSeq = math.MaxInt64; a.o.Leaving != nil {
+		v.Drains, v.OutageSeq = a.o.Leaving()
 	}
 	var fault error
 	for _, f := range all.Faults {
--- a/internal/fleet/reuse/carry.go
+++ b/internal/fleet/reuse/carry.go
@@ -17,7 +17,7 @@
 	stands := map[int64]bool{}
 	for _, c := range s.Copies {
 		stands[c.ID] = true
-		if c.Phase == reuse.Here {
+		if c.Phase == reuse.Present {
 			further[c.Prefix] = append(further[c.Prefix], c)
 		} else if _, known := a.ordered[c.ID]; !known {
 			a.ordered[c.ID] = a.now()
@@ -70,7 +70,7 @@
 		if _, begun := a.mine[c.ID]; c.Phase != reuse.Ordered || begun || a.o.Copier.Region(c) != a.o.Region {
 			continue
 		}
-		before := c.Turn(a.o.Name, living)
+		before := c.Rank(a.o.Name, living)
 		if a.now()-a.ordered[c.ID] < time.Duration(turns*before)*period {
 			continue
 		}
@@ -81,7 +81,7 @@
 		case before+1 >= len(living):
 			a.mine[c.ID] = c
 			a.mu.Lock()
-			a.say(reuse.Word{ID: c.ID, Gone: true})
+			a.say(reuse.CopyStatus{ID: c.ID, Lost: true})
 			a.mu.Unlock()
 		}
 	}
@@ -108,7 +108,7 @@
 		}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.say(reuse.Word{ID: c.ID, Here: err == nil, Gone: err != nil})
+		a.say(reuse.CopyStatus{ID: c.ID, Arrived: err == nil, Lost: err != nil})
 	}()
 }
 
--- a/internal/fleet/reuse/heard.go
+++ b/internal/fleet/reuse/heard.go
@@ -31,7 +31,7 @@
 		last.at = a.now()
 		if r.Region == a.o.Region {
 			a.mu.Lock()
-			a.meter.Heard(r.Sample, last.at, period)
+			a.meter.AddSample(r.Sample, last.at, period)
 			a.mu.Unlock()
 		}
 	}
--- a/internal/fleet/reuse/openings_test.go
+++ b/internal/fleet/reuse/openings_test.go
@@ -93,7 +93,7 @@
 	for i := range 100 {
 		b[fmt.Sprint("s", i)] = i
 	}
-	if most := b.Most(); len(most) != reuse.MaxBusy || most["s99"] != 99 || most["s68"] != 68 {
+	if most := b.Busiest(); len(most) != reuse.MaxBusy || most["s99"] != 99 || most["s68"] != 68 {
 		t.Errorf("%v", most)
 	}
 }
@@ -105,7 +105,7 @@
 	for id := range int64(300) {
 		seen := map[int]bool{}
 		for _, me := range routers {
-			n := reuse.Copy{ID: id}.Turn(me, routers)
+			n := reuse.Copy{ID: id}.Rank(me, routers)
 			seen[n] = true
 			if n == 0 {
 				first[me]++
--- a/internal/fleet/reuse/servers.go
+++ b/internal/fleet/reuse/servers.go
@@ -75,7 +75,7 @@
 }
 
 // Held is what servers hold under leases, in tokens; nothing where there is no state or it can't be read.
-func Held(r *pb.RangeResponse) map[string]float64 { return agreed(r).Held() }
+func Held(r *pb.RangeResponse) map[string]float64 { return agreed(r).HeldTokens() }
 
 // Emptied is the turn of each server that leaves for which nothing is to be copied from it any more; nothing likewise.
-func Emptied(r *pb.RangeResponse) map[string]int64 { return agreed(r).Emptied() }
+func Emptied(r *pb.RangeResponse) map[string]int64 { return agreed(r).CopiesDone() }
--- a/internal/lab/copies.go
+++ b/internal/lab/copies.go
@@ -288,14 +288,14 @@
 		_, _ = fmt.Fprintf(h, `{"content":%q}`, content) // never fails
 		allowed[reuse.Key(h.Sum64())] = true
 	}
-	a := &reuse.Auditor{Model: f.model, Regions: map[string]string{}, Never: func(k reuse.Key) bool { return !allowed[k] }}
+	a := &reuse.Auditor{Model: f.model, Regions: map[string]string{}, Forbidden: func(k reuse.Key) bool { return !allowed[k] }}
 	for i := range f.o.Servers {
 		a.Regions[serverName(i)] = f.o.site(i, f.o.Servers)
 	}
 	return a, history(ctx, f.kv, fleetreuse.Records(f.kv).State(), func(value []byte) error {
 		s, err := reuse.Decode(value)
 		if err == nil {
-			a.Take(s)
+			a.Observe(s)
 		}
 		return err
 	})
--- a/internal/lab/copyrun.go
+++ b/internal/lab/copyrun.go
@@ -60,8 +60,8 @@
 		if err != nil {
 			return rep, err
 		}
-		rep.States, rep.Ordered, rep.Here, rep.Released, rep.Most = audit.States, audit.Ordered, audit.Here, audit.Released, audit.Most
-		rep.Wrong = append(rep.Wrong, audit.Faults...)
+		rep.States, rep.Ordered, rep.Here, rep.Released, rep.Most = audit.States, audit.OrderedCopies, audit.ArrivedCopies, audit.ReleasedCopies, audit.MaxCopies
+		rep.Wrong = append(rep.Wrong, audit.Violations...)
 	}
 	if err := f.served(&rep); err != nil {
 		return rep, err
@@ -161,7 +161,7 @@
 	r.f.jam.Store(false)
 	r.f.flash.Store(false)
 	r.f.generation.Add(1)
-	_, _, err := r.holder(reuse.Here)
+	_, _, err := r.holder(reuse.Present)
 	return err
 }
 
@@ -195,7 +195,7 @@
 	case "scan on", "scan off":
 		r.f.scan.Store(w[1] == "on")
 	case "restart holder":
-		c, at, err := r.holder(reuse.Here)
+		c, at, err := r.holder(reuse.Present)
 		if err != nil {
 			return err
 		}
@@ -278,14 +278,14 @@
 		return nil
 	}
 	return r.sees(strings.Join(w, " "), func(s *reuse.State) bool {
-		to := r.hotter(s, reuse.Here)
+		to := r.hotter(s, reuse.Present)
 		return len(slices.DeleteFunc(to, func(c reuse.Copy) bool { return c.To != "b" })) >= n
 	})
 }
 
 // drain lets the server of a copy out by hand, and sees that nothing is held there any more.
 func (r *copyRun) drain() error {
-	c, at, err := r.holder(reuse.Here)
+	c, at, err := r.holder(reuse.Present)
 	if err != nil {
 		return err
 	}
@@ -302,7 +302,7 @@
 			r.fault("%s was let out after %v: its wait ended by time", c.Server, took)
 		}
 		if err := r.sees("copies of what "+c.Server+" held", func(s *reuse.State) bool {
-			return slices.ContainsFunc(s.Copies, func(o reuse.Copy) bool { return o.Leaves == c.Server && o.Phase == reuse.Here })
+			return slices.ContainsFunc(s.Copies, func(o reuse.Copy) bool { return o.DrainServer == c.Server && o.Phase == reuse.Present })
 		}); err != nil {
 			return err
 		}
--- a/internal/lab/jointfleet.go
+++ b/internal/lab/jointfleet.go
@@ -161,14 +161,14 @@
 		return err
 	}
 	c := &rep.Copies
-	c.States, c.Ordered, c.Here, c.Released, c.Most = copies.States, copies.Ordered, copies.Here, copies.Released, copies.Most
+	c.States, c.Ordered, c.Here, c.Released, c.Most = copies.States, copies.OrderedCopies, copies.ArrivedCopies, copies.ReleasedCopies, copies.MaxCopies
 	if err := t.f.copies.warmed(c); err != nil {
 		return err
 	}
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	c.BeliefMs = float64(t.f.belief.worst.Milliseconds())
-	rep.Wrong = slices.Concat(rep.Wrong, audit.Faults, copies.Faults, t.f.belief.wrong, rep.Tuning.Wrong)
+	rep.Wrong = slices.Concat(rep.Wrong, audit.Faults, copies.Violations, t.f.belief.wrong, rep.Tuning.Wrong)
 	rep.Tuning.Wrong = nil
 	return nil
 }
--- a/internal/lab/jointsite.go
+++ b/internal/lab/jointsite.go
@@ -106,7 +106,7 @@
 	}
 	n, most := map[string]int{}, 0
 	for _, c := range copies.Copies {
-		if _, out := s.Permits[outage.ID(outage.Server, c.Server)]; out || c.Phase != reuse.Here {
+		if _, out := s.Permits[outage.ID(outage.Server, c.Server)]; out || c.Phase != reuse.Present {
 			continue
 		}
 		if n[c.Server]++; n[c.Server] > most {
--- a/internal/world/fleet/draw.go
+++ b/internal/world/fleet/draw.go
@@ -159,16 +159,16 @@
 		at += 10 * time.Millisecond
 		m.Use(reuse.Key(rng.Uint64()>>40*rng.Uint64()>>60+rng.Uint64()%300), 500+rng.IntN(3000), at)
 	}
-	r := reuse.Report{Router: s.router(0), Region: s.region(0), Sample: m.Taken(at), Rate: m.Rate(), Hot: m.Hot(at)}
-	m.Heard(r.Sample, at, 0)
+	r := reuse.Report{Router: s.router(0), Region: s.region(0), Sample: m.TakeSample(at), Rate: m.Rate(), Hot: m.Hot(at)}
+	m.AddSample(r.Sample, at, 0)
 	r.Curve = m.Curve()
-	state := reuse.State{Seq: 1000, By: s.router(0), Orders: 5000, Version: 7}
+	state := reuse.State{Seq: 1000, By: s.router(0), LastOrder: 5000, Version: 7}
 	for i := range reuse.MaxCopies / 2 {
 		k := rng.IntN(s.Servers)
 		state.Copies = append(state.Copies, reuse.Copy{ID: int64(4000 + i), Prefix: reuse.Key(rng.Uint64()), Tokens: 2000 + rng.IntN(4000), From: s.region(k + 1), To: s.region(k), Server: s.server(k), Boot: s.sight(k).Boot,
-			Phase: reuse.Here, LeftMs: 200_000 * rng.Float64(), AgeMs: 1_000_000 * rng.Float64()})
+			Phase: reuse.Present, LeftMs: 200_000 * rng.Float64(), AgeMs: 1_000_000 * rng.Float64()})
 		if i%20 == 0 {
-			r.Copies = append(r.Copies, reuse.Word{ID: int64(4000 + i), Used: 1 + rng.IntN(5)})
+			r.Copies = append(r.Copies, reuse.CopyStatus{ID: int64(4000 + i), Hits: 1 + rng.IntN(5)})
 		}
 	}
 	return r, state
--- a/internal/world/reuse/policies.go
+++ b/internal/world/reuse/policies.go
@@ -14,7 +14,7 @@
 	model   decide.Model
 	decider *decide.Decider
 	meters  [Regions][routers]*decide.Meter
-	words   [Regions][routers][]decide.Word
+	words   [Regions][routers][]decide.CopyStatus
 	state   *decide.State
 	known   map[int64]decide.Copy
 	held    [Regions]map[decide.Key]int64
@@ -25,7 +25,7 @@
 func name(r int) string { return fmt.Sprintf("z%d", r) }
 
 func newFleet(w *world) *fleet {
-	f := &fleet{w: w, model: w.set.Model, decider: &decide.Decider{Me: "r", Broken: w.set.Broken}, known: map[int64]decide.Copy{}}
+	f := &fleet{w: w, model: w.set.Model, decider: &decide.Decider{Router: "r", Broken: w.set.Broken}, known: map[int64]decide.Copy{}}
 	for r := range Regions {
 		f.model.Regions = append(f.model.Regions, decide.Region{Name: name(r), Memory: float64(w.set.Memory)})
 		f.held[r] = map[decide.Key]int64{}
@@ -38,7 +38,7 @@
 			f.meters[r][i] = decide.NewMeter(2 * float64(w.set.Memory))
 		}
 	}
-	f.model.Own = w.set.Policy == Owning
+	f.model.HoldOwn = w.set.Policy == Owning
 	f.model = f.model.Filled()
 	return f
 }
@@ -47,18 +47,18 @@
 func (f *fleet) used(t turn, held bool) {
 	m := f.meters[t.region][t.router]
 	m.Use(t.opening, t.tokens, t.at)
-	m.Sample(t.session, t.had+t.adds, t.at)
+	m.UseSession(t.session, t.had+t.adds, t.at)
 	if id, ours := f.held[t.region][t.opening]; ours && held {
-		f.say(t.region, t.router, decide.Word{ID: id, Used: 1})
+		f.say(t.region, t.router, decide.CopyStatus{ID: id, Hits: 1})
 	}
 }
 
-func (f *fleet) say(region, router int, w decide.Word) {
+func (f *fleet) say(region, router int, w decide.CopyStatus) {
 	list := f.words[region][router]
 	for i := range list {
 		if list[i].ID == w.ID {
-			list[i].Used += w.Used
-			list[i].Here, list[i].Gone = list[i].Here || w.Here, list[i].Gone || w.Gone
+			list[i].Hits += w.Hits
+			list[i].Arrived, list[i].Lost = list[i].Arrived || w.Arrived, list[i].Lost || w.Lost
 			return
 		}
 	}
@@ -70,11 +70,11 @@
 	if _, known := f.known[s.id]; known {
 		f.w.mem[s.to].hold(s.key, true)
 		f.held[s.to][s.key] = s.id
-		f.say(s.to, 0, decide.Word{ID: s.id, Here: true})
+		f.say(s.to, 0, decide.CopyStatus{ID: s.id, Arrived: true})
 	}
 }
 
-func (f *fleet) gone(s *send) { f.say(s.from, 0, decide.Word{ID: s.id, Gone: true}) }
+func (f *fleet) gone(s *send) { f.say(s.from, 0, decide.CopyStatus{ID: s.id, Lost: true}) }
 
 // second is one period: reports, a decision, and what it orders.
 func (f *fleet) second() {
@@ -84,11 +84,11 @@
 	for r := range Regions {
 		var samples []decide.Sample
 		for i := range routers {
-			samples = append(samples, f.meters[r][i].Taken(w.now))
+			samples = append(samples, f.meters[r][i].TakeSample(w.now))
 		}
 		for i, m := range f.meters[r] {
 			for _, s := range samples {
-				m.Heard(s, w.now, 0)
+				m.AddSample(s, w.now, 0)
 			}
 			f.rev++
 			if !cut(r) {
@@ -131,7 +131,7 @@
 			continue
 		}
 		if c.From == "" || !w.mem[from].has(c.Prefix) || !w.send(c.ID, c.Prefix, c.Tokens, from, to) {
-			f.say(max(from, 0), 0, decide.Word{ID: c.ID, Gone: true})
+			f.say(max(from, 0), 0, decide.CopyStatus{ID: c.ID, Lost: true})
 		}
 	}
 	w.heldNow = len(f.state.Copies)
--- a/internal/world/reuse/release.go
+++ b/internal/world/reuse/release.go
@@ -61,7 +61,7 @@
 	state    *decide.State
 	audit    decide.Auditor
 	meters   [Regions][routers]*decide.Meter
-	words    [Regions][]decide.Word
+	words    [Regions][]decide.CopyStatus
 	near     [Regions]map[decide.Key]decide.Copy
 	way      []*send
 	of       map[int64]decide.Copy
@@ -78,7 +78,7 @@
 // Release carries one out.
 func Release(set ReleaseSettings) Released {
 	turns, _ := draw(set.Settings)
-	r := &release{set: set, at: map[decide.Key]*host{}, of: map[int64]decide.Copy{}, copier: &decide.Decider{Me: "r", Broken: set.Broken}, decider: &outage.Decider{Me: "r"}, model: set.Model}
+	r := &release{set: set, at: map[decide.Key]*host{}, of: map[int64]decide.Copy{}, copier: &decide.Decider{Router: "r", Broken: set.Broken}, decider: &outage.Decider{Me: "r"}, model: set.Model}
 	r.budget = outage.Model{Workers: 1, ReportMs: 500, WarmMs: 5000, PauseMs: 5000, CopyWaitMs: float64(set.Wait / time.Millisecond)}
 	r.outAudit.Model = func(int64) (outage.Model, bool) { return r.budget, true }
 	r.waits.Most = r.budget.CopyWaitMs + 500
@@ -117,7 +117,7 @@
 			next++
 		}
 	}
-	r.day.Faults = slices.Concat(r.audit.Faults, r.outAudit.Faults, r.waits.Faults)
+	r.day.Faults = slices.Concat(r.audit.Violations, r.outAudit.Faults, r.waits.Faults)
 	return r.day
 }
 
@@ -179,9 +179,9 @@
 	r.at[t.session] = h
 	m := r.meters[t.region][t.router]
 	m.Use(t.opening, t.tokens, t.at)
-	m.Sample(t.session, t.had+t.adds, t.at)
+	m.UseSession(t.session, t.had+t.adds, t.at)
 	if held && c.Server == h.name {
-		r.words[t.region] = append(r.words[t.region], decide.Word{ID: c.ID, Used: 1, Gone: miss > 0})
+		r.words[t.region] = append(r.words[t.region], decide.CopyStatus{ID: c.ID, Hits: 1, Lost: miss > 0})
 	}
 	if t.region == 0 && t.at >= r.set.Warm {
 		r.day.Read += float64(miss + again)
@@ -193,14 +193,14 @@
 func (r *release) arrive() {
 	r.way = slices.DeleteFunc(r.way, func(s *send) bool {
 		c := r.of[s.id]
-		to, from := r.named(c.Server), r.named(cmp.Or(c.Leaves, c.Server))
+		to, from := r.named(c.Server), r.named(cmp.Or(c.DrainServer, c.Server))
 		if there := to.up && from.up && !r.drains(from); !there || s.arrives <= r.now {
 			if there {
 				to.mem.use(s.key, s.tokens)
-			} else if c.Leaves != "" {
+			} else if c.DrainServer != "" {
 				r.day.Late++
 			}
-			r.words[s.from] = append(r.words[s.from], decide.Word{ID: s.id, Here: there, Gone: !there})
+			r.words[s.from] = append(r.words[s.from], decide.CopyStatus{ID: s.id, Arrived: there, Lost: !there})
 			return true
 		}
 		return false
@@ -213,11 +213,11 @@
 	for a := range Regions {
 		var samples []decide.Sample
 		for _, m := range r.meters[a] {
-			samples = append(samples, m.Taken(r.now))
+			samples = append(samples, m.TakeSample(r.now))
 		}
 		for i, m := range r.meters[a] {
 			for _, s := range samples {
-				m.Heard(s, r.now, 0)
+				m.AddSample(s, r.now, 0)
 			}
 			r.rev++
 			one := decide.Report{Router: fmt.Sprint(name(a), "-", i), Region: name(a), Curve: m.Curve(), Rate: m.Rate(), Hot: m.Hot(r.now), Rev: r.rev}
@@ -234,14 +234,14 @@
 		}
 	}
 	if r.out != nil && r.set.Wait > 0 {
-		v.Seen = r.out.Seq
+		v.OutageSeq = r.out.Seq
 		for thing, l := range r.out.Leaving {
 			_, server := outage.Split(thing)
-			v.Leaving = append(v.Leaving, decide.Leaving{Server: server, Turn: l.Turn, LeftMs: r.budget.CopyWaitMs - l.WaitMs})
+			v.Drains = append(v.Drains, decide.Drain{Server: server, Epoch: l.Turn, LeftMs: r.budget.CopyWaitMs - l.WaitMs})
 		}
 		for thing, p := range r.out.Permits {
 			if _, server := outage.Split(thing); p.Stage != outage.Returning {
-				v.Leaving = append(v.Leaving, decide.Leaving{Server: server, Turn: p.Seq})
+				v.Drains = append(v.Drains, decide.Drain{Server: server, Epoch: p.Seq})
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 		return
 	}
 	r.state = next
-	r.audit.Take(next)
+	r.audit.Observe(next)
 	for a := range Regions {
 		clear(r.near[a])
 	}
@@ -258,7 +258,7 @@
 	for _, c := range next.Copies {
 		stands[c.ID] = true
 		from, to := slices.Index(regionNames, c.From), slices.Index(regionNames, c.To)
-		if c.Phase == decide.Here {
+		if c.Phase == decide.Present {
 			r.near[to][c.Prefix] = c
 		}
 		if _, known := r.of[c.ID]; known {
@@ -271,7 +271,7 @@
 		}
 		r.link[from][to] = max(r.link[from][to], r.now) + time.Duration(float64(c.Tokens)/rate*float64(time.Second))
 		r.way = append(r.way, &send{id: c.ID, key: c.Prefix, tokens: c.Tokens, from: from, arrives: r.link[from][to] + 20*time.Millisecond})
-		if c.Leaves != "" {
+		if c.DrainServer != "" {
 			r.day.Moved += float64(c.Tokens)
 			r.day.Copies++
 		}
@@ -299,7 +299,7 @@
 	}
 	v.Reports = []outage.Report{report}
 	if r.state != nil {
-		v.Copied = r.state.Emptied()
+		v.Copied = r.state.CopiesDone()
 	}
 	next := r.decider.Next(v, r.now+time.Hour)
 	if next == nil && r.set.Begins > 0 && r.now == r.set.Begins {
