--- a/internal/decide/reuse/audit_test.go
+++ b/internal/decide/reuse/audit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// runAudited has a fleet see flash crowds, scans, restarts and lost regions drawn from a seed, and its states looked at; spoil may
-// change one before.
+// runAudited runs a fleet through flash crowds, scans, restarts and lost regions drawn from a seed and audits its states. corrupt may
+// change a state before it is audited.
 func runAudited(seed uint64, broken Fault, corrupt func(step int, s *State)) *Auditor {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	f := newFleet(broken)
@@ -31,7 +31,7 @@
 			case 2, 3:
 				f.drain(f.servers[rng.IntN(len(f.servers))].ID, 5000)
 			case 4:
-				f.drains = nil // they stay, or are back
+				f.drains = nil // drains are cancelled or ended
 			}
 		})
 		if s != nil {
@@ -44,7 +44,7 @@
 	return auditor
 }
 
-// What the decider writes keeps the rules, and the auditor sees each that is broken.
+// States written by the decider keep the rules, and the auditor detects a violation of each.
 func TestAuditor(t *testing.T) {
 	ordered := 0
 	for seed := range uint64(6) {
@@ -55,7 +55,7 @@
 		ordered += a.OrderedCopies
 	}
 	if ordered < 30 {
-		t.Errorf("%d copies were ordered over all seeds", ordered)
+		t.Errorf("only %d copies were ordered over all seeds", ordered)
 	}
 	onFirstCopy := func(change func(s *State, c *Copy)) func(int, *State) {
 		return func(_ int, s *State) {
@@ -65,15 +65,15 @@
 		}
 	}
 	for want, corrupt := range map[string]func(int, *State){
-		"it follows state":          func(step int, s *State) { s.Seq += int64(step % 2) },
-		"was there and is on its":   onFirstCopy(func(_ *State, c *Copy) { c.Phase = []Phase{Present, Ordered}[int(c.AgeMs/1000)%2] }),
-		"a server of":               onFirstCopy(func(_ *State, c *Copy) { c.Server = map[string]string{"a": "b1", "b": "c1", "c": "a1"}[c.To] }),
-		"left of a lease":           onFirstCopy(func(_ *State, c *Copy) { c.LeftMs = 30_000 }),
-		"never ordered":             onFirstCopy(func(s *State, c *Copy) { s.LastOrder++; c.ID, c.Phase = s.LastOrder, Present }),
-		"copies take":               onFirstCopy(func(_ *State, c *Copy) { c.Tokens = 1_000_000 }),
-		"which is not to be copied": onFirstCopy(func(_ *State, c *Copy) { c.Prefix = 1 << 41 }),
-		"version":                   func(step int, s *State) { s.Version = int64(step % 2) },
-		"orders go back":            func(step int, s *State) { s.LastOrder = int64(1000 - step) },
+		"follows state":                    func(step int, s *State) { s.Seq += int64(step % 2) },
+		"was present and is ordered again": onFirstCopy(func(_ *State, c *Copy) { c.Phase = []Phase{Present, Ordered}[int(c.AgeMs/1000)%2] }),
+		"a server of":                      onFirstCopy(func(_ *State, c *Copy) { c.Server = map[string]string{"a": "b1", "b": "c1", "c": "a1"}[c.To] }),
+		"left of a lease":                  onFirstCopy(func(_ *State, c *Copy) { c.LeftMs = 30_000 }),
+		"never ordered":                    onFirstCopy(func(s *State, c *Copy) { s.LastOrder++; c.ID, c.Phase = s.LastOrder, Present }),
+		"copies take":                      onFirstCopy(func(_ *State, c *Copy) { c.Tokens = 1_000_000 }),
+		"which must not be copied":         onFirstCopy(func(_ *State, c *Copy) { c.Prefix = 1 << 41 }),
+		"version":                          func(step int, s *State) { s.Version = int64(step % 2) },
+		"order goes back":                  func(step int, s *State) { s.LastOrder = int64(1000 - step) },
 		"at most": onFirstCopy(func(s *State, c *Copy) {
 			for range 3 {
 				s.LastOrder++
@@ -82,7 +82,7 @@
 		}),
 	} {
 		if a := runAudited(1, "", corrupt); !strings.Contains(strings.Join(a.Violations, "\n"), want) {
-			t.Errorf("%q is not found: %v", want, a.Violations[:min(len(a.Violations), 2)])
+			t.Errorf("violation %q is not reported: %v", want, a.Violations[:min(len(a.Violations), 2)])
 		}
 	}
 }
--- a/internal/decide/reuse/curve.go
+++ b/internal/decide/reuse/curve.go
@@ -5,20 +5,21 @@
 	"sort"
 )
 
-// Curve is the part of used prefix tokens that has to be read anew with a memory of a given size (a miss-ratio curve), at the
-// bounds of the histogram's buckets. In JSON it is at most 700 bytes.
+// Curve is a miss-ratio curve: the part of used prefix tokens that has to be read again with a memory of a given size, at the
+// bounds of the histogram's buckets. In JSON it has at most 700 bytes.
 type Curve struct {
-	Tokens float64  `json:"tokens"`         // used, by which it was made: its weight beside others
+	Tokens float64  `json:"tokens"`         // used tokens behind the curve, its weight in Merge
 	Miss   []uint16 `json:"miss,omitempty"` // by bucket, in units of 1/65535
 }
 
 const fullScale = math.MaxUint16
 
-// Curve makes the curve of a histogram. What was used is known exactly, and the samples stand for more or less than that by
-// the heavy prefixes that the hash happens to take. SHARDS-adj takes the difference from the shortest distance; here it is
-// taken from each bucket by how much that varies together with the sum over such draws (a regression estimator: the weight
-// of a bucket is the sum over prefixes of its tokens in the bucket times all its tokens), which on drawn streams errs less
-// than half as much, since heavy prefixes are not used again at once where their region's stream is long.
+// Curve computes the curve of a histogram. The total of used tokens is known exactly, but the samples represent more or less
+// than that, depending on which heavy prefixes the hash selects. SHARDS-adj takes the difference from the shortest distance.
+// Here it is taken from each bucket in proportion to the bucket's covariance with the sum over such samples (a regression
+// estimator). The weight of a bucket is the sum over prefixes of their tokens in the bucket times all their tokens. On
+// generated streams the error is less than half that of SHARDS-adj, since a heavy prefix is not reused at once where its
+// region's stream is long.
 func (h *Histogram) Curve() Curve {
 	sum, covariance := h.Cold, h.coldCovariance
 	for i, v := range h.Buckets {
@@ -45,8 +46,8 @@
 	return c
 }
 
-// MissRatio is the part that a memory of some tokens has to read anew. Between bounds it is interpolated; a curve of nothing says that
-// all is.
+// MissRatio is the part of used tokens that a memory of the given size has to read again. It interpolates between bucket
+// bounds. An empty curve has a miss ratio of 1.
 func (c Curve) MissRatio(memory float64) float64 {
 	if len(c.Miss) == 0 || memory <= 0 {
 		return 1
@@ -66,9 +67,10 @@
 
 func (c Curve) missAt(i int) float64 { return float64(c.Miss[i]) / fullScale }
 
-// Retention is how long a memory keeps what is not used, where rate prefix tokens are used each second: until as many new ones have
-// come. New ones come at the rate of misses, so that with memory m filled dm/dt = rate·At(m) (Denning's working sets; Xiang,
-// Ding, Luo, Bao, "HOTL", ASPLOS '13). In seconds; +Inf where nothing is pushed out.
+// Retention is how long, in seconds, a memory keeps a prefix that is not used, when rate prefix tokens are used per second. A
+// prefix is evicted once as many new tokens have arrived as the memory holds. New tokens arrive at the rate of misses, so that
+// with memory m filled dm/dt = rate·MissRatio(m) (Denning's working sets; Xiang, Ding, Luo, Bao, "HOTL", ASPLOS '13). It is
+// +Inf where nothing is evicted.
 func (c Curve) Retention(memory, rate float64) float64 {
 	if rate <= 0 {
 		return math.Inf(1)
@@ -89,7 +91,7 @@
 	return seconds
 }
 
-// Merge is the mean of curves, by what each was made of.
+// Merge returns the mean of curves, weighted by their tokens.
 func Merge(curves ...Curve) Curve {
 	var weighted [bucketCount]float64
 	merged := Curve{}
@@ -112,7 +114,7 @@
 	return merged
 }
 
-// valid tells whether a curve is one: it falls, and has as many bounds as the histogram, or none.
+// valid reports whether the curve is non-increasing and has either no buckets or as many as the histogram.
 func (c Curve) valid() bool {
 	nonIncreasing := sort.SliceIsSorted(c.Miss, func(i, j int) bool { return c.Miss[i] > c.Miss[j] })
 	return nonIncreasing && (len(c.Miss) == 0 || len(c.Miss) == bucketCount) && c.Tokens >= 0 && !math.IsInf(c.Tokens, 0)
--- a/internal/decide/reuse/decide.go
+++ b/internal/decide/reuse/decide.go
@@ -11,37 +11,37 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a rule that a decider breaks on purpose, to test that checkers detect it.
 type Fault string
 
 // The faults.
 const (
-	BelievesAfterRestart Fault = "believes-after-restart" // a copy outlives its server's process
-	NoHysteresis         Fault = "no-hysteresis"          // what was released may be copied again at once, and gain is not asked for
-	CountsScan           Fault = "counts-scan"            // uses are believed that another prefix left behind, and one is enough
+	BelievesAfterRestart Fault = "believes-after-restart" // a copy survives a restart of its server
+	NoHysteresis         Fault = "no-hysteresis"          // a released prefix may be copied again at once, and no gain is required
+	CountsScan           Fault = "counts-scan"            // counts include the overestimate of Space-Saving, and one use is enough
 )
 
-// Decider comes to states. Each router may keep one; whose turn it is writes.
+// Decider computes new states. Each router may run one; the router whose turn it is writes the state.
 type Decider struct {
 	Router string
 	Broken Fault
 
 	current     stateRef
-	proposed    stateRef // what it gave last, which may have been written or not
+	proposed    stateRef // the state that it last returned, written or not
 	sightings   map[string]sighting
-	lastUsed    map[int64]time.Duration // by copy: when its use was reported last
-	statuses    map[int64]CopyStatus    // what was reported of copies that the state does not say yet
+	lastUsed    map[int64]time.Duration // by copy: when its use was last reported
+	statuses    map[int64]CopyStatus    // reported statuses of copies that are not yet in the state
 	usage       usage                   // of this step
 	pending     bool
-	dueSince    time.Duration         // since when a state has been due that nobody wrote
-	budgets     map[[2]string]float64 // by link: tokens that copies may take now
+	dueSince    time.Duration         // since when a state is due that no router has written
+	budgets     map[[2]string]float64 // by link: tokens that may be copied now
 	lastStep    time.Duration
-	abandoned   float64     // the part of prefixes known that nobody uses any more
-	spillovers  []spillover // by the regions from and to
+	abandoned   float64     // the share of known prefixes that are no longer used
+	spillovers  []spillover // by source and target region
 	spillRatios map[string]map[string]float64
 }
 
-// stateRef is the state that was read last, and when.
+// stateRef identifies the state that was read last, and when it was read.
 type stateRef struct {
 	seq int64
 	by  string
@@ -54,33 +54,33 @@
 	new bool
 }
 
-// View is what is known at one moment.
+// View is the input of one decision.
 type View struct {
 	Model      Model
-	Last       *State // nil: there is none
+	Last       *State // nil if there is none
 	Reports    []Report
 	Servers    []Server
-	Conditions map[string]Condition // of regions; one that is not named is up
-	// Home names the server that a region's requests with a prefix go to by themselves, so that a copy does not draw them from where
-	// they are kept; nil: a hash of the decider's own.
+	Conditions map[string]Condition // by region; a region that is not listed is up
+	// Home returns the server that a region's requests with a prefix are routed to by default. Copies are placed on that
+	// server, so that they do not draw requests away from where the prefix is cached. If nil, the decider uses its own hash.
 	Home func(k Key, servers []string) string
-	// Drains are servers that are about to be let out, or are, as of the number Seen of the state of outages.
+	// Drains are the servers that are drained or about to be, according to the outage state with number OutageSeq.
 	Drains    []Drain
 	OutageSeq int64
 }
 
 const (
-	freshPeriods = 4  // reports are believed for so many periods
-	maxSpill     = 8  // uses in one region are at most so many times those in another
-	spillWeight  = .1 // the weight of a step in the mean
-	// takeoverDelay is how much takeoverDelay each next router writes a state that the one before it should have written.
+	freshPeriods = 4  // reports expire after this many periods
+	maxSpill     = 8  // maximum ratio of uses in one region to those in another
+	spillWeight  = .1 // weight of one step in the moving average
+	// takeoverDelay is added per rank: each router waits this much longer than the one before it before it writes.
 	takeoverDelay = 250 * time.Millisecond
-	// burstSeconds is for how long an idle link's part gathers.
+	// burstSeconds is how many seconds of its rate the budget of an idle link accumulates.
 	burstSeconds = 5.0
 )
 
-// Next gives the state that should take the place of the last, or nil while that may stand. now is of this process's own
-// monotonic clock; only differences are used.
+// Next returns the state that should replace the last one, or nil if that needs no change. now is the monotonic clock of
+// this process; only differences are used.
 func (d *Decider) Next(v View, now time.Duration) *State {
 	m := v.Model.Filled()
 	s, elapsedMs := d.ageState(v.Last, now)
@@ -120,7 +120,7 @@
 	return s
 }
 
-// rank is this router's turn among those that report: how many come before it (rendezvous hashing).
+// rank is the number of reporting routers that come before this one by rendezvous hashing.
 func (d *Decider) rank(fresh []Report) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String("reuse\x00" + name) }
 	listed := false
@@ -136,8 +136,8 @@
 	return earlier
 }
 
-// ageState is a copy of the last state with what has passed since this decider first read it taken off. A decider that takes over
-// begins to count when it reads: a lease may last longer by that, never shorter.
+// ageState returns a copy of the last state from which the time since this decider first read it is subtracted, and the time
+// since the last step. A decider that takes over starts counting when it reads, so a lease may last longer but never shorter.
 func (d *Decider) ageState(last *State, now time.Duration) (*State, float64) {
 	elapsedMs := ms(now - d.lastStep)
 	if d.lastStep == 0 {
@@ -174,7 +174,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// freshReports are the reports that were written anew not long ago, and tells which are new since the last step.
+// freshReports returns the reports that were updated recently, and marks those that changed since the last step.
 func (d *Decider) freshReports(reports []Report, m Model, now time.Duration) (fresh []Report) {
 	if d.sightings == nil {
 		d.sightings = map[string]sighting{}
@@ -196,9 +196,9 @@
 	return fresh
 }
 
-// updateCopies takes what reports say of copies, and releases those that are not to be believed in. It tells whether that is to be
-// written. Leases are extended in batches, when one that was used has less than half left as it is written: at most six times
-// a lease. A use that was not written when its decider ended is one that the next has not heard of.
+// updateCopies applies reported statuses to the copies and releases those that are no longer valid. It reports whether the
+// state has to be written. Leases are extended in batches: a used copy's lease is written when less than half of it is left,
+// so at most six times per lease. The next decider does not know of a use that was not written before this one ended.
 func (d *Decider) updateCopies(s *State, m Model, v View, servers map[string]Server, fresh []Report, now time.Duration) (changed bool) {
 	if d.lastUsed == nil {
 		d.lastUsed, d.statuses = map[int64]time.Duration{}, map[int64]CopyStatus{}
@@ -258,7 +258,7 @@
 	return changed
 }
 
-// release forgets a copy, and has its prefix rest there for a while; 0: not at all.
+// release removes a copy and starts a cool-down for its prefix in that region, unless cooldownMs is 0.
 func (s *State) release(c Copy, cooldownMs float64, reason string) {
 	s.note(c.ID, "release", fmt.Sprintf("%016x at %s: %s", uint64(c.Prefix), c.To, reason))
 	pending := s.settleCopy(c, cooldownMs, reason)
@@ -279,7 +279,7 @@
 	s.Notes = append(s.Notes, Note{id, kind, reason})
 }
 
-// refillBudgets gives each link's copies their part of what it can carry.
+// refillBudgets adds each link's share of its rate to the budget of its copies.
 func (d *Decider) refillBudgets(m Model, elapsedMs float64) {
 	if d.budgets == nil {
 		d.budgets = map[[2]string]float64{}
--- a/internal/decide/reuse/decide_test.go
+++ b/internal/decide/reuse/decide_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fleet is three regions whose routers report each second, with a store that takes what the decider writes.
+// fleet has three regions whose routers report each second, and a store that accepts what the decider writes.
 type fleet struct {
 	model         Model
 	decider       *Decider
@@ -15,18 +15,19 @@
 	now           time.Duration
 	servers       []Server
 	conditions    map[string]Condition
-	meters        map[string]*Meter // by region: one router each
+	meters        map[string]*Meter // by region, one router each
 	statuses      map[string][]CopyStatus
 	rev           int64
-	orderedCopies []Copy // all that were ordered
+	orderedCopies []Copy // all copies that were ordered
 	drains        []Drain
 	outageSeq     int64
-	holdArrivals  bool // copies do not arrive by themselves
+	holdArrivals  bool // copies do not arrive on their own
 	auditor       Auditor
 }
 
 func newFleet(broken Fault) *fleet {
-	f := &fleet{decider: &Decider{Router: "r", Broken: broken}, now: time.Hour, conditions: map[string]Condition{}, meters: map[string]*Meter{}, statuses: map[string][]CopyStatus{}}
+	f := &fleet{decider: &Decider{Router: "r", Broken: broken}, now: time.Hour, conditions: map[string]Condition{}, meters: map[string]*Meter{},
+		statuses: map[string][]CopyStatus{}}
 	for _, r := range []string{"a", "b", "c"} {
 		f.model.Regions = append(f.model.Regions, Region{r, 400_000})
 		f.servers = append(f.servers, Server{ID: r + "1", Region: r, Boot: "1"}, Server{ID: r + "2", Region: r, Boot: "1"})
@@ -40,7 +41,7 @@
 	return f
 }
 
-// churn has each region use sessions of its own, which push out what is not used within about 40 s.
+// churn has each region use sessions of its own, which evict within about 40 s what is not used.
 func (f *fleet) churn() {
 	for _, r := range f.model.Regions {
 		for range 10 {
@@ -50,7 +51,7 @@
 	}
 }
 
-// advance passes a advance and steps.
+// advance moves the clock by a second and runs the decider.
 func (f *fleet) advance(draw func()) *State {
 	f.now += time.Second
 	f.churn()
@@ -61,14 +62,16 @@
 		s := m.TakeSample(f.now)
 		m.AddSample(s, f.now, 0)
 		f.rev++
-		reports = append(reports, Report{Router: r.Name + "-r", Region: r.Name, Sample: s, Curve: m.Curve(), Rate: s.TotalTokens, Hot: m.Hot(f.now), Copies: f.statuses[r.Name], Rev: f.rev})
+		reports = append(reports, Report{Router: r.Name + "-r", Region: r.Name, Sample: s, Curve: m.Curve(), Rate: s.TotalTokens,
+			Hot: m.Hot(f.now), Copies: f.statuses[r.Name], Rev: f.rev})
 		f.statuses[r.Name] = nil
 	}
 	return f.step(reports)
 }
 
 func (f *fleet) step(reports []Report) *State {
-	s := f.decider.Next(View{Model: f.model, Last: f.last, Reports: reports, Servers: f.servers, Conditions: f.conditions, Drains: f.drains, OutageSeq: f.outageSeq}, f.now)
+	s := f.decider.Next(View{Model: f.model, Last: f.last, Reports: reports, Servers: f.servers,
+		Conditions: f.conditions, Drains: f.drains, OutageSeq: f.outageSeq}, f.now)
 	if s != nil {
 		known := int64(0)
 		if f.last != nil {
@@ -102,7 +105,7 @@
 
 const flashKey = Key(77)
 
-// flashCrowd has an opening come up at all regions but the last, five times a second.
+// flashCrowd requests a prefix five times a second in region a. It returns after how many seconds it was copied to b.
 func (f *fleet) flashCrowd(seconds int) (copiedAfter int) {
 	for i := range seconds {
 		f.advance(func() {
@@ -117,18 +120,18 @@
 	return copiedAfter
 }
 
-// A flash crowd is copied within five seconds of its first use, before the other regions have asked for it; a scan triggers
-// nothing, and does where its uses are counted as they are left behind.
+// A flash crowd is copied within five seconds of its first use, before the other regions request it. A scan causes no copies,
+// unless the overestimate of its counts is included.
 func TestFlashAndScan(t *testing.T) {
 	f := newFleet("")
 	for range 60 {
 		f.advance(func() {})
 	}
 	if len(f.orderedCopies) > 0 {
-		t.Fatalf("sessions used once are copied: %+v", f.orderedCopies[0])
+		t.Fatalf("a session used once is copied: %+v", f.orderedCopies[0])
 	}
 	if copiedAfter := f.flashCrowd(10); copiedAfter == 0 || copiedAfter > 5 {
-		t.Errorf("copied after %d s", copiedAfter)
+		t.Errorf("flash crowd copied after %d s, want from 1 to 5", copiedAfter)
 	}
 	for _, broken := range []Fault{"", CountsScan} {
 		f := newFleet(broken)
@@ -141,12 +144,12 @@
 			})
 		}
 		if n := len(f.orderedCopies); (n > 0) != (broken == CountsScan) {
-			t.Errorf("%q: a scan triggers %d copies", broken, n)
+			t.Errorf("fault %q: a scan causes %d copies", broken, n)
 		}
 	}
 }
 
-// What a copy costs whatever its length keeps short openings where they are, and long ones not; it counts for what is sent only.
+// The fixed cost of a copy keeps short prefixes from being copied, but not long ones. It applies only to what is sent.
 func TestShortPrefixesAreNotCopied(t *testing.T) {
 	for _, c := range []struct {
 		readTokens, tokens float64
@@ -162,19 +165,19 @@
 		}
 		for range 40 {
 			f.advance(func() {
-				if f.now/time.Second%20 < 2 { // it would be pushed out in between now and then
+				if f.now/time.Second%20 < 2 { // evicted before the next use
 					f.meters["a"].Use(flashKey, int(c.tokens), f.now)
 				}
 			})
 		}
 		if got := len(f.orderedCopies) > 0; got != c.copied {
-			t.Errorf("%+v: %v", c, f.orderedCopies)
+			t.Errorf("case %+v: ordered copies %v", c, f.orderedCopies)
 		}
 	}
 }
 
-// Copies end with their server's process, its drain, its region and one report of loss; nothing is copied into a region that
-// is lost, returning or held; what is released rests.
+// Copies end when their server restarts or drains, when their region is lost, and when they are reported lost. Nothing is copied
+// into a region that is lost, returning or held. A released prefix gets a cool-down.
 func TestCopyEndsWithItsServerOrRegion(t *testing.T) {
 	for name, cause := range map[string]func(f *fleet, c *Copy){
 		"boot": func(f *fleet, c *Copy) {
@@ -199,7 +202,7 @@
 			f.flashCrowd(10)
 			c := f.copyAt("b", flashKey)
 			if c == nil || c.Phase != Present {
-				t.Fatalf("%s: no copy: %+v", name, c)
+				t.Fatalf("%s: no present copy before the cause: %+v", name, c)
 			}
 			id := c.ID
 			cause(f, c)
@@ -207,7 +210,7 @@
 			c = f.copyAt("b", flashKey)
 			remains := c != nil && c.ID == id
 			if remains != (name == "boot" && broken != "") {
-				t.Errorf("%s, %q: the copy stays: %v", name, broken, remains)
+				t.Errorf("%s, fault %q: the copy remains: %v", name, broken, remains)
 			}
 		}
 	}
@@ -221,7 +224,7 @@
 	}
 }
 
-// What is released for want of use is not copied again at once, and is without hysteresis. Bounds hold.
+// A prefix released because it is unused is not copied again at once, except without hysteresis. The bounds hold.
 func TestHysteresisAndBounds(t *testing.T) {
 	for _, broken := range []Fault{"", NoHysteresis} {
 		f := newFleet(broken)
@@ -243,7 +246,7 @@
 			}
 		}
 		if (recopied > 0) != (broken == NoHysteresis) {
-			t.Errorf("%q: %d of %d copies come again within a lease", broken, recopied, len(f.orderedCopies))
+			t.Errorf("fault %q: %d of %d copies are made again within a lease", broken, recopied, len(f.orderedCopies))
 		}
 	}
 	f := newFleet("")
@@ -262,28 +265,28 @@
 		for _, c := range f.last.copies() {
 			tokens[c.To] += float64(c.Tokens)
 			if prefixes[c.Prefix]++; prefixes[c.Prefix] > 1 {
-				t.Errorf("%d copies of %x", prefixes[c.Prefix], uint64(c.Prefix))
+				t.Errorf("%d copies of prefix %x, at most 1 allowed", prefixes[c.Prefix], uint64(c.Prefix))
 			}
 			if c.Phase == Ordered {
 				ordered++
 			}
 		}
 		if ordered > 3 {
-			t.Errorf("%d orders under way", ordered)
+			t.Errorf("%d orders under way, at most 3 allowed", ordered)
 		}
 		for link, v := range sent {
 			if limit := 0.25 * 20_000 * float64(f.now-time.Hour) / 1e9; v > limit {
-				t.Errorf("%g tokens over %s, at most %g", v, link, limit)
+				t.Errorf("%g tokens sent over link %s, at most %g allowed", v, link, limit)
 			}
 		}
 		for r, v := range tokens {
 			if v > 100_000 {
-				t.Errorf("%g tokens at %s", v, r)
+				t.Errorf("%g tokens held in region %s, at most 100000 allowed", v, r)
 			}
 		}
 	}
 	if len(f.orderedCopies) < 5 {
-		t.Errorf("%d copies", len(f.orderedCopies))
+		t.Errorf("only %d copies were ordered", len(f.orderedCopies))
 	}
 }
 
@@ -294,7 +297,7 @@
 	return s.Copies
 }
 
-// A setting that cannot be used is named, with what to do; so is a record.
+// An error names the invalid setting and has advice. An error on a record names the field.
 func TestErrors(t *testing.T) {
 	f := newFleet("")
 	if err := f.model.Filled().Check(); err != nil {
@@ -311,12 +314,12 @@
 	}
 }
 
-// BenchmarkDecider is one step over 100 routers in 5 regions, which name as many different prefixes as their reports may, and
-// 100,000, far more than they may.
+// BenchmarkDecider is one step over 100 routers in 5 regions. Their reports have different prefixes: as many as reports may have, and
+// 100,000, far more than allowed.
 func BenchmarkDecider(b *testing.B) {
 	for _, perRouter := range []int{MaxHotReported, 1000} {
 		b.Run(fmt.Sprint(100*perRouter, " prefixes"), func(b *testing.B) { benchmarkSteps(b, perRouter, 0) })
-		b.Run(fmt.Sprint(100*perRouter, " prefixes, five servers leave"), func(b *testing.B) { benchmarkSteps(b, perRouter, 5) })
+		b.Run(fmt.Sprint(100*perRouter, " prefixes, five servers draining"), func(b *testing.B) { benchmarkSteps(b, perRouter, 5) })
 	}
 }
 
--- a/internal/decide/reuse/expect.go
+++ b/internal/decide/reuse/expect.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// spillover is how prefixes of one region are used in another: the part of them that come there, by whether only one region or
-// several use them so far, and how much those that come are used there beside here.
+// spillover describes how prefixes used in one region are used in another: the share of prefixes that are used there too, by
+// whether one or several regions use them so far, and the ratio of the rate there to the rate here for those that are.
 type spillover struct {
 	share [2]float64
 	ratio float64
 }
 
 const (
-	// usesPerVisit is how many uses of a prefix make one visit. A conversation asks again and again: its later uses come soon and
-	// find the prefix there, and its end is no sign that the prefix has ended.
+	// usesPerVisit is how many uses of a prefix count as one visit. A conversation sends several requests with a prefix. Its
+	// later requests follow soon and find the prefix cached, and its end does not mean that the prefix is abandoned.
 	usesPerVisit = 2
-	// initialAbandoned is the part of prefixes that nobody uses any more, until it is learned.
+	// initialAbandoned is the assumed share of prefixes that are no longer used, until it is learned.
 	initialAbandoned = 0.05
-	// leftPrior is the chance, before silence is counted, that a prefix that others still use is used in a region no more.
+	// leftPrior is the prior probability that a prefix still used in other regions is no longer used in one region.
 	leftPrior = 0.05
-	// rateShape is the shape of the gamma distribution of the rate of those that come to a region about what is expected.
+	// rateShape is the shape of the gamma distribution of a shared prefix's rate in a region around the expected rate.
 	rateShape = 4.0
-	// localRateFactor is what is used of the others in a region, beside what would be if they came.
+	// localRateFactor is the rate of a local prefix in another region relative to that of a shared prefix.
 	localRateFactor = 0.02
 )
 
-// estimateRates comes to the rate of a prefix's visits in each region: what was counted, less the chance that it is used there no more.
+// estimateRates computes the rate of a prefix's visits in each region: the counted rate times the chance that it is still used.
 func (u *usage) estimateRates(p *prefix, abandoned float64) {
 	const decaySeconds = float64(hotDecay / time.Second)
 	var silence [MaxRegions]float64
@@ -52,14 +52,14 @@
 	}
 }
 
-// inUseChance is the chance that a prefix is still used in a region that has been silent for longer than others by a chance, if it
-// is used there. Either it is, or it left that region, or nobody uses it any more.
+// inUseChance is the chance that a prefix is still used in a region. silence is the chance that a region which uses it would
+// be silent for so much longer than the others. A prefix is either in use, or unused in that region, or abandoned everywhere.
 func (p *prefix) inUseChance(silence, abandoned float64) float64 {
 	active := (1 - abandoned - leftPrior) * p.quietChance * silence
 	return active / (active + leftPrior*p.quietChance + abandoned)
 }
 
-// expectedRate is the rate of a prefix's visits in a region, a second: what was seen there, or what its use elsewhere lets expect.
+// expectedRate is the rate of a prefix's visits in a region per second, as observed there or inferred from its use elsewhere.
 func (v *valuer) expectedRate(p *prefix, to int) float64 {
 	best, otherRegions := 0.0, -1
 	if use := &v.usage.uses[p.firstUse]; use.next < 0 && int(use.region) != to { // most are used in one region only
@@ -81,10 +81,11 @@
 	return best
 }
 
-// rateFrom is the rate of visits in a region that a prefix's use in another lets expect. Prefixes are of two kinds: those that come
-// there, whose rate is gamma distributed about ratio times that elsewhere, and a region's own, which hardly do. How many visits
-// came there in the time since the prefix is known, and how many regions use it, tell which kind it is of (Bayes' rule). So a
-// region's own soon counts as such, while one gamma distribution for both kinds would still expect it after long silence.
+// rateFrom is the rate of visits in a target region that is inferred from a prefix's use in a source region. There are two
+// kinds of prefixes. Shared ones are used in the target region as well, with a gamma-distributed rate around ratio times that
+// in the source. Local ones are hardly used there. The visits observed in the target region since the prefix is known, and
+// how many regions use it, give the probability of each kind (Bayes' rule). A local prefix is thus soon recognized as such,
+// while a single gamma distribution for both kinds would still expect it after a long silence.
 func (v *valuer) rateFrom(p *prefix, source *regionUse, to, others int) float64 {
 	spill, target := &v.spillovers[source.region][to], v.usage.inRegion(p, to)
 	mean := spill.ratio * source.rate
@@ -93,8 +94,8 @@
 	}
 	observed, visits, prior := max(source.countedSeconds, min(source.ageMs, target.idleMs)/1000), target.count/usesPerVisit, spill.share[others]
 	sharedBeta, localBeta := rateShape/mean+observed, rateShape/(localRateFactor*mean)+observed
-	// How much more likely what was seen is of its region's own, (own/come)^-(alike+c) / hardly^alike; without visits the power
-	// is four, as decisions weigh 100,000 prefixes.
+	// The likelihood ratio of a local prefix, (localBeta/sharedBeta)^-(rateShape+visits) / localRateFactor^rateShape.
+	// Without visits the exponent is four and pow is avoided, as decisions evaluate 100,000 prefixes.
 	ratio := sharedBeta / (localBeta * localRateFactor)
 	odds := ratio * ratio * ratio * ratio
 	if visits > 0 {
@@ -108,7 +109,7 @@
 	return rate
 }
 
-// learnSpillover keeps how uses in one region compare with those in another, over prefixes that have been used for long enough to tell.
+// learnSpillover updates how uses in one region relate to those in another, from prefixes that have been used long enough.
 func (d *Decider) learnSpillover(m Model, s *State, u *usage) {
 	n := len(m.Regions)
 	if len(d.spillovers) != n*n {
@@ -139,7 +140,7 @@
 			if source.count == 0 || source.count < 2*m.Uses || source.ageMs <= m.LeaseMs/2 || source.rate < source.countedRate/2 {
 				continue
 			}
-			regions := uint32(0) // where it is used as well, by no less than a tenth
+			regions := uint32(0) // regions that use it at no less than a tenth of this rate
 			for o := p.firstUse; o >= 0; o = u.uses[o].next {
 				if u.uses[o].countedRate > source.countedRate/10 && o != at {
 					regions |= 1 << u.uses[o].region
--- a/internal/decide/reuse/expect_test.go
+++ b/internal/decide/reuse/expect_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What a session has grown by is new; what it had is used again.
+// The tokens by which a session's prefix has grown count as cold, the others as reused.
 func TestGrowthCountsAsCold(t *testing.T) {
 	s := NewSampler(1e6)
 	s.Use(1, 100)
@@ -15,12 +15,12 @@
 		reused += v
 	}
 	if math.Abs(s.hist.Cold-300) > 1e-6 || math.Abs(reused-100) > 1e-6 {
-		t.Errorf("%g new, %g again", s.hist.Cold, reused)
+		t.Errorf("%g cold tokens, want 300; %g reused, want 100", s.hist.Cold, reused)
 	}
 }
 
-// A prefix used in one region is expected in another at once, and no more after long silence there, sooner where few come; one
-// that has been used there and is silent everywhere is expected less than one that is silent there alone.
+// A prefix used in one region is expected in another at once. It is no longer expected after a long silence there, and sooner where
+// few prefixes are shared. A prefix that is silent in all regions is expected less than one that is silent in one region only.
 func TestExpectedRate(t *testing.T) {
 	m := Model{Regions: []Region{{"a", 1e6}, {"b", 1e6}, {"c", 1e6}}}.Filled()
 	expected := func(share float64, hot ...[]Use) float64 {
@@ -41,12 +41,13 @@
 	}
 	early, late, rare := expected(0.5, uses(10, 10, 1)), expected(0.5, uses(25, 300, 1)), expected(0.1, uses(10, 10, 1))
 	if early < 0.01 || late > early/10 || rare > early/2 {
-		t.Errorf("early %g, late %g, seldom %g", early, late, rare)
+		t.Errorf("expected rates: early %g, late %g, rarely shared %g", early, late, rare)
 	}
 	silentEverywhere, silentThere := expected(0.5, uses(20, 300, 150), uses(20, 300, 150)), expected(0.5, uses(20, 300, 1), uses(20, 300, 150))
 	used := expected(0.5, uses(20, 300, 1), uses(20, 300, 1))
 	if silentEverywhere > used/3 || silentThere > used/2 {
-		t.Errorf("used %g, silent there %g, silent everywhere %g", used, silentThere, silentEverywhere)
+		t.Errorf("expected rates: used %g, silent in the region %g, silent in all regions %g", used, silentThere, silentEverywhere)
 	}
-	t.Logf("early %.4f, late %.6f, where few come %.4f; used %.4f, silent there %.4f, silent everywhere %.4f", early, late, rare, used, silentThere, silentEverywhere)
+	t.Logf("expected rates: early %.4f, late %.6f, rarely shared %.4f; used %.4f, silent in the region %.4f, silent in all regions %.4f",
+		early, late, rare, used, silentThere, silentEverywhere)
 }
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -6,16 +6,16 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Hindsight counts orders and releases of copies by what became of them. A copy that a request found was right, one that ended
-// without was wrong, unless its server or region ended it or it never arrived: then its question fell away. A release after which
-// the opening rests was wrong if it was asked for there within a lease, and right if not. Releases of what its region keeps by its
-// own use are not asked about: it is asked for there by what they say.
+// Hindsight counts orders and releases of copies by their outcome. A copy was right if a request found it and wrong if it ended
+// unused. It is void if its server or region ended it, or if it never arrived. A release with a cool-down was wrong if the
+// prefix was requested in that region within a lease, and right if not. Releases of prefixes that the region keeps through its
+// own use are not counted, because requests for those are expected there.
 type Hindsight struct {
 	Copies   turn.Judged `json:"copies,omitzero"`
 	Releases turn.Judged `json:"releases,omitzero"`
 }
 
-// recordUse notes a copy's first use.
+// recordUse records the first use of a copy.
 func (s *State) recordUse(c *Copy) {
 	if !c.Used {
 		c.Used = true
@@ -23,7 +23,8 @@
 	}
 }
 
-// settleCopy settles what a copy was for that ends, and tells whether its release is asked about: it was decided, and its opening rests.
+// settleCopy settles the outcome of a copy that ends. It reports whether its release is counted: it was a decision and starts a
+// cool-down.
 func (s *State) settleCopy(c Copy, cooldownMs float64, reason string) (pending bool) {
 	decided := reason == reasonUnused || reason == reasonCrowded || reason == reasonNoBenefit
 	if !c.Used && decided && c.Phase == Present {
@@ -37,7 +38,7 @@
 	return pending
 }
 
-// settleRelease settles the release that a rest is of, where that is asked about and has not been settled.
+// settleRelease settles the release behind a cool-down, if it is still pending.
 func (s *State) settleRelease(r *Cooldown, verdict turn.Verdict) {
 	if r.Pending {
 		r.Pending = false
@@ -45,8 +46,8 @@
 	}
 }
 
-// settleReleases settles releases by whether their openings were used in their regions since; it tells whether any was. How long ago
-// a use was is as old as its report, so uses shortly after a release are not taken for it: they may be from before.
+// settleReleases settles releases by whether their prefixes were used in their regions since, and reports whether any was. The
+// time of a use is only as exact as its report, so uses shortly after a release are ignored: they may precede it.
 func (s *State) settleReleases(m Model, u *usage) (any bool) {
 	for i := range s.Cooldowns {
 		r := &s.Cooldowns[i]
@@ -67,7 +68,8 @@
 	return any
 }
 
-// checkHindsight looks at the counts: they go on, and no more is open than copies that wait for a use and rests that are asked about.
+// checkHindsight checks that the counts continue those of the previous state, and that no more decisions are open than there are
+// unused copies and pending cool-downs.
 func (a *Auditor) checkHindsight(s *State) {
 	previous := Hindsight{}
 	if a.last != nil {
@@ -78,7 +80,7 @@
 		current, before turn.Judged
 	}{{"copies", s.Hindsight.Copies, previous.Copies}, {"releases", s.Hindsight.Releases, previous.Releases}} {
 		if bad := entry.current.Follows(entry.before); bad != "" {
-			a.addViolation(s, "%s in hindsight: %s", entry.kind, bad)
+			a.addViolation(s, "hindsight of %s: %s", entry.kind, bad)
 		}
 	}
 	unused, pending := int64(0), int64(0)
@@ -93,6 +95,7 @@
 		}
 	}
 	if h := s.Hindsight; h.Copies.Open > unused || h.Releases.Open > pending {
-		a.addViolation(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, unused, pending)
+		a.addViolation(s, "hindsight has %d copies and %d releases open, but %d copies are unused and %d releases are pending",
+			h.Copies.Open, h.Releases.Open, unused, pending)
 	}
 }
--- a/internal/decide/reuse/hindsight_test.go
+++ b/internal/decide/reuse/hindsight_test.go
@@ -6,9 +6,9 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// A copy that is found was right; one that nobody finds was wrong once it ends, and its release with it when its opening is asked
-// for within a lease after that; one whose server starts again first is void. The auditor takes every state, and finds counts that
-// are lost or made up.
+// A copy that a request found was right. One that ends unused was wrong, and so is its release if the prefix is requested within a
+// lease after it. One whose server restarts first is void. The auditor accepts every state and detects counts that are lost or
+// made up.
 func TestCopiesInHindsight(t *testing.T) {
 	idle := func(f *fleet, seconds int) {
 		for range seconds {
@@ -27,8 +27,8 @@
 			}
 			idle(f, 90)
 		}, turn.Judged{Right: 2}, turn.Judged{Right: 2}},
-		{"not found, and not asked for", func(f *fleet) { idle(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
-		{"not found, asked for afterwards", func(f *fleet) {
+		{"not found, not requested later", func(f *fleet) { idle(f, 130) }, turn.Judged{Wrong: 2}, turn.Judged{Right: 2}},
+		{"not found, requested later", func(f *fleet) {
 			for f.copyAt("b", flashKey) != nil {
 				idle(f, 1)
 			}
@@ -36,7 +36,7 @@
 			f.meters["b"].Use(flashKey, 3000, f.now)
 			idle(f, 90)
 		}, turn.Judged{Wrong: 2}, turn.Judged{Right: 1, Wrong: 1}},
-		{"its server starts again", func(f *fleet) {
+		{"its server restarts", func(f *fleet) {
 			for i := range f.servers {
 				f.servers[i].Boot = "2"
 			}
@@ -50,7 +50,8 @@
 		c.after(f)
 		h := f.last.Hindsight
 		if h.Copies != c.copies || h.Releases != c.releases {
-			t.Errorf("%s: copies %v, releases %v; %+v %+v %+v", c.name, h.Copies, h.Releases, f.last.Copies, f.last.Cooldowns, f.last.Notes)
+			t.Errorf("%s: hindsight of copies %v, of releases %v; state has %+v %+v %+v",
+				c.name, h.Copies, h.Releases, f.last.Copies, f.last.Cooldowns, f.last.Notes)
 		}
 		for _, fault := range f.auditor.Violations {
 			t.Errorf("%s: %s", c.name, fault)
@@ -61,7 +62,7 @@
 			b := &Auditor{Model: f.model}
 			b.Observe(f.last)
 			if b.Observe(&s); len(b.Violations) == 0 {
-				t.Errorf("%s: %+v after %+v is not found", c.name, broken, h)
+				t.Errorf("%s: no violation reported for hindsight %+v after %+v", c.name, broken, h)
 			}
 		}
 	}
--- a/internal/decide/reuse/index.go
+++ b/internal/decide/reuse/index.go
@@ -1,15 +1,15 @@
 package reuse
 
-// index finds the places of prefixes in a list; it is filled anew in each step, in the room of the one before. It is a table with open
-// addressing (linear probing) of which at most half is full: a key is looked for and entered in one go.
+// index maps prefixes to positions in a list. It is refilled in each step and reuses the memory of the step before. It is a hash
+// table with open addressing and linear probing that is at most half full, so that a lookup and an insert need one probe sequence.
 type index struct {
 	keys   []Key
-	places []int32 // 0: free, else one more than the place
+	places []int32 // 0 if free, else the position plus one
 	count  int
-	salt   Key // so that nobody can choose prefixes that meet in one place of every router's
+	salt   Key // differs between routers, so that a client cannot choose prefixes that collide at all of them
 }
 
-// reset empties it.
+// reset empties the index.
 func (x *index) reset() {
 	if x.keys == nil {
 		x.keys, x.places = make([]Key, 1<<10), make([]int32, 1<<10)
@@ -18,7 +18,7 @@
 	x.count = 0
 }
 
-// slot is where a key is, or would be entered.
+// slot returns the slot that holds a key, or where it would be inserted.
 func (x *index) slot(k Key) int {
 	mask := uint64(len(x.keys) - 1)
 	i := mix(k^x.salt) & mask
@@ -28,7 +28,7 @@
 	return int(i)
 }
 
-// find gives a key's place.
+// find returns the position of a key.
 func (x *index) find(k Key) (int, bool) {
 	if x.count == 0 {
 		return 0, false
@@ -37,7 +37,7 @@
 	return int(x.places[i]) - 1, x.places[i] != 0
 }
 
-// insert gives a key's place, which is the next one if it was not known.
+// insert returns the position of a key and adds the key at the next position if it is not known.
 func (x *index) insert(k Key) (place int, known bool) {
 	slot := x.slot(k)
 	if x.places[slot] != 0 {
--- a/internal/decide/reuse/index_test.go
+++ b/internal/decide/reuse/index_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A table of prefixes gives each the place that a map would, also in the room of an earlier step; the first of a list are those that
-// sorting finds, ties among them.
+// The index returns the same positions as a map, also when it reuses the memory of an earlier step. topOptions selects the same
+// options as sorting does, with ties.
 func TestIndexAndTopOptions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := index{salt: Key(rapid.Uint64().Draw(t, "salt"))}
@@ -20,10 +20,10 @@
 				k := Key(v)
 				previous, known := want[k]
 				if place, found := x.find(k); found != known || found && place != previous {
-					t.Fatalf("key %d is found at %d: %v", k, place, found)
+					t.Fatalf("find of key %d returned position %d, %v", k, place, found)
 				}
 				if want[k], _ = x.insert(k); known && want[k] != previous || !known && want[k] != len(want)-1 {
-					t.Fatalf("key %d is entered at %d", k, want[k])
+					t.Fatalf("key %d inserted at position %d", k, want[k])
 				}
 			}
 		}
@@ -36,7 +36,7 @@
 		}
 		all, n := slices.SortedFunc(slices.Values(list), compare), rapid.IntRange(1, len(list)).Draw(t, "n")
 		if got := slices.SortedFunc(slices.Values(topOptions(list, n)), compare); !slices.Equal(got, all[:n]) {
-			t.Fatalf("%d of %d: %v", n, len(all), got)
+			t.Fatalf("wrong top %d of %d options: %v", n, len(all), got)
 		}
 	})
 }
--- a/internal/decide/reuse/lease_test.go
+++ b/internal/decide/reuse/lease_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The lease of copies against a model of what each is owed: after each step no copy is believed in whose server started
-// again, drains or left, or that was reported lost; one that is used stays for two thirds of a lease; one that is not is
-// released after a lease by a decider that saw it pass; numbers of orders are not used again; a decider that takes over makes
-// leases longer, never shorter.
+// Compares the leases of copies with a model. After each step no copy is valid whose server restarted, drains or left, or that was
+// reported lost. A used copy stays for two thirds of a lease, and an unused one is released after a lease by a decider that saw
+// all of it. IDs of orders are not reused. A decider that takes over may prolong leases but not shorten them.
 func TestLeaseModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := checkLeases(t, ""); violation != "" {
@@ -21,7 +20,7 @@
 	})
 }
 
-// The model finds a decider that believes in copies after a restart.
+// The model detects a decider that keeps copies after a restart of their server.
 func TestLeaseModelFindsStaleCopies(t *testing.T) {
 	found := ""
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,20 +29,21 @@
 		}
 	})
 	if found == "" {
-		t.Error("copies that outlive their server's process are not found")
+		t.Error("no violation found with a decider that keeps copies after a restart")
 	}
 }
 
 func checkLeases(t *rapid.T, broken Fault) (violation string) {
 	f := newFleet(broken)
 	f.model.LeaseMs = 10_000
-	for i := range 6 { // six prefixes' worth of copies stand there already, under leases that differ
+	for i := range 6 { // six copies exist already, two of them not arrived yet
 		if f.last == nil {
 			f.last = &State{Seq: 1, By: "x"}
 		}
 		f.last.LastOrder++
 		s := f.servers[i%len(f.servers)]
-		c := Copy{ID: f.last.LastOrder, Prefix: Key(i), Tokens: 100, From: "elsewhere", To: s.Region, Server: s.ID, Boot: s.Boot, Phase: Present, LeftMs: 10_000}
+		c := Copy{ID: f.last.LastOrder, Prefix: Key(i), Tokens: 100, From: "elsewhere", To: s.Region, Server: s.ID, Boot: s.Boot,
+			Phase: Present, LeftMs: 10_000}
 		if i%3 == 2 {
 			c.Phase = Ordered
 		}
@@ -67,7 +67,7 @@
 			}
 		case "here":
 			statuses = append(statuses, CopyStatus{ID: id, Arrived: true})
-			idle[id] = 0 // it has a lease from its arrival on
+			idle[id] = 0 // its lease starts with its arrival
 		case "gone":
 			statuses = append(statuses, CopyStatus{ID: id, Lost: true})
 			lost[id] = true
@@ -97,29 +97,29 @@
 		for _, c := range f.last.Copies {
 			s, known := servers[c.Server]
 			if !known || s.Boot != c.Boot || s.Draining || lost[c.ID] {
-				return fmt.Sprintf("copy %d is believed in: server %+v, reported gone: %v", c.ID, s, lost[c.ID])
+				return fmt.Sprintf("copy %d is still valid: server %+v, reported lost: %v", c.ID, s, lost[c.ID])
 			}
 			delete(present, c.ID)
 			if idle[c.ID] += elapsed; idle[c.ID] > 16*time.Second && f.now-takeover > 16*time.Second {
-				return fmt.Sprintf("copy %d was not used for %s and stays", c.ID, idle[c.ID])
+				return fmt.Sprintf("copy %d is kept after %s without a use", c.ID, idle[c.ID])
 			}
 			if c.Phase == Present && c.LeftMs > 10_000 {
-				return fmt.Sprintf("copy %d has %g ms left", c.ID, c.LeftMs)
+				return fmt.Sprintf("copy %d has %g ms left of a lease of 10000 ms", c.ID, c.LeftMs)
 			}
 		}
-		for _, c := range present { // what went
+		for _, c := range present { // released copies
 			s, known := servers[c.Server]
 			since, used := lastUse[c.ID]
 			minHeld := 6666 * time.Millisecond
-			if takeover >= since { // by another decider, which has not heard of the use if it was not written: half a lease at least
+			if takeover >= since { // another decider did not learn of an unwritten use: at least half a lease
 				minHeld = 5 * time.Second
 			}
 			if known && s.Boot == c.Boot && !s.Draining && !lost[c.ID] && used && f.now-since < minHeld {
-				return fmt.Sprintf("copy %d was used %s ago and is released", c.ID, f.now-since)
+				return fmt.Sprintf("copy %d is released %s after a use", c.ID, f.now-since)
 			}
 		}
 		if f.last.Seq < before.Seq || f.last.LastOrder < before.LastOrder {
-			return "the state goes back"
+			return "sequence number or last order goes back"
 		}
 		out, err := json.Marshal(f.last)
 		if err != nil || len(out) > MaxBytes {
--- a/internal/decide/reuse/leave.go
+++ b/internal/decide/reuse/leave.go
@@ -8,31 +8,31 @@
 	"slices"
 )
 
-// CopiesToDraining is a rule that a decider breaks on purpose: what is copied goes to servers that are about to be let out, too.
+// CopiesToDraining is a rule that a decider breaks on purpose: copies are also placed on draining servers.
 const CopiesToDraining Fault = "to-leaving"
 
-// Drain is a server that is about to be let out, as the decider of outages has it.
+// Drain is a server that is drained or about to be, as the decider of outages reports it.
 type Drain struct {
 	Server string
-	Epoch  int64   // tells this time from another
-	LeftMs float64 // of its wait for copies; 0: it is let out
+	Epoch  int64   // distinguishes successive drains of a server
+	LeftMs float64 // of its wait for copies; 0 if it is drained
 }
 
-// DrainState is what is agreed on of a server that leaves.
+// DrainState is the agreed progress of copying from a draining server.
 type DrainState struct {
 	Epoch int64 `json:"turn"`
-	Done  bool  `json:"done,omitempty"` // nothing that pays is to be copied from it any more, or on its way
+	Done  bool  `json:"done,omitempty"` // nothing worthwhile is left to be copied from it, and no copy is under way
 }
 
-// MaxDrains is how many servers that leave a state names; others wait for nothing but the time they are given.
+// MaxDrains bounds the draining servers in a state. Further ones wait out their time without copies.
 const MaxDrains = 32
 
-// draining tells whether a server is about to be let out, or is.
+// draining reports whether a server is drained or about to be.
 func (v View) draining(server string) bool {
 	return slices.ContainsFunc(v.Drains, func(drain Drain) bool { return drain.Server == server })
 }
 
-// withAgreedDrains is the view with those that are agreed to leave and that this router does not know of yet.
+// withAgreedDrains returns the view with the drains from the state that this router has not learned of yet.
 func (v View) withAgreedDrains(s *State) View {
 	v.Drains = slices.Clone(v.Drains)
 	for _, server := range slices.Sorted(maps.Keys(s.Drains)) {
@@ -43,12 +43,12 @@
 	return v
 }
 
-// ended tells whether a server that was to leave is not to any more, as far as this decider knows: its wish was ended, or it is
-// back.
+// ended reports whether, as far as this decider knows, a drain no longer applies because it was cancelled or has ended.
 func (v View) ended(id string, s DrainState) bool { return !v.draining(id) && s.Epoch <= v.OutageSeq }
 
-// revokedReason tells why a copy is not wanted any more, or "". What was copied for the sake of a server that is there again, or stays, goes
-// back to it with the next request: left where it is it would keep requests, and so room, away from that server for as long as it is used.
+// revokedReason returns why a copy is no longer wanted, or "". A copy that was made for a drain is released once that server
+// serves again or stays, and requests return to it. If kept, the copy would draw requests, and with them memory, away from
+// that server for as long as it is used.
 func (v View) revokedReason(s *State, c Copy, broken Fault) string {
 	switch drain, known := s.Drains[c.DrainServer]; {
 	case c.DrainServer != "" && (!known || v.ended(c.DrainServer, drain)):
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// ledger is what copies take of the bounds, as more are ordered.
+// ledger tracks how much of the bounds copies take while more are ordered.
 type ledger struct {
 	decider   *Decider
 	state     *State
@@ -68,20 +68,20 @@
 	ordered   int
 	copies    map[Key]int
 	tokens    map[string]float64
-	occupied  map[copyTarget]bool // copies, and rests
+	occupied  map[copyTarget]bool // copies and cool-downs
 	cooldowns map[copyTarget]bool
 }
 
-// full tells whether no more may be ordered in this step.
+// full reports whether no more copies may be ordered in this step.
 func (l *ledger) full() bool { return l.ordered >= l.model.Orders || len(l.state.Copies) >= MaxCopies }
 
-// fits tells whether a copy keeps the bounds of its prefix and its region.
+// fits reports whether a copy stays within the bounds of its prefix and its region.
 func (l *ledger) fits(o option) bool {
 	to := l.model.Regions[o.to]
 	return l.copies[o.p.key] < l.model.Copies && l.tokens[to.Name]+float64(o.p.tokens) <= l.model.Share*to.Memory
 }
 
-// add orders a copy; leaves is the server for whose sake, or "".
+// add orders a copy. drainServer is the draining server that it is ordered for, or "".
 func (l *ledger) add(o option, server Server, drainServer string) {
 	tokens, to := float64(o.p.tokens), l.model.Regions[o.to].Name
 	l.decider.budgets[[2]string{o.link.From, o.link.To}] -= tokens
@@ -96,8 +96,8 @@
 	l.state.note(c.ID, "copy", fmt.Sprintf("%016x from %s to %s: %s", uint64(c.Prefix), c.From, c.To, o.reason()))
 }
 
-// orderDrainCopies orders copies of what servers hold that are about to be let out, and says of which nothing more is to be copied. It tells
-// whether that is to be written.
+// orderDrainCopies orders copies of what draining servers hold and records for which of them nothing is left to copy. It
+// reports whether the state has to be written.
 func (d *Decider) orderDrainCopies(s *State, v View, val *valuer, limits *ledger) (any bool) {
 	states := map[string]DrainState{}
 	for server, state := range s.Drains {
@@ -123,8 +123,8 @@
 	return any
 }
 
-// copyOut orders what pays to be copied from a server and can arrive within what is left of its wait, and tells whether nothing is left
-// to wait for.
+// copyOut orders the copies from a draining server that pay and can arrive within the rest of its wait. It reports whether
+// there is nothing left to wait for.
 func (d *Decider) copyOut(s *State, v View, val *valuer, limits *ledger, drain Drain) bool {
 	i := slices.IndexFunc(v.Servers, func(one Server) bool { return one.ID == drain.Server })
 	if i < 0 {
@@ -136,7 +136,7 @@
 	}
 	link := val.links[region*n+region]
 	capacity, pending := val.model.LinkShare*link.Rate*drain.LeftMs/1000, false
-	atDraining, elsewhere := map[Key]bool{}, map[Key]bool{} // under a lease at the server that leaves, and at others of its region
+	atDraining, elsewhere := map[Key]bool{}, map[Key]bool{} // leased at the draining server, and at others of its region
 	for _, c := range s.Copies {
 		if c.Phase == Ordered && c.From == link.From && c.To == link.To {
 			capacity -= float64(c.Tokens)
@@ -154,11 +154,12 @@
 		}
 		tokens := float64(o.p.tokens)
 		target := copyTarget{o.p.key, link.To}
-		if tokens > capacity || !limits.fits(o) || elsewhere[o.p.key] || limits.cooldowns[target] || limits.occupied[target] && !atDraining[o.p.key] || len(s.Copies) >= MaxCopies {
+		if tokens > capacity || !limits.fits(o) || elsewhere[o.p.key] || limits.cooldowns[target] ||
+			limits.occupied[target] && !atDraining[o.p.key] || len(s.Copies) >= MaxCopies {
 			continue
 		}
 		if current, ok := currentHome(o.p.key); !atDraining[o.p.key] && (!ok || current.ID != drain.Server) {
-			continue // it is kept elsewhere
+			continue // it is cached on another server
 		}
 		server, ok := nextHome(o.p.key)
 		if !ok {
@@ -173,8 +174,8 @@
 	return !pending
 }
 
-// drainOptions are the prefixes that a region has and whose copying within it saves more than it costs, those that save most for each token
-// first: without the copy the first use would read each anew.
+// drainOptions are the prefixes of a region whose copying within the region saves more than it costs, ordered by the saving per
+// token. Without the copy, the first use would read each of them again.
 func (v *valuer) drainOptions(region int, link *Link, held map[Key]bool) (options []option) {
 	for i := range v.usage.prefixes {
 		p := &v.usage.prefixes[i]
@@ -190,8 +191,8 @@
 	return options
 }
 
-// drainBenefit is what copying a prefix within its region is worth. Only the first use is saved, after which it would be there by itself, and
-// that only if it comes before what is not used is pushed out: servers may not be able to hold it.
+// drainBenefit is the benefit of copying a prefix within its region. Only the first use is saved, since the prefix would be
+// cached after that, and only if it comes before unused prefixes are evicted, as servers may not be able to pin the copy.
 func (v *valuer) drainBenefit(p *prefix, link *Link, region int) benefit {
 	tokens, rate := float64(p.tokens), v.expectedRate(p, region)
 	seconds := min(v.model.LeaseMs/1000-tokens/(v.model.LinkShare*link.Rate), v.retention[region])
@@ -205,20 +206,20 @@
 	return benefit{rate, tokens * usedChance, link.Price*tokens + v.model.fixedCost(link) + v.displaced(tokens, region)*seconds*(1-usedChance)}
 }
 
-// checkDrains tells what of the servers that leave cannot be used.
+// checkDrains validates the draining servers of a state.
 func (s *State) checkDrains() error {
 	if len(s.Drains) > MaxDrains {
-		return &RecordError{Field: "leaving", Says: fmt.Sprintf("%d servers, at most %d", len(s.Drains), MaxDrains)}
+		return &RecordError{Field: "leaving", Says: fmt.Sprintf("%d draining servers, at most %d allowed", len(s.Drains), MaxDrains)}
 	}
 	for name, drain := range s.Drains {
 		if name == "" || len(name) > maxName || drain.Epoch < 0 || drain.Epoch > math.MaxInt64/2 {
-			return &RecordError{Field: "leaving", Says: fmt.Sprintf("%q in turn %d", name, drain.Epoch)}
+			return &RecordError{Field: "leaving", Says: fmt.Sprintf("invalid server %q with drain epoch %d", name, drain.Epoch)}
 		}
 	}
 	return nil
 }
 
-// CopiesDone is the turn of each server that leaves for which nothing is to be copied from it any more.
+// CopiesDone returns the drain epoch of each draining server for which nothing is left to copy.
 func (s *State) CopiesDone() map[string]int64 {
 	epochs := map[string]int64{}
 	for server, drain := range s.Drains {
--- a/internal/decide/reuse/leave_test.go
+++ b/internal/decide/reuse/leave_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// addLocalLinks gives each region a link of its own, for copies from servers that are let out.
+// addLocalLinks adds a link within each region, for copies from draining servers.
 func (f *fleet) addLocalLinks() {
 	for _, r := range f.model.Regions {
 		f.model.Links = append(f.model.Links, Link{From: r.Name, To: r.Name, Rate: 20_000, Price: 0.1})
 	}
 }
 
-// drain has a server be about to be let out.
+// drain announces the drain of a server.
 func (f *fleet) drain(server string, waitMs float64) {
 	f.outageSeq++
 	f.drains = append(f.drains[:len(f.drains):len(f.drains)], Drain{server, f.outageSeq, waitMs})
 }
 
-// advanceHot has twelve openings used in a, four times a second in turns, and some that nobody uses again; so passes a second of a wait.
+// advanceHot uses twelve prefixes in region a, four per second in turn, and some that are not used again. A second of each wait passes.
 func (f *fleet) advanceHot() {
 	f.advance(func() {
 		for i := range 4 {
@@ -45,7 +45,7 @@
 	return f
 }
 
-// drainCopies are the prefixes of copies that were ordered for a server's sake.
+// drainCopies returns the copies that were ordered for the drain of a server, by prefix.
 func (f *fleet) drainCopies(server string) map[Key]Copy {
 	copies := map[Key]Copy{}
 	for _, c := range f.orderedCopies {
@@ -56,8 +56,9 @@
 	return copies
 }
 
-// What a region's server keeps by itself and others use is copied to where it will be asked for before the server goes, and not what the
-// others keep; then that is said, for this turn. So is what stands there under a lease, also before its first use there.
+// Before a server is drained, the prefixes that only it caches in its region are copied to the servers that will get the requests,
+// and prefixes cached on other servers are not. Then the state says so for this drain epoch. Leased prefixes are copied as well,
+// even before their first use.
 func TestDrainingServerIsCopiedOut(t *testing.T) {
 	f := newWarmFleet("", true)
 	f.flashCrowd(10)
@@ -68,58 +69,58 @@
 		f.advanceHot()
 	}
 	if c := f.drainCopies(copied.Server)[flashKey]; c.Server == copied.Server || c.From != "b" || c.To != "b" {
-		t.Errorf("%s leaves: %+v", copied.Server, c)
+		t.Errorf("copy for the drain of %s: %+v", copied.Server, c)
 	}
 	if f.last.CopiesDone()["a1"] != f.outageSeq {
-		t.Errorf("it is not said that nothing is left: %+v", f.last.Drains)
+		t.Errorf("the state does not say that copying is done: %+v", f.last.Drains)
 	}
 	drainCopies := f.drainCopies("a1")
-	delete(drainCopies, flashKey) // may be at home at either
+	delete(drainCopies, flashKey) // its default server may be either one
 	for k := range Key(12) {
 		c, found := drainCopies[700+k]
 		if home := rendezvousServer(700+k, []string{"a1", "a2"}); found != (home == "a1") || found && (c.Server != "a2" || c.From != "a" || c.To != "a") {
-			t.Errorf("kept at %s: %v %+v", home, found, c)
+			t.Errorf("prefix with default server %s: copied %v, %+v", home, found, c)
 		}
 	}
 	if len(drainCopies) < 3 || len(drainCopies) > 9 {
-		t.Errorf("%d copies", len(drainCopies))
+		t.Errorf("%d copies, want from 3 to 9", len(drainCopies))
 	}
-	// They stay while it is out, and nothing is copied twice; they end with its return.
+	// The copies stay while the server is drained, and nothing is copied twice. They end when it is back.
 	f.servers[0].Draining, f.drains[1].LeftMs = true, 0
 	for range 20 {
 		f.advanceHot()
 	}
 	again := f.drainCopies("a1")
 	if delete(again, flashKey); !maps.Equal(again, drainCopies) {
-		t.Errorf("%d copies, %d before", len(again), len(drainCopies))
+		t.Errorf("%d copies while drained, %d before", len(again), len(drainCopies))
 	}
 	f.servers[0] = Server{ID: "a1", Region: "a", Boot: "2"}
 	f.drains = nil
 	f.advanceHot()
 	for k := range drainCopies {
 		if c := f.copyAt("a", k); c != nil || len(f.last.Drains) > 0 {
-			t.Errorf("it is back: %+v, copy %+v", f.last.Drains, c)
+			t.Errorf("after the server's return: drains %+v, copy %+v", f.last.Drains, c)
 		}
 	}
 }
 
-// No more is begun than the link carries within what is left; without a link, or where nothing pays, nothing is waited for; what is on
-// its way ends with the wish, and another turn begins anew.
+// No more copies are ordered than the link carries within the rest of the wait. Without a link, or where nothing pays, there is
+// nothing to wait for. Copies under way end when the drain is cancelled, and a new drain epoch starts over.
 func TestDrainCopiesAreBounded(t *testing.T) {
 	f := newWarmFleet("", true)
 	f.holdArrivals = true
-	f.drain("a1", 450) // half of 20,000 a second: two openings of 2,000
+	f.drain("a1", 450) // half of 20,000 tokens per second: two prefixes of 2,000
 	f.advanceHot()
 	if n := len(f.drainCopies("a1")); n != 2 {
-		t.Errorf("%d copies in 450 ms", n)
+		t.Errorf("%d copies ordered for a wait of 450 ms, want 2", n)
 	}
 	if f.last.Drains["a1"].Done {
-		t.Error("done, with copies under way")
+		t.Error("drain is marked done with copies under way")
 	}
 	f.drains, f.outageSeq = nil, f.outageSeq+1
 	f.advanceHot()
 	if i := slices.IndexFunc(f.last.Copies, func(c Copy) bool { return c.DrainServer != "" }); i >= 0 {
-		t.Errorf("it stays: %+v", f.last.Copies[i])
+		t.Errorf("copy remains after the drain was cancelled: %+v", f.last.Copies[i])
 	}
 	f.drain("a1", 10_000)
 	f.holdArrivals = false
@@ -127,7 +128,7 @@
 		f.advanceHot()
 	}
 	if f.last.CopiesDone()["a1"] != f.outageSeq {
-		t.Errorf("another turn: %+v", f.last.Drains)
+		t.Errorf("copying is not done in the next drain epoch: %+v", f.last.Drains)
 	}
 	for name, set := range map[string]func(f *fleet){
 		"no link": func(*fleet) {},
@@ -139,10 +140,10 @@
 		f.drain("a1", 10_000)
 		f.advanceHot()
 		if n := len(f.drainCopies("a1")); n > 0 || f.last.CopiesDone()["a1"] != f.outageSeq {
-			t.Errorf("%s: %d copies, %+v", name, n, f.last.Drains)
+			t.Errorf("%s: %d copies ordered, drains %+v", name, n, f.last.Drains)
 		}
 	}
-	// A decider that does not know yet that a server leaves copies nothing there, and has the word of the one that does stand.
+	// A decider that does not know of a drain yet copies nothing to that server and keeps what the others agreed on.
 	f = newWarmFleet("", true)
 	f.drain("a2", 10_000)
 	for range 3 {
@@ -153,12 +154,13 @@
 	f.decider = &Decider{Router: "other"}
 	n := len(f.orderedCopies)
 	f.flashCrowd(5)
-	if found := slices.ContainsFunc(f.orderedCopies[n:], func(c Copy) bool { return c.Server == "a2" }); found || f.last.Drains["a2"] != state || !state.Done {
-		t.Errorf("copied there: %v; %+v, %+v before", found, f.last.Drains, state)
+	if found := slices.ContainsFunc(f.orderedCopies[n:], func(c Copy) bool { return c.Server == "a2" }); found ||
+		f.last.Drains["a2"] != state || !state.Done {
+		t.Errorf("copied to the draining server: %v; drain state %+v, %+v before", found, f.last.Drains, state)
 	}
 }
 
-// A decider that copies to servers that leave is found by the auditor.
+// The auditor detects a decider that copies to draining servers.
 func TestAuditorFindsCopiesToDraining(t *testing.T) {
 	copied := 0
 	a := runAudited(0, CopiesToDraining, func(_ int, s *State) {
@@ -167,6 +169,6 @@
 		}
 	})
 	if len(a.Violations) == 0 || copied == 0 {
-		t.Errorf("faults %v; copies from servers that leave: %v", a.Violations, copied > 0)
+		t.Errorf("violations %v; copies from draining servers: %v", a.Violations, copied > 0)
 	}
 }
--- a/internal/decide/reuse/mattson_test.go
+++ b/internal/decide/reuse/mattson_test.go
@@ -11,7 +11,7 @@
 	"unsafe"
 )
 
-// drawnUse is one use in a drawnUse stream.
+// drawnUse is one use in a generated stream.
 type drawnUse struct {
 	key    Key
 	tokens int
@@ -19,8 +19,8 @@
 	router int
 }
 
-// drawStream draws uses of openings by Zipf's law whose ranks drift, sessions that use their own opening a few times soon after
-// another, and scans of openings that are used once; each use comes to a router at random, or sticks to one by its key.
+// drawStream generates uses of prefixes by Zipf's law with drifting ranks, sessions that use their own prefix a few times in quick
+// succession, and scans of prefixes that are used once. Each use goes to a random router, or to one chosen by its key.
 func drawStream(seed uint64, n, routers int, sticky float64) (out []drawnUse) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	zipf := rand.NewZipf(rng, 1.1, 8, 20000)
@@ -33,12 +33,12 @@
 		switch p := rng.Float64(); {
 		case p < 0.6:
 			k = (zipf.Uint64() + uint64(i/2000)*3) % 20000
-		case p < 0.8 && len(pendingTurns) > 0: // a session's next turn
+		case p < 0.8 && len(pendingTurns) > 0: // the next turn of a session
 			at := rng.IntN(len(pendingTurns))
 			k = pendingTurns[at]
 			pendingTurns[at] = pendingTurns[len(pendingTurns)-1]
 			pendingTurns = pendingTurns[:len(pendingTurns)-1]
-		case i%20000 < 2000 || p < 0.9: // a scan, or a session's first
+		case i%20000 < 2000 || p < 0.9: // a scan, or the first turn of a session
 			nextFresh++
 			k = nextFresh
 			if i%20000 >= 2000 {
@@ -59,7 +59,7 @@
 }
 
 // exactMissRatios is Mattson's stack algorithm over tokens (Mattson, Gecsei, Slutz, Traiger, "Evaluation techniques for storage
-// hierarchies", IBM Systems Journal 1970), by a tree of partial sums: the part of tokens missed, by memory.
+// hierarchies", IBM Systems Journal 1970) with a tree of partial sums. It returns the part of tokens missed, by memory size.
 func exactMissRatios(uses []drawnUse, memories []float64) []float64 {
 	tree := make([]float64, len(uses)+1)
 	add := func(at int, v float64) {
@@ -111,8 +111,8 @@
 	return mean
 }
 
-// routedCurve has routers take a stream, each with a meter of its own that hears all reports, with delays that differ; the curve
-// is the first router's.
+// routedCurve splits a stream over routers, each with a meter that receives all reports with varying delays. It returns the curve
+// of the first router.
 func routedCurve(uses []drawnUse, routers int, period, delay time.Duration, seed uint64) Curve {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	meters := make([]*Meter, routers)
@@ -139,7 +139,7 @@
 			}
 			inFlight = inFlight[1:]
 		}
-		for _, m := range meters { // fed back as in service: all meters hear all; the rest need the threshold only
+		for _, m := range meters { // in service all meters receive all reports; here the others only need the threshold
 			m.collector.threshold = min(m.collector.threshold, meters[0].region.threshold)
 		}
 		meters[u.router].Use(u.key, u.tokens, u.at)
@@ -147,14 +147,14 @@
 	return meters[0].Curve()
 }
 
-// The curve of a region is within 0.02 of the exact one in the mean, for one router and where the stream is split over many;
-// curves that routers make of their own part alone, merged as they are or with their distances scaled up, are not.
+// The curve of a region has a mean error below 0.02 against the exact one, for one router and for a stream split over many. Curves
+// from each router's own part alone do not, neither merged as they are nor with their distances scaled up.
 func TestCurveAgainstMattson(t *testing.T) {
 	memories := memorySizes()
 	for _, sticky := range []float64{0, 0.5, 1} {
 		for _, routers := range []int{1, 5, 20} {
 			var sum, worst, raw, scaled float64
-			seeds := 2.0 // of five, as the design note has them
+			seeds := 2.0 // the design note uses five
 			if os.Getenv("LAB_LONG") != "" {
 				seeds = 5
 			}
@@ -181,19 +181,19 @@
 				}
 				raw, scaled = raw+meanError(Merge(ownCurves...), memories, truth)/seeds, scaled+meanError(Merge(scaledCurves...), memories, truth)/seeds
 			}
-			t.Logf("%.0f%% sticky, %2d routers: mean absolute error %.4f (worst of %.0f seeds %.4f); own parts merged %.4f, scaled by routers %.4f",
+			t.Logf("%.0f%% sticky, %2d routers: mean absolute error %.4f (worst of %.0f seeds %.4f); own curves merged %.4f, distances scaled by routers %.4f",
 				100*sticky, routers, sum, seeds, worst, raw, scaled)
 			if worst >= 0.02 {
-				t.Errorf("%.0f%% sticky, %d routers: %.4f", 100*sticky, routers, worst)
+				t.Errorf("%.0f%% sticky, %d routers: mean absolute error %.4f, must be below 0.02", 100*sticky, routers, worst)
 			}
 		}
 	}
 }
 
-// A meter is below 64 KB, whatever has passed through it: it has no maps and grows no slices.
+// A meter takes less than 64 KB whatever it has measured: it has no maps and its slices do not grow.
 func TestMeterIsBounded(t *testing.T) {
 	if size := unsafe.Sizeof(Meter{}); size > 64<<10 {
-		t.Errorf("a meter takes %d bytes", size)
+		t.Errorf("a meter takes %d bytes, at most 65536 allowed", size)
 	} else {
 		t.Logf("a meter takes %d bytes", size)
 	}
@@ -203,7 +203,7 @@
 		for _, u := range uses {
 			m.Use(u.key, u.tokens, u.at)
 		}
-	}); n > 50 { // of the test itself
-		t.Errorf("%v allocations for %d uses", n, len(uses))
+	}); n > 50 { // made by the test itself
+		t.Errorf("%v allocations for %d uses, at most 50 allowed", n, len(uses))
 	}
 }
--- a/internal/decide/reuse/meter.go
+++ b/internal/decide/reuse/meter.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// maxRefs is how many sampled uses a report carries; where more come in a period the router samples fewer prefixes.
+	// maxRefs bounds the sampled uses in a report. If more occur in a period, the router lowers its sampling rate.
 	maxRefs = 192
 	refSize = 10
-	// maxPending is how many sampled uses of a region wait for those of other routers that came before them.
+	// maxPending bounds the sampled uses of a region that wait for earlier ones of other routers.
 	maxPending = 320
-	// MaxHot is how many prefixes a router counts the uses of, and MaxHotReported how many of these a report names.
+	// MaxHot is the number of prefixes whose uses a router counts, MaxHotReported the number of these in a report.
 	MaxHot, MaxHotReported = 192, 192
-	// hotDecay is the time constant by which counted uses fade, and histogramDecay that of the histogram.
+	// hotDecay is the time constant of the counts of uses, histogramDecay that of the histogram.
 	hotDecay, histogramDecay = 5 * time.Minute, 20 * time.Minute
-	rateDecay                = 30 // seconds, of the rate of all uses
+	rateDecay                = 30 // seconds, time constant of the rate of all uses
 	tick                     = 10 * time.Millisecond
 )
 
-// ref is a sampled use at a router's own time, in ticks; these go round after 497 days.
+// ref is a sampled use with its time in ticks of the router's own clock. Ticks wrap around after 497 days.
 type ref struct {
 	hash, tokens, at uint32
 }
 
 func ticks(t time.Duration) uint32 { return uint32(t / tick) }
 
-// before tells which of two uses came first.
+// before reports whether the use was earlier than o.
 func (r ref) before(o uint32) bool { return int32(r.at-o) < 0 }
 
 // collector collects a router's sampled uses between two reports.
 type collector struct {
-	rate      float64 // tokens a second, faded, and the weight of what it is made of
+	rate      float64 // tokens per second as a moving average, and the weight of the samples in it
 	weight    float64
 	rateSince time.Duration
 	threshold uint64
@@ -44,12 +44,12 @@
 
 func (c *collector) use(k Key, tokens int, now time.Duration) {
 	if c.total += float64(tokens); c.rateSince == 0 {
-		c.rateSince = now // of the first
+		c.rateSince = now // time of the first use
 	}
 	if uint64(sampleHash(k)) >= c.threshold {
 		return
 	}
-	if c.count == maxRefs { // those highest in the order go, and their like is not sampled any more
+	if c.count == maxRefs { // remove the refs with the highest hashes and stop sampling such hashes
 		var hashes [maxRefs]uint32
 		for i, r := range c.refs {
 			hashes[i] = r.hash
@@ -71,9 +71,9 @@
 	c.count++
 }
 
-// Sample are a router's sampled uses since its last report: at most 2.7 KB in JSON.
+// Sample is a router's sampled uses since its last report. In JSON it has at most 2.7 KB.
 type Sample struct {
-	Rate        float64 `json:"rate"` // the part of all prefixes that it samples
+	Rate        float64 `json:"rate"` // sampled share of all prefixes
 	TotalTokens float64 `json:"seen"` // tokens of all uses, sampled or not
 	Refs        []byte  `json:"refs,omitempty"`
 }
@@ -94,18 +94,18 @@
 	return s
 }
 
-// Meter is what a router keeps: its own uses by prefix and by sample, and the reuse distances of its whole region, which it
-// puts together from the samples in the reports of all routers there. Its size is fixed, below 64 KB.
+// Meter measures the uses at one router, by prefix and by sample, and the reuse distances of its whole region, which it merges
+// from the samples in the reports of all routers there. Its size is fixed and below 64 KB.
 type Meter struct {
 	collector    collector
 	hot          hotList
 	region       Sampler
-	pending      [maxPending]ref // sampled uses of the region, by time
+	pending      [maxPending]ref // sampled uses of the region, ordered by time
 	pendingCount int
 	lastDecay    time.Duration
 }
 
-// NewMeter gives one for a region whose curve is wanted up to limit tokens.
+// NewMeter returns a meter for a region whose curve is needed up to limit tokens.
 func NewMeter(limit float64) *Meter {
 	m := &Meter{}
 	m.collector.threshold = hashRange
@@ -113,7 +113,7 @@
 	return m
 }
 
-// Use counts a request at this router: its prefix and how many tokens that has.
+// Use counts a request at this router with its prefix and the tokens of that.
 func (m *Meter) Use(k Key, tokens int, now time.Duration) {
 	if tokens <= 0 {
 		return
@@ -122,22 +122,22 @@
 	m.collector.use(k, tokens, now)
 }
 
-// UseSession counts what a session keeps for itself: it takes room as prefixes do, and is no candidate for copies.
+// UseSession counts the part of a prompt that only its session uses. It takes memory like a prefix, but is never copied.
 func (m *Meter) UseSession(k Key, tokens int, now time.Duration) {
 	if tokens > 0 {
 		m.collector.use(k, tokens, now)
 	}
 }
 
-// TakeSample are this router's sampled uses since it was asked last, which then are its no more.
+// TakeSample returns and clears this router's sampled uses since the last call.
 func (m *Meter) TakeSample(now time.Duration) Sample { return m.collector.take(now) }
 
-// Rate is how many tokens are used at this router, a second, as of the last Taken.
+// Rate is the number of tokens used at this router per second, as of the last TakeSample.
 func (m *Meter) Rate() float64 { return m.collector.rate / max(m.collector.weight, 1e-9) }
 
-// AddSample takes the sample of a router of the region, this one's own too, when its report is first seen. Uses of several routers
-// are put in order by their ages at that moment: they are wrong by as much as one report travels longer than another. A use
-// waits for settle (that of a period) before it is counted, or until too many wait.
+// AddSample adds the sample of a router of the region, including this one, when its report is first seen. Uses of several
+// routers are ordered by their ages at that moment, with an error of the difference between the reports' delays. A use waits
+// for settle, which is one period, before it is counted, or until too many wait.
 func (m *Meter) AddSample(s Sample, now, settle time.Duration) {
 	m.region.LowerRate(s.Rate)
 	m.collector.threshold = min(m.collector.threshold, max(m.region.threshold, 1))
@@ -173,7 +173,7 @@
 	}
 }
 
-// flush hands the first waiting uses to the region's sampler.
+// flush passes the first n pending uses to the region's sampler.
 func (m *Meter) flush(n int) {
 	for _, r := range m.pending[:n] {
 		m.region.use(r.hash, int(r.tokens))
@@ -181,24 +181,24 @@
 	m.pendingCount = copy(m.pending[:], m.pending[n:m.pendingCount])
 }
 
-// Curve is that of the region, as far as this router has heard.
+// Curve is the curve of the region, as far as this router has received samples.
 func (m *Meter) Curve() Curve { return m.region.Curve() }
 
-// Hot are the prefixes used most at this router, most first.
+// Hot returns the most used prefixes of this router in descending order.
 func (m *Meter) Hot(now time.Duration) []Use { return m.hot.list(now, MaxHotReported) }
 
-// Use is how a prefix is used at a router, lately: its uses fade by a time constant of five minutes.
+// Use is the recent use of a prefix at a router. Counts decay with a time constant of five minutes.
 type Use struct {
 	Prefix       Key     `json:"p"`
 	Tokens       int     `json:"t"`
-	Count        float64 `json:"n"`           // faded uses, surely no fewer
-	Overestimate float64 `json:"o,omitempty"` // by how many there may be more, which another prefix left behind
-	AgeMs        int64   `json:"a"`           // since it was counted first
-	IdleMs       int64   `json:"i"`           // since it was used last
+	Count        float64 `json:"n"`           // decayed uses, a lower bound
+	Overestimate float64 `json:"o,omitempty"` // how many more there may be, inherited from an evicted prefix
+	AgeMs        int64   `json:"a"`           // since it was first counted
+	IdleMs       int64   `json:"i"`           // since its last use
 }
 
-// hotList counts the uses of prefixes in fixed memory: one that is not among them takes the place of the least used and of its
-// count, as what it may have had before (Metwally, Agrawal, El Abbadi, "Space-Saving", ICDT 2005), with fading counts.
+// hotList counts the uses of prefixes in fixed memory. A new prefix replaces the least used one and inherits its count as the
+// possible overestimate (Metwally, Agrawal, El Abbadi, "Space-Saving", ICDT 2005). Counts decay.
 type hotList struct {
 	count   int
 	entries [MaxHot]hotEntry
@@ -208,7 +208,7 @@
 	key                 Key
 	tokens              uint32
 	count, overestimate float32
-	first, last         time.Duration // count is faded to last
+	first, last         time.Duration // count is decayed up to last
 }
 
 func decay(dt time.Duration) float32 { return float32(math.Exp(-float64(dt) / float64(hotDecay))) }
@@ -240,8 +240,8 @@
 	var uses []Use
 	for _, entry := range h.entries[:h.count] {
 		factor := float64(decay(now - entry.last))
-		uses = append(uses, Use{Prefix: entry.key, Tokens: int(entry.tokens), Count: float64(entry.count-entry.overestimate) * factor, Overestimate: float64(entry.overestimate) * factor,
-			AgeMs: (now - entry.first).Milliseconds(), IdleMs: (now - entry.last).Milliseconds()})
+		uses = append(uses, Use{Prefix: entry.key, Tokens: int(entry.tokens), Count: float64(entry.count-entry.overestimate) * factor,
+			Overestimate: float64(entry.overestimate) * factor, AgeMs: (now - entry.first).Milliseconds(), IdleMs: (now - entry.last).Milliseconds()})
 	}
 	slices.SortFunc(uses, func(a, b Use) int {
 		switch {
--- a/internal/decide/reuse/order.go
+++ b/internal/decide/reuse/order.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// spot of a copy: what is where.
+// copyTarget is a prefix and the region that it is copied to.
 type copyTarget struct {
 	prefix Key
 	to     string
 }
 
-// orderCopies gives orders for the copies that save most for each token on the way, within the bounds.
+// orderCopies orders the copies that save most per token sent, within the bounds.
 func (d *Decider) orderCopies(s *State, m Model, v View, u *usage) (any bool) {
 	val := d.newValuer(m, v, u, s.Copies)
 	if d.Broken != NoHysteresis && s.releaseUnneeded(m, val) {
 		any = true
 	}
-	limits := &ledger{decider: d, state: s, model: m, copies: map[Key]int{}, tokens: map[string]float64{}, occupied: map[copyTarget]bool{}, cooldowns: map[copyTarget]bool{}}
+	limits := &ledger{decider: d, state: s, model: m, copies: map[Key]int{}, tokens: map[string]float64{}, occupied: map[copyTarget]bool{},
+		cooldowns: map[copyTarget]bool{}}
 	for _, c := range s.Copies {
 		if c.Phase == Ordered {
 			limits.ordered++
@@ -57,17 +58,18 @@
 	return any
 }
 
-// releaseUnneeded releases copies that a region keeps as well without a lease, because they are used so often there, and those that push
-// out more than they save by now: they stay where they are for as long as other things, and make room for others in the bounds.
+// releaseUnneeded releases copies that their region keeps without a lease, because they are used so often there, and copies that
+// by now displace more than they save. They stay cached as long as other prefixes do and free the bounds for others.
 func (s *State) releaseUnneeded(m Model, val *valuer) (any bool) {
 	tokens := map[string]float64{}
 	kept := s.Copies[:0]
 	for _, c := range s.Copies {
 		to := m.regionIndex(c.To)
-		_, draining := s.Drains[c.DrainServer] // it is to be there until that server is back
-		if i, used := val.usage.index.find(c.Prefix); used && to >= 0 && c.Phase == Present && !draining && val.usage.curve[to].Tokens > 0 && !val.worthHolding(&val.usage.prefixes[i], to) {
+		_, draining := s.Drains[c.DrainServer] // the copy is kept until that server is back
+		if i, used := val.usage.index.find(c.Prefix); used && to >= 0 && c.Phase == Present && !draining &&
+			val.usage.curve[to].Tokens > 0 && !val.worthHolding(&val.usage.prefixes[i], to) {
 			cooldownMs := 0.0
-			if val.usage.inRegion(&val.usage.prefixes[i], to).idleMs > c.AgeMs { // it waits there for its first use
+			if val.usage.inRegion(&val.usage.prefixes[i], to).idleMs > c.AgeMs { // not used there yet
 				cooldownMs = m.LeaseMs
 			}
 			s.release(c, cooldownMs, reasonNoBenefit)
@@ -86,11 +88,11 @@
 	return any
 }
 
-// Where copies take more than highWatermark of what they may, those that save least go until they take lowWatermark of it: what comes new, a
-// flash crowd above all, finds room.
+// Above highWatermark of the allowed tokens, the copies of a region that save least are released down to lowWatermark, so that new
+// prefixes fit in, especially those of a flash crowd.
 const highWatermark, lowWatermark = 0.95, 0.85
 
-// releaseExcess releases the copies of a region that save least for each token, until so many tokens are free.
+// releaseExcess releases the copies of a region that save least per token until the given number of tokens is free.
 func (s *State) releaseExcess(m Model, val *valuer, to int, tokens float64) (any bool) {
 	value := func(c Copy) float64 {
 		if i, used := val.usage.index.find(c.Prefix); used {
@@ -118,14 +120,14 @@
 	return len(released) > 0
 }
 
-// withinBudget tells whether a link has room for a prefix now; one larger than what gathers goes when all of that is there. What a
-// region holds of its own takes none.
+// withinBudget reports whether a link's budget allows a prefix now. A prefix larger than the maximum budget may be sent when the
+// budget is full. Holding a region's own prefix needs no budget.
 func (d *Decider) withinBudget(m Model, key [2]string, tokens float64, link Link) bool {
 	return link.From == "" || d.budgets[key] >= min(tokens, m.LinkShare*link.Rate*burstSeconds)
 }
 
-// rendezvousServer is the server that would hold a prefix: the highest by a hash of both, so that a change of the list moves few
-// (rendezvous hashing: Thaler, Ravishankar 1998).
+// rendezvousServer returns the server that holds a prefix by default: the one with the highest hash of both, so that a change of
+// the list moves few prefixes (rendezvous hashing: Thaler, Ravishankar 1998).
 func rendezvousServer(k Key, servers []string) (best string) {
 	var highest uint64
 	for i, s := range servers {
--- a/internal/decide/reuse/record_test.go
+++ b/internal/decide/reuse/record_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// FuzzDecode: whatever stands in the store is read without a panic; what is read can be decided on and written again.
+// FuzzDecode checks that any stored state is read without a panic, and that a valid one can be decided on and written again.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{`{}`, `{"seq":1,"by":"r","orders":1,"copies":[{"id":1,"prefix":7,"tokens":5,"from":"a","to":"b","server":"b1","boot":"1","phase":"here","left_ms":1}]}`,
 		`{"rests":[{"prefix":1,"to":"b","left_ms":1e9}],"spill":{"a":{"b":0.3}}}`} {
@@ -34,13 +34,13 @@
 				t.Fatal(err)
 			}
 			if _, err = Decode(out); err != nil {
-				t.Fatalf("%v of %s", err, out)
+				t.Fatalf("state written by the decider is invalid: %v in %s", err, out)
 			}
 		}
 	})
 }
 
-// FuzzDecodeReport: a report is read without a panic, and what is read can be heard and decided on.
+// FuzzDecodeReport checks that any report is read without a panic, and that a valid one can be measured and decided on.
 func FuzzDecodeReport(f *testing.F) {
 	m := NewMeter(1e6)
 	for i, u := range drawStream(1, 600, 1, 0) {
@@ -49,12 +49,13 @@
 			m.AddSample(m.TakeSample(u.at), u.at, 0)
 		}
 	}
-	r := Report{Router: "r", Region: "a", Sample: m.TakeSample(time.Minute), Curve: m.Curve(), Rate: m.Rate(), Hot: m.Hot(time.Minute), Copies: []CopyStatus{{ID: 1, Hits: 2}}}
+	r := Report{Router: "r", Region: "a", Sample: m.TakeSample(time.Minute), Curve: m.Curve(), Rate: m.Rate(), Hot: m.Hot(time.Minute),
+		Copies: []CopyStatus{{ID: 1, Hits: 2}}}
 	b, err := json.Marshal(r)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Logf("%d bytes", len(b))
+	f.Logf("report of %d bytes", len(b))
 	f.Add(b)
 	f.Add([]byte(`{"hot":"AAAA","curve":{"miss":[1]}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -78,7 +79,7 @@
 	})
 }
 
-// A report is at most as long as it says when all of its lists are full, and comes out as it went in.
+// A report with full lists is within its maximum size and decodes to the same values. So is a full state.
 func TestReportIsBounded(t *testing.T) {
 	r := Report{Router: strings.Repeat("r", maxName), Region: strings.Repeat("z", maxName), Rate: 1.23456789e9, Curve: Curve{Tokens: 1e15}}
 	r.Sample = Sample{Rate: 0.123456789, TotalTokens: 1e14, Refs: make([]byte, refSize*maxRefs)}
@@ -97,12 +98,14 @@
 	}
 	decoded, err := DecodeReport(b)
 	if err != nil || decoded.Hot[5] != r.Hot[5] || len(decoded.Hot) != MaxHotReported {
-		t.Fatalf("%v, %d bytes", err, len(b))
+		t.Fatalf("report is not decoded to the same values: %v, %d bytes", err, len(b))
 	}
-	t.Logf("at most %d bytes", len(b))
+	t.Logf("a full report: %d bytes", len(b))
 	s := State{Seq: 1 << 40, LastOrder: 1 << 40, By: strings.Repeat("r", maxName)}
 	for i := range MaxCopies {
-		s.Copies = append(s.Copies, Copy{ID: 1<<40 - int64(i), Prefix: 1<<64 - 1, Tokens: maxTokens, From: "zone-of-the-north", To: "zone-of-the-south", Server: "server-with-a-long-name-1", Boot: "0123456789abcdef", Phase: Ordered, LeftMs: 239999.123456, AgeMs: 123456789.123456, DrainServer: "server-with-a-long-name-2", Used: true})
+		s.Copies = append(s.Copies, Copy{ID: 1<<40 - int64(i), Prefix: 1<<64 - 1, Tokens: maxTokens, From: "zone-of-the-north", To: "zone-of-the-south",
+			Server: "server-with-a-long-name-1", Boot: "0123456789abcdef", Phase: Ordered, LeftMs: 239999.123456, AgeMs: 123456789.123456,
+			DrainServer: "server-with-a-long-name-2", Used: true})
 	}
 	for range maxCooldowns {
 		s.Cooldowns = append(s.Cooldowns, Cooldown{Prefix: 1<<64 - 1, To: "zone-of-the-south", LeftMs: 480000.123456, Pending: true, SinceMs: 480000.123456})
@@ -113,7 +116,7 @@
 	}
 	b, _ = json.Marshal(s)
 	if _, err := Decode(b); err != nil {
-		t.Errorf("%v, %d bytes", err, len(b))
+		t.Errorf("full state is not decoded: %v, %d bytes", err, len(b))
 	}
 	t.Logf("a full state: %d bytes", len(b))
 }
--- a/internal/decide/reuse/sampler.go
+++ b/internal/decide/reuse/sampler.go
@@ -1,7 +1,6 @@
-// Package reuse decides which prefixes (openings of prompts, of which a server keeps the read state) are held in further
-// regions. It measures how far apart uses of one prefix lie in a region's whole stream, in distinct prefix tokens, makes of
-// that what a memory of a given size keeps, and copies a prefix where that saves more reading than it costs. It has no I/O,
-// clock or goroutine: time is passed in. docs/REUSE.md says why it decides as it does.
+// Package reuse decides which shared prompt prefixes are copied to further regions of the fleet. It estimates from sampled reuse
+// distances what a region's KV cache retains, and copies a prefix where that saves more prefill than it costs. It has no I/O,
+// clock or goroutines: time is passed in. The design is explained in docs/REUSE.md.
 package reuse
 
 import (
@@ -9,23 +8,23 @@
 	"slices"
 )
 
-// Key names a prefix: a hash of its text made by whoever routes, equal at all routers.
+// Key identifies a prefix. It is a hash of the text that is the same at all routers.
 type Key uint64
 
 const (
-	// MaxSampled is how many prefixes a sampler keeps at most.
+	// MaxSampled is the maximum number of prefixes in a sampler.
 	MaxSampled = 1700
 	slots      = 2 * MaxSampled
 	indexCells = 2048 // of the index, a power of two
-	// maxTokens is the longest prefix.
+	// maxTokens is the maximum length of a prefix.
 	maxTokens = 1 << 20
-	// hashRange is the range of a key's place in the sampling order: a key is sampled while its spot is below the threshold.
+	// hashRange is the range of sample hashes. A key is sampled while its hash is below the threshold.
 	hashRange = 1 << 32
-	// shrinkTo is the part of a full table that stays when the threshold falls.
+	// shrinkTo is the part of a full table that is kept when the threshold is lowered.
 	shrinkTo = 0.875
 )
 
-// mix spreads a key's bits (the finaliser of SplitMix64).
+// mix spreads a key's bits (the finalizer of SplitMix64).
 func mix(k Key) uint64 {
 	x := uint64(k) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -33,48 +32,48 @@
 	return x ^ x>>31
 }
 
-// sampleHash is a key's place in the sampling order, alike at all routers; what is sampled is known by it too. Two prefixes are
-// taken for one when they have one sampleHash: with a full table and a tenth sampled that befalls one new prefix in 250,000.
+// sampleHash is the hash that decides whether a key is sampled. It is the same at all routers and identifies sampled keys. Two
+// prefixes with the same hash count as one. With a full table and a tenth sampled this affects one new prefix in 250,000.
 func sampleHash(k Key) uint32 { return uint32(mix(k) >> 32) }
 
 // Sampler estimates reuse distances in tokens by spatially hashed sampling in fixed memory (SHARDS: Waldspurger, Park,
-// Garthwaite, Ahmad, "Efficient MRC Construction with SHARDS", FAST '15). Keys whose hash lies below a threshold are followed
-// exactly, and their distances scaled up by the part that is sampled; when the table is full the threshold falls. Each prefix
-// weighs its tokens. What was not used within Limit tokens is forgotten, so that an endless stream of new prefixes does not
-// lower the threshold for ever. The zero value is not ready: see NewSampler.
+// Garthwaite, Ahmad, "Efficient MRC Construction with SHARDS", FAST '15). Keys whose hash is below a threshold are tracked
+// exactly and their distances are divided by the sampling rate. When the table is full the threshold is lowered. Each prefix
+// weighs its tokens. Prefixes not used within limit tokens are evicted, so that an endless stream of new prefixes does not
+// lower the threshold forever. The zero value is not usable, see NewSampler.
 type Sampler struct {
-	limit                float64 // tokens, 0: none
-	threshold            uint64  // sampled are the keys with a lower spot
-	count                int     // entries
-	nextSlot, oldestSlot int     // the slot of the next use; below low all are empty
+	limit                float64 // tokens, 0 for no limit
+	threshold            uint64  // keys with a lower hash are sampled
+	count                int     // number of entries
+	nextSlot, oldestSlot int     // the slot of the next use, and the one below which all slots are empty
 	totalTokens          uint64  // tokens of all entries
 	hist                 Histogram
 
-	hashes     [MaxSampled]uint32 // spots
+	hashes     [MaxSampled]uint32 // sample hashes
 	tokens     [MaxSampled]uint32
-	usedTokens [MaxSampled]float32 // tokens of all its uses, faded
-	slot       [MaxSampled]uint16  // when an entry was used last, as a slot
-	owner      [slots]uint16       // by slot: the entry + 1
+	usedTokens [MaxSampled]float32 // tokens of all its uses, decayed
+	slot       [MaxSampled]uint16  // slot of the entry's last use
+	owner      [slots]uint16       // by slot: entry + 1, or 0
 	tree       [slots + 1]uint32
-	index      [indexCells]uint16 // by hash: the entry + 1
+	index      [indexCells]uint16 // by hash: entry + 1, or 0
 }
 
-// NewSampler gives one that forgets what was not used within limit tokens (0: it forgets nothing).
+// NewSampler returns a sampler that evicts prefixes not used within limit tokens. With a limit of 0 it evicts none.
 func NewSampler(limit float64) *Sampler { return &Sampler{limit: limit, threshold: hashRange} }
 
-// Rate is the part of all prefixes that is sampled.
+// Rate is the share of prefixes that is sampled.
 func (s *Sampler) Rate() float64 { return float64(s.threshold) / hashRange }
 
-// Samples tells whether a key is among those that are followed.
+// Samples reports whether a key is sampled.
 func (s *Sampler) Samples(k Key) bool { return s.samples(sampleHash(k)) }
 
 func (s *Sampler) samples(hash uint32) bool { return uint64(hash) < s.threshold }
 
-// AddTotal takes all tokens that were used, sampled or not: by it the curve is adjusted for heavy prefixes that the hash happens
-// to take or to leave (SHARDS-adj).
+// AddTotal adds the tokens of all uses, sampled or not. With it the curve is corrected for heavy prefixes that the hash happens
+// to include or exclude (SHARDS-adj).
 func (s *Sampler) AddTotal(tokens float64) { s.hist.Total += tokens }
 
-// Use takes a use of a prefix, in the order of the stream; what is not sampled is passed over.
+// Use records a use of a prefix, in stream order. Keys that are not sampled are ignored.
 func (s *Sampler) Use(k Key, tokens int) { s.use(sampleHash(k), tokens) }
 
 func (s *Sampler) use(hash uint32, tokens int) {
@@ -86,9 +85,9 @@
 	}
 	weight := float64(tokens) / s.Rate()
 	if entry := s.find(hash); entry >= 0 {
-		distance := uint64(s.totalTokens) - uint64(s.prefixSum(int(s.slot[entry])+1)) // used after it was used last
+		distance := uint64(s.totalTokens) - uint64(s.prefixSum(int(s.slot[entry])+1)) // tokens used since its last use
 		s.usedTokens[entry] += float32(tokens)
-		// What it has growth by is new: a session that goes on takes more room with each turn.
+		// Growth is new: a session's prefix takes more memory with each turn.
 		if growth := tokens - int(s.tokens[entry]); growth > 0 {
 			added := float64(growth) / s.Rate()
 			s.hist.Cold += added
@@ -117,7 +116,7 @@
 	s.evictOld()
 }
 
-// LowerRate brings the threshold down to a part, where another router samples no more than that.
+// LowerRate lowers the sampling rate to that of another router.
 func (s *Sampler) LowerRate(rate float64) {
 	if t := uint64(rate * hashRange); t < s.threshold && t > 0 {
 		s.threshold = t
@@ -125,7 +124,7 @@
 	}
 }
 
-// pushLatest makes an entry the one used last.
+// pushLatest makes an entry the most recently used one.
 func (s *Sampler) pushLatest(entry int) {
 	s.slot[entry], s.owner[s.nextSlot] = uint16(s.nextSlot), uint16(entry+1)
 	s.addWeight(s.nextSlot, s.tokens[entry])
@@ -133,7 +132,7 @@
 	s.nextSlot++
 }
 
-// unlink takes an entry out of the order of uses.
+// unlink removes an entry from the order of uses.
 func (s *Sampler) unlink(entry int) {
 	s.addWeight(int(s.slot[entry]), -s.tokens[entry])
 	s.owner[s.slot[entry]] = 0
@@ -147,7 +146,7 @@
 	}
 }
 
-// prefixSum sums the first slots.
+// prefixSum sums the first n slots.
 func (s *Sampler) prefixSum(n int) (sum uint32) {
 	for i := n; i > 0; i -= i & -i {
 		sum += s.tree[i]
@@ -155,7 +154,7 @@
 	return sum
 }
 
-// compact numbers the uses anew, in their order.
+// compact renumbers the slots in the order of uses.
 func (s *Sampler) compact() {
 	to := 0
 	for from := range slots {
@@ -178,7 +177,7 @@
 	}
 }
 
-// shrink lowers the threshold until a part of the table is free.
+// shrink lowers the threshold until part of the table is free.
 func (s *Sampler) shrink() {
 	var hashes [MaxSampled]uint32
 	copy(hashes[:], s.hashes[:s.count])
@@ -187,7 +186,7 @@
 	s.dropUnsampled()
 }
 
-// dropUnsampled removes what is not sampled any more.
+// dropUnsampled removes the entries that are no longer sampled.
 func (s *Sampler) dropUnsampled() {
 	for entry := 0; entry < s.count; {
 		if s.samples(s.hashes[entry]) {
@@ -202,7 +201,7 @@
 	}
 }
 
-// remove takes an entry out and has the last take its place; the index is made anew by the caller.
+// remove deletes an entry and moves the last one into its place. The caller rebuilds the index.
 func (s *Sampler) remove(entry int) {
 	s.unlink(entry)
 	s.count--
@@ -212,7 +211,7 @@
 	}
 }
 
-// evictOld removes what was not used within the limit, with some slack so that the index is made anew seldom.
+// evictOld removes entries not used within the limit. It allows 10% beyond it, so that the index is rebuilt rarely.
 func (s *Sampler) evictOld() {
 	if limit := s.limit * s.Rate(); s.limit > 0 && float64(s.totalTokens) > 1.1*limit {
 		for ; s.oldestSlot < s.nextSlot && float64(s.totalTokens) > limit; s.oldestSlot++ {
@@ -227,7 +226,7 @@
 	}
 }
 
-// indexStart is where the index begins to look; a spot's high bits say little, as only low ones are sampled.
+// indexStart is where probing of the index starts. It multiplies because only low hashes are sampled, so high bits vary little.
 func indexStart(hash uint32) uint32 { return hash * 2654435761 >> (32 - 11) }
 
 func (s *Sampler) find(hash uint32) int {
@@ -247,24 +246,24 @@
 	s.index[i] = uint16(entry + 1)
 }
 
-// Histogram is what a sampler has counted: tokens of uses by reuse distance, in buckets whose bounds grow by a quarter of an
-// octave, in estimated tokens of the whole stream.
+// Histogram counts the tokens of uses by reuse distance, in estimated tokens of the whole stream. Bucket bounds grow by a quarter
+// of an octave.
 type Histogram struct {
 	Buckets [bucketCount]float64
-	Cold    float64 // used for the first time, or not within the limit
-	Total   float64 // all that was used, exactly
-	// By bucket, how much it varies with the heavy prefixes that the hash happens to take.
+	Cold    float64 // first uses, and uses not within the limit
+	Total   float64 // tokens of all uses, exact
+	// By bucket, the covariance of its weight with the sum over the heavy prefixes that the hash may include or exclude.
 	covariance     [bucketCount]float64
 	coldCovariance float64
 }
 
 const (
 	bucketsPerOctave = 4
-	minDistance      = 256 // tokens up to which distances are one bucket
+	minDistance      = 256 // tokens, upper bound of the first bucket
 	bucketCount      = 22*bucketsPerOctave + 1
 )
 
-// bucket is the place of a distance; that of the longest holds all beyond.
+// bucket returns the bucket of a distance. The last one holds all longer distances.
 func bucket(d float64) int {
 	if d <= minDistance {
 		return 0
@@ -281,7 +280,7 @@
 	h.covariance[b] += pull
 }
 
-// Decay lowers all counts to a part, so that what is old counts less.
+// Decay multiplies all counts by part, so that older uses count less.
 func (h *Histogram) Decay(part float64) {
 	for i := range h.Buckets {
 		h.Buckets[i] *= part
@@ -290,7 +289,7 @@
 	h.Cold, h.Total, h.coldCovariance = h.Cold*part, h.Total*part, h.coldCovariance*part
 }
 
-// Decay lowers all counts to a part; what is followed stays.
+// Decay multiplies all counts by part. Tracked entries stay.
 func (s *Sampler) Decay(part float64) {
 	s.hist.Decay(part)
 	for i := range s.usedTokens[:s.count] {
@@ -298,5 +297,5 @@
 	}
 }
 
-// Curve is what a sampler has found so far.
+// Curve returns the curve of the uses recorded so far.
 func (s *Sampler) Curve() Curve { return s.hist.Curve() }
--- a/internal/decide/reuse/value.go
+++ b/internal/decide/reuse/value.go
@@ -8,38 +8,38 @@
 	"slices"
 )
 
-// usage is how prefixes are used, by region, put together from all reports.
+// usage is the use of prefixes by region, aggregated from all reports.
 type usage struct {
-	index    index // places in list
+	index    index // positions in prefixes
 	prefixes []prefix
 	curve    []Curve     // by region
-	rate     []float64   // tokens used a second
-	uses     []regionUse // of all prefixes: few are used in many regions, and 100,000 of them are passed through in each step
+	rate     []float64   // tokens used per second, by region
+	uses     []regionUse // of all prefixes in one slice, as few are used in many regions and each step iterates over 100,000 of them
 }
 
 type prefix struct {
 	key         Key
 	tokens      int
-	firstUse    int32   // its first use in usage.room
-	regions     uint32  // a bit for each region where it was counted
-	idleSeconds float64 // seconds since its last use anywhere
-	quietChance float64 // the chance of that silence, if it is still used
+	firstUse    int32   // index of its first use in usage.uses
+	regions     uint32  // bit set of the regions where it was counted
+	idleSeconds float64 // seconds since its last use in any region
+	quietChance float64 // the chance of that silence if it is still used
 	visits      float64 // in all regions
 }
 
-// regionUse is how a prefix is regionUse in one region.
+// regionUse is the use of a prefix in one region.
 type regionUse struct {
-	region, next      int32   // the place in usage.room of its use in the next region, or -1
-	count             float64 // faded
+	region, next      int32   // region, and index in usage.uses of the use in the next region, or -1
+	count             float64 // decayed
 	ageMs, idleMs     float64
-	countedSeconds    float64 // for how long it would have been counted, faded, in seconds
-	countedRate, rate float64 // visits a second, as counted and as believed in: see pace
+	countedSeconds    float64 // seconds of counting, decayed
+	countedRate, rate float64 // visits per second, as counted and as estimated, see estimateRates
 }
 
-// noUse is how a prefix is used that no router of a region names.
+// noUse is the use of a prefix that no router of a region reports.
 var noUse = regionUse{idleMs: math.Inf(1)}
 
-// inRegion is how a prefix is used inRegion a region.
+// inRegion returns the use of a prefix in a region.
 func (u *usage) inRegion(p *prefix, region int) *regionUse {
 	if p.regions>>region&1 == 0 {
 		return &noUse
@@ -51,7 +51,7 @@
 	return &u.uses[i]
 }
 
-// addRegion is the same for one that is to be counted there; uses stay in the order of regions.
+// addRegion returns the use of a prefix in a region and adds one if there is none. Uses are linked in the order of regions.
 func (u *usage) addRegion(p *prefix, region int) *regionUse {
 	if p.regions>>region&1 == 1 {
 		return u.inRegion(p, region)
@@ -67,7 +67,7 @@
 	return &u.uses[len(u.uses)-1]
 }
 
-// aggregate adds up what the routers of each region say, in the room of an earlier step.
+// aggregate sums up the reports of each region's routers. It reuses the memory of an earlier step.
 func (u *usage) aggregate(m Model, reports []Report, broken Fault, abandoned float64) {
 	n := len(m.Regions)
 	u.index.reset()
@@ -106,23 +106,24 @@
 	}
 }
 
-// valuer is what a decider weighs by, by the places of regions.
+// valuer holds what benefits and costs are computed from. Slices are indexed by region.
 type valuer struct {
 	model       Model
 	usage       *usage
-	links       []*Link       // by the regions from and to
-	spillovers  [][]spillover // by the regions from and to
-	retention   []float64     // how long a region keeps what is not used, in seconds
-	holdingCost []float64     // tokens read again, a second, for each token that is held
+	links       []*Link       // by source and target region
+	spillovers  [][]spillover // by source and target region
+	retention   []float64     // how long a region keeps a prefix without a lease, in seconds
+	holdingCost []float64     // tokens read again per second for each held token
 	closed      []bool        // nothing is copied there
 	lost        []bool
-	abandoned   float64 // the part of prefixes known that nobody uses any more
+	abandoned   float64 // the share of known prefixes that are no longer used
 	minUses     float64
 }
 
 func (d *Decider) newValuer(m Model, v View, u *usage, copies []Copy) *valuer {
 	n := len(m.Regions)
-	val := &valuer{model: m, usage: u, links: make([]*Link, n*n), retention: make([]float64, n), holdingCost: make([]float64, n), closed: make([]bool, n), lost: make([]bool, n), abandoned: d.abandoned, minUses: m.Uses}
+	val := &valuer{model: m, usage: u, links: make([]*Link, n*n), retention: make([]float64, n), holdingCost: make([]float64, n),
+		closed: make([]bool, n), lost: make([]bool, n), abandoned: d.abandoned, minUses: m.Uses}
 	if d.Broken == CountsScan {
 		val.minUses = 1
 	}
@@ -140,13 +141,13 @@
 	return val
 }
 
-// computeRetention comes to how long a region keeps what is not held, and to what a held token costs there.
+// computeRetention computes how long a region keeps prefixes without a lease, and what a held token costs there.
 //
-// A held prefix takes only the room that it would not have anyway: with rate λ it would be there but for the part exp(−λ·keeps)
-// of the time. What else is kept then is what a memory smaller by that would keep of the whole stream. Misses of held prefixes
-// stand in the curve and do not happen, so they are taken off both the tokens that come new and the curve's slope: what is left
-// is what a little less room costs the rest. Without that, prefixes near the edge of what is kept, which are those worth
-// holding, raise the price of holding each other.
+// A held prefix takes only the memory that it would not take anyway: at rate λ it would be evicted exp(−λ·retention) of the time.
+// The rest of the cache behaves like a memory that is smaller by that amount under the whole stream. The curve includes
+// misses of held prefixes, which do not occur, so they are subtracted both from the new tokens and from the curve's slope. What
+// remains is the cost of a little less memory for all others. Otherwise prefixes near the eviction limit, which are those worth
+// holding, would raise the cost of holding each other.
 func (v *valuer) computeRetention(region int, copies []Copy) {
 	type heldCopy struct{ tokens, rate float64 }
 	var held []heldCopy
@@ -178,34 +179,35 @@
 	v.holdingCost[region] = max((slope*total-slopes)/max(total-misses, total/4, 1), slope/2)
 }
 
-// retentionRounds is how often room and time kept are put into each other; they settle at once, as what held prefixes take is small.
+// retentionRounds is how often memory and retention are computed from each other. They converge quickly, as held prefixes take
+// little memory.
 const retentionRounds = 4
 
-// benefit is what a copy is benefit, in tokens read: saved, and what it costs.
+// benefit is the value of a copy at a rate of visits, in tokens read: what it saves and what it costs.
 type benefit struct{ rate, saved, costs float64 }
 
-// A copy is ordered for no less than minSavedReads reads within a lease, and stays for no less than minHeldReads.
+// A copy is ordered if it saves at least minSavedReads reads within a lease, and kept if it saves at least minHeldReads.
 const minSavedReads, minHeldReads = 0.1, 0.02
 
-// displaced is how many tokens a second are read again in a region for so many that are held there.
+// displaced is the number of tokens per second that a region reads again because the given tokens are held.
 func (v *valuer) displaced(tokens float64, to int) float64 { return v.holdingCost[to] * tokens }
 
-// worthHolding tells whether holding on to a prefix that is there does: it saves reads, and as many as it has others read again. To be
-// ordered it must gain more.
+// worthHolding reports whether a present copy pays: it saves reads, and no fewer than it causes for others. Ordering a copy
+// requires a larger gain.
 func (v *valuer) worthHolding(p *prefix, to int) bool {
 	return v.savedReads(p, to) >= minHeldReads && v.expectedRate(p, to) > v.holdingCost[to]
 }
 
-// savedReads is how many reads of a prefix that is there a lease savedReads.
+// savedReads is the number of reads of a present prefix that a lease saves.
 func (v *valuer) savedReads(p *prefix, to int) float64 {
 	rate := v.expectedRate(p, to)
 	return rate * v.model.LeaseMs / 1000 * math.Exp(-rate*v.retention[to])
 }
 
-// copyBenefit tells what copying a prefix over a link is worth within a lease, if it is used at a rate; nothing
-// where that is surely less than floor for each token.
+// copyBenefit is the benefit of copying a prefix over a link within a lease, if it is used at the given rate. It is zero where the
+// benefit per token is certainly below floor.
 func (v *valuer) copyBenefit(p *prefix, link *Link, to int, rate, floor float64) benefit {
-	// It is present already where it was used within the time that the memory keeps what is not used; then nothing is sent.
+	// The prefix is already present if it was used within the retention; then nothing is sent.
 	present := 0.0
 	if v.usage.inRegion(p, to).idleMs/1000 < v.retention[to] {
 		present = 1
@@ -213,7 +215,7 @@
 	tokens := float64(p.tokens)
 	horizon := v.model.LeaseMs/1000 - tokens/(v.model.LinkShare*link.Rate)
 	uses := rate * horizon
-	if horizon <= 0 || uses <= max(floor, minSavedReads) { // more than each use is not saved
+	if horizon <= 0 || uses <= max(floor, minSavedReads) { // a use saves no more than one read
 		return benefit{}
 	}
 	retention := v.retention[to]
@@ -222,18 +224,18 @@
 		cost += v.model.fixedCost(link) / tokens
 	}
 	cost *= 1 - present
-	// No more is saved: 1 − exp(−n) < n − n²/2 + n³/6, and exp(−x) is less than one through the first terms of exp(x).
+	// Upper bound of the saving with n uses: 1 − exp(−n) < n − n²/2 + n³/6, and exp(−x) is below the inverse of the first terms of exp(x).
 	bound := (1 - present) * min(uses*(1-uses*(1./2-uses*(1./6))), 1)
 	if (bound+(uses-bound)/(1+x*(1+x*(1./2+x*(1./6+x*(1./24))))))*(1+1e-9) <= cost+max(floor, minSavedReads) {
 		return benefit{}
 	}
-	evictedChance := math.Exp(-x)                     // the chance that it is pushed out between two uses
+	evictedChance := math.Exp(-x)                     // the chance that it is evicted between two uses
 	firstUse := (1 - present) * (1 - math.Exp(-uses)) // the first use reads it, if there is one
 	saved := tokens * (firstUse + max(uses-firstUse, 0)*evictedChance)
 	if saved <= (cost+max(floor, minSavedReads))*tokens {
 		return benefit{}
 	}
-	// Held, it takes room from others, unless it would be there anyway.
+	// A held prefix displaces others, unless it would be present anyway.
 	return benefit{rate, saved, cost*tokens + v.displaced(tokens, to)*horizon*(1-min((present+firstUse)*(1-evictedChance), 1))}
 }
 
@@ -247,20 +249,20 @@
 	benefit
 	link   *Link
 	to     int
-	margin float64 // what it gains for each token
+	margin float64 // net benefit per token
 }
 
-// maxOptions bounds how many copies are weighed against each other: the best of all.
+// maxOptions bounds the copies that are compared: the best of all.
 const maxOptions = 2 * MaxCopies
 
-// bestOptions are the copies to any region that would save most for each token, and more than they cost by the gain; has tells of
-// those that are there or rest.
+// bestOptions returns the copies to any region with the largest net benefit per token, of those whose saving exceeds the cost by
+// the factor gain. occupied reports copies that exist or are in a cool-down.
 func (v *valuer) bestOptions(gain float64, occupied func(k Key, to int) bool) []option {
 	var options []option
 	floor := 0.0
 	for i := range v.usage.prefixes {
 		p := &v.usage.prefixes[i]
-		sources := uint32(0) // where it surely was used often enough, and is kept
+		sources := uint32(0) // regions where it certainly was used often enough and is cached
 		for at := p.firstUse; at >= 0; at = v.usage.uses[at].next {
 			if use := &v.usage.uses[at]; !v.lost[use.region] && use.count >= v.minUses && use.idleMs/1000 < v.retention[use.region] {
 				sources |= 1 << use.region
@@ -282,7 +284,8 @@
 				if rate < 0 {
 					rate = v.expectedRate(p, to)
 				}
-				if one := v.copyBenefit(p, link, to, rate, floor); one.saved > gain*one.costs && (found.p == nil || one.saved-one.costs > found.saved-found.costs) {
+				if one := v.copyBenefit(p, link, to, rate, floor); one.saved > gain*one.costs &&
+					(found.p == nil || one.saved-one.costs > found.saved-found.costs) {
 					found = option{p: p, benefit: one, link: link, to: to}
 				}
 			}
@@ -316,7 +319,7 @@
 	return options
 }
 
-// ranksBefore tells which of two copies saves more for each token; the order of all is whole.
+// ranksBefore reports whether a copy has the larger net benefit per token. Ties are broken, so the order is total.
 func (o *option) ranksBefore(other *option) bool {
 	switch {
 	case o.margin != other.margin:
@@ -327,7 +330,7 @@
 	return o.to < other.to
 }
 
-// topOptions are the topOptions n of a list, in any order (quickselect: Hoare 1961).
+// topOptions returns the first n options in any order (quickselect: Hoare 1961).
 func topOptions(options []option, n int) []option {
 	if len(options) <= n {
 		return options
--- a/internal/decide/reuse/warm.go
+++ b/internal/decide/reuse/warm.go
@@ -9,19 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Faults of what carries copies out.
+// Faults of the components that carry out copies.
 const (
-	NoFence   Fault = "no-fence"   // a state is written over whatever stands, also by a router that is not registered any more
-	WarmsBusy Fault = "warms-busy" // servers are read to in background whatever they have to do
+	NoFence   Fault = "no-fence"   // a state overwrites any other, even from a router that is no longer registered
+	WarmsBusy Fault = "warms-busy" // servers are read to in the background however busy they are
 )
 
-// Busy is how many requests a router has at servers, by name.
+// Busy is the number of requests that a router has at each server.
 type Busy map[string]int
 
-// MaxBusy bounds how many servers a report names.
+// MaxBusy bounds the servers in a report.
 const MaxBusy = 32
 
-// Busiest are the servers that have most, as many as a report may name.
+// Busiest returns the servers with the most requests, at most MaxBusy.
 func (b Busy) Busiest() Busy {
 	if len(b) <= MaxBusy {
 		return b
@@ -43,8 +43,8 @@
 	return len(b) <= MaxBusy
 }
 
-// MayWarm tells whether a server has so little to do that a prefix may be read to it in background: what this router has
-// there, with what the others said last.
+// MayWarm reports whether a server has few enough requests for a prefix to be read to it in the background, counting this
+// router's own requests and those last reported by the others.
 func (m Model) MayWarm(server string, requests int, others []Busy, broken Fault) bool {
 	for _, b := range others {
 		requests += b[server]
@@ -52,8 +52,8 @@
 	return requests < m.WarmBelow || broken == WarmsBusy
 }
 
-// Rank is how many of the routers that may carry an order out come before one of them: the order's own order among them, by a
-// hash, so that orders are spread and the next takes over from one that can't.
+// Rank is the number of routers able to carry out the order that come before router. Each order has its own order of routers, by a
+// hash, so that work is spread and the next router takes over from one that fails.
 func (c Copy) Rank(router string, routers []string) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprint("copy\x00", c.ID, name)) }
 	for _, name := range routers {
@@ -64,7 +64,7 @@
 	return earlier
 }
 
-// HeldTokens is what servers hold under leases, in tokens, by server.
+// HeldTokens returns the tokens that each server holds under leases.
 func (s *State) HeldTokens() map[string]float64 {
 	tokens := map[string]float64{}
 	for _, c := range s.Copies {
@@ -75,7 +75,8 @@
 	return tokens
 }
 
-// placement tells which server of a region is to hold a prefix, or holds it by itself where those that leave count as well; false: none can.
+// placement returns a function that picks the server of a region for a prefix, or false if there is none. With includeDraining
+// it picks the server that caches the prefix by default, even if that is about to be drained.
 func (v View) placement(region string, includeDraining bool) func(k Key) (Server, bool) {
 	candidates := map[string]Server{}
 	var names []string
