--- a/internal/decide/reuse/decide_test.go
+++ b/internal/decide/reuse/decide_test.go
@@ -32,9 +32,9 @@
 		f.model.Regions = append(f.model.Regions, Region{r, 400_000})
 		f.servers = append(f.servers, Server{ID: r + "1", Region: r, Boot: "1"}, Server{ID: r + "2", Region: r, Boot: "1"})
 		f.meters[r] = NewMeter(2e6)
-		for _, o := range []string{"a", "b", "c"} {
-			if o != r {
-				f.model.Links = append(f.model.Links, Link{From: r, To: o, Rate: 20_000, Price: 0.1})
+		for _, other := range []string{"a", "b", "c"} {
+			if other != r {
+				f.model.Links = append(f.model.Links, Link{From: r, To: other, Rate: 20_000, Price: 0.1})
 			}
 		}
 	}
--- a/internal/decide/reuse/expect.go
+++ b/internal/decide/reuse/expect.go
@@ -141,9 +141,9 @@
 				continue
 			}
 			regions := uint32(0) // regions that use it at no less than a tenth of this rate
-			for o := p.firstUse; o >= 0; o = u.uses[o].next {
-				if u.uses[o].countedRate > source.countedRate/10 && o != at {
-					regions |= 1 << u.uses[o].region
+			for other := p.firstUse; other >= 0; other = u.uses[other].next {
+				if u.uses[other].countedRate > source.countedRate/10 && other != at {
+					regions |= 1 << u.uses[other].region
 				}
 			}
 			for target := range n {
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -55,9 +55,9 @@
 			continue
 		}
 		region := m.regionIndex(r.To)
-		place, used := u.index.find(r.Prefix)
+		position, used := u.index.find(r.Prefix)
 		switch {
-		case used && region >= 0 && u.inRegion(&u.prefixes[place], region).idleMs+freshPeriods*m.ReportMs < r.SinceMs:
+		case used && region >= 0 && u.inRegion(&u.prefixes[position], region).idleMs+freshPeriods*m.ReportMs < r.SinceMs:
 			s.settleRelease(r, turn.Wrong)
 		case r.SinceMs >= m.LeaseMs:
 			s.settleRelease(r, turn.Right)
@@ -79,8 +79,8 @@
 		kind            string
 		current, before turn.Judged
 	}{{"copies", s.Hindsight.Copies, previous.Copies}, {"releases", s.Hindsight.Releases, previous.Releases}} {
-		if bad := entry.current.Follows(entry.before); bad != "" {
-			a.addViolation(s, "hindsight of %s: %s", entry.kind, bad)
+		if problem := entry.current.Follows(entry.before); problem != "" {
+			a.addViolation(s, "hindsight of %s: %s", entry.kind, problem)
 		}
 	}
 	unused, pending := int64(0), int64(0)
--- a/internal/decide/reuse/index_test.go
+++ b/internal/decide/reuse/index_test.go
@@ -19,8 +19,8 @@
 			for _, v := range rapid.SliceOfN(rapid.Uint64Range(0, 3000), 0, 2000).Draw(t, "keys") {
 				k := Key(v)
 				previous, known := want[k]
-				if place, found := x.find(k); found != known || found && place != previous {
-					t.Fatalf("find of key %d returned position %d, %v", k, place, found)
+				if position, found := x.find(k); found != known || found && position != previous {
+					t.Fatalf("find of key %d returned position %d, %v", k, position, found)
 				}
 				if want[k], _ = x.insert(k); known && want[k] != previous || !known && want[k] != len(want)-1 {
 					t.Fatalf("key %d inserted at position %d", k, want[k])
--- a/internal/decide/reuse/lease_test.go
+++ b/internal/decide/reuse/lease_test.go
@@ -109,13 +109,13 @@
 		}
 		for _, c := range present { // released copies
 			s, known := servers[c.Server]
-			since, used := lastUse[c.ID]
+			usedAt, used := lastUse[c.ID]
 			minHeld := 6666 * time.Millisecond
-			if takeover >= since { // another decider did not learn of an unwritten use: at least half a lease
+			if takeover >= usedAt { // another decider did not learn of an unwritten use: at least half a lease
 				minHeld = 5 * time.Second
 			}
-			if known && s.Boot == c.Boot && !s.Draining && !lost[c.ID] && used && f.now-since < minHeld {
-				return fmt.Sprintf("copy %d is released %s after a use", c.ID, f.now-since)
+			if known && s.Boot == c.Boot && !s.Draining && !lost[c.ID] && used && f.now-usedAt < minHeld {
+				return fmt.Sprintf("copy %d is released %s after a use", c.ID, f.now-usedAt)
 			}
 		}
 		if f.last.Seq < before.Seq || f.last.LastOrder < before.LastOrder {
--- a/internal/decide/reuse/leave.go
+++ b/internal/decide/reuse/leave.go
@@ -126,7 +126,7 @@
 // copyOut orders the copies from a draining server that pay and can arrive within the rest of its wait. It reports whether
 // there is nothing left to wait for.
 func (d *Decider) copyOut(s *State, v View, val *valuer, limits *ledger, drain Drain) bool {
-	i := slices.IndexFunc(v.Servers, func(one Server) bool { return one.ID == drain.Server })
+	i := slices.IndexFunc(v.Servers, func(server Server) bool { return server.ID == drain.Server })
 	if i < 0 {
 		return true
 	}
--- a/internal/decide/reuse/leave_test.go
+++ b/internal/decide/reuse/leave_test.go
@@ -90,9 +90,9 @@
 	for range 20 {
 		f.advanceHot()
 	}
-	again := f.drainCopies("a1")
-	if delete(again, flashKey); !maps.Equal(again, drainCopies) {
-		t.Errorf("%d copies while drained, %d before", len(again), len(drainCopies))
+	afterDrain := f.drainCopies("a1")
+	if delete(afterDrain, flashKey); !maps.Equal(afterDrain, drainCopies) {
+		t.Errorf("%d copies while drained, %d before", len(afterDrain), len(drainCopies))
 	}
 	f.servers[0] = Server{ID: "a1", Region: "a", Boot: "2"}
 	f.drains = nil
--- a/internal/decide/reuse/report.go
+++ b/internal/decide/reuse/report.go
@@ -45,13 +45,13 @@
 func (u Uses) MarshalJSON() ([]byte, error) {
 	b := make([]byte, 0, useSize*len(u))
 	tenths := func(ms int64) uint16 { return uint16(min(max(ms/100, 0), math.MaxUint16)) }
-	for _, one := range u {
-		b = binary.BigEndian.AppendUint64(b, uint64(one.Prefix))
-		b = binary.BigEndian.AppendUint32(b, uint32(one.Tokens))
-		b = binary.BigEndian.AppendUint32(b, uint32(min(one.Count, 1<<23)*256))
-		b = binary.BigEndian.AppendUint16(b, uint16(min(one.Overestimate*16, math.MaxUint16)))
-		b = binary.BigEndian.AppendUint16(b, tenths(one.AgeMs))
-		b = binary.BigEndian.AppendUint16(b, tenths(one.IdleMs))
+	for _, use := range u {
+		b = binary.BigEndian.AppendUint64(b, uint64(use.Prefix))
+		b = binary.BigEndian.AppendUint32(b, uint32(use.Tokens))
+		b = binary.BigEndian.AppendUint32(b, uint32(min(use.Count, 1<<23)*256))
+		b = binary.BigEndian.AppendUint16(b, uint16(min(use.Overestimate*16, math.MaxUint16)))
+		b = binary.BigEndian.AppendUint16(b, tenths(use.AgeMs))
+		b = binary.BigEndian.AppendUint16(b, tenths(use.IdleMs))
 	}
 	return json.Marshal(b)
 }
--- a/internal/decide/reuse/sampler.go
+++ b/internal/decide/reuse/sampler.go
@@ -264,36 +264,36 @@
 )
 
 // bucket returns the bucket of a distance. The last one holds all longer distances.
-func bucket(d float64) int {
-	if d <= minDistance {
+func bucket(distance float64) int {
+	if distance <= minDistance {
 		return 0
 	}
-	return min(int(math.Ceil(bucketsPerOctave*math.Log2(d/minDistance))), bucketCount-1)
+	return min(int(math.Ceil(bucketsPerOctave*math.Log2(distance/minDistance))), bucketCount-1)
 }
 
 // bucketLimit is the longest distance of a bucket.
 func bucketLimit(i int) float64 { return minDistance * math.Exp2(float64(i)/bucketsPerOctave) }
 
-func (h *Histogram) add(d, weight, pull float64) {
-	b := bucket(d)
+func (h *Histogram) add(distance, weight, covariance float64) {
+	b := bucket(distance)
 	h.Buckets[b] += weight
-	h.covariance[b] += pull
+	h.covariance[b] += covariance
 }
 
-// Decay multiplies all counts by part, so that older uses count less.
-func (h *Histogram) Decay(part float64) {
+// Decay multiplies all counts by factor, so that older uses count less.
+func (h *Histogram) Decay(factor float64) {
 	for i := range h.Buckets {
-		h.Buckets[i] *= part
-		h.covariance[i] *= part
+		h.Buckets[i] *= factor
+		h.covariance[i] *= factor
 	}
-	h.Cold, h.Total, h.coldCovariance = h.Cold*part, h.Total*part, h.coldCovariance*part
+	h.Cold, h.Total, h.coldCovariance = h.Cold*factor, h.Total*factor, h.coldCovariance*factor
 }
 
-// Decay multiplies all counts by part. Tracked entries stay.
-func (s *Sampler) Decay(part float64) {
-	s.hist.Decay(part)
+// Decay multiplies all counts by factor. Tracked entries stay.
+func (s *Sampler) Decay(factor float64) {
+	s.hist.Decay(factor)
 	for i := range s.usedTokens[:s.count] {
-		s.usedTokens[i] *= float32(part)
+		s.usedTokens[i] *= float32(factor)
 	}
 }
 
--- a/internal/decide/reuse/value.go
+++ b/internal/decide/reuse/value.go
@@ -284,15 +284,15 @@
 				if rate < 0 {
 					rate = v.expectedRate(p, to)
 				}
-				if one := v.copyBenefit(p, link, to, rate, floor); one.saved > gain*one.costs &&
-					(found.p == nil || one.saved-one.costs > found.saved-found.costs) {
-					found = option{p: p, benefit: one, link: link, to: to}
+				if candidate := v.copyBenefit(p, link, to, rate, floor); candidate.saved > gain*candidate.costs &&
+					(found.p == nil || candidate.saved-candidate.costs > found.saved-found.costs) {
+					found = option{p: p, benefit: candidate, link: link, to: to}
 				}
 			}
 			if v.model.HoldOwn && found.p == nil && sources>>to&1 == 1 {
 				own := &Link{To: v.model.Regions[to].Name, Rate: math.Inf(1)}
-				if one := v.copyBenefit(p, own, to, v.expectedRate(p, to), floor); one.saved > gain*one.costs {
-					found = option{p: p, benefit: one, link: own, to: to}
+				if candidate := v.copyBenefit(p, own, to, v.expectedRate(p, to), floor); candidate.saved > gain*candidate.costs {
+					found = option{p: p, benefit: candidate, link: own, to: to}
 				}
 			}
 			if found.p == nil {
