--- a/internal/decide/reuse/report.go
+++ b/internal/decide/reuse/report.go
@@ -101,7 +101,7 @@
 	case !(r.Sample.Rate >= 0 && r.Sample.Rate <= 1) || len(r.Sample.Refs)%refSize != 0 || len(r.Sample.Refs) > refSize*maxRefs:
 		return &RecordError{Field: "sample", Says: fmt.Sprintf("invalid sample of %d bytes at a sampling rate of %g", len(r.Sample.Refs), r.Sample.Rate)}
 	case !r.Busy.valid():
-		return &RecordError{Field: "busy", Says: fmt.Sprintf("invalid list of %d busy servers, at most %d allowed, or a count or name is invalid",
+		return &RecordError{Field: "busy", Says: fmt.Sprintf("%d busy servers, at most %d allowed, each with a valid name and count",
 			len(r.Busy), MaxBusy)}
 	case len(r.Copies) > MaxCopyStatuses:
 		return &RecordError{Field: "copies", Says: fmt.Sprintf("%d copy statuses, at most %d allowed", len(r.Copies), MaxCopyStatuses)}
