--- a/internal/decide/reuse/curve.go
+++ b/internal/decide/reuse/curve.go
@@ -5,115 +5,117 @@
 	"sort"
 )
 
-// Curve is the part of used prefix tokens that has to be read anew with a memory of a given size (a miss-ratio curve), at the
-// bounds of the histogram's buckets. In JSON it is at most 700 bytes.
+// Curve is a miss-ratio curve: the part of used prefix tokens that has to be read again with a memory of a given size, at the
+// bounds of the histogram's buckets. In JSON it has at most 700 bytes.
 type Curve struct {
-	Tokens float64  `json:"tokens"`         // used, by which it was made: its weight beside others
+	Tokens float64  `json:"tokens"`         // used tokens behind the curve, its weight in Merge
 	Miss   []uint16 `json:"miss,omitempty"` // by bucket, in units of 1/65535
 }
 
-const full = math.MaxUint16
+const fullScale = math.MaxUint16
 
-// Curve makes the curve of a histogram. What was used is known exactly, and the samples stand for more or less than that by
-// the heavy prefixes that the hash happens to take. SHARDS-adj takes the difference from the shortest distance; here it is
-// taken from each bucket by how much that varies together with the sum over such draws (a regression estimator: the weight
-// of a bucket is the sum over prefixes of its tokens in the bucket times all its tokens), which on drawn streams errs less
-// than half as much, since heavy prefixes are not used again at once where their region's stream is long.
+// Curve computes the curve of a histogram. The total of used tokens is known exactly, but the samples represent more or less
+// than that, depending on which heavy prefixes the hash selects. SHARDS-adj takes the difference from the shortest distance.
+// Here it is taken from each bucket in proportion to the bucket's covariance with the sum over such samples (a regression
+// estimator). The weight of a bucket is the sum over prefixes of their tokens in the bucket times all their tokens. On
+// generated streams the error is less than half that of SHARDS-adj, since a heavy prefix is not reused at once where its
+// region's stream is long.
 func (h *Histogram) Curve() Curve {
-	sum, pull := h.Cold, h.coldPull
+	sum, covariance := h.Cold, h.coldCovariance
 	for i, v := range h.Buckets {
-		sum, pull = sum+v, pull+h.pull[i]
+		sum, covariance = sum+v, covariance+h.covariance[i]
 	}
 	if sum <= 0 {
 		return Curve{}
 	}
-	all, shift := sum, 0.0
-	if h.Seen > 0 && pull > 0 {
-		all, shift = h.Seen, (sum-h.Seen)/pull
+	total, shift := sum, 0.0
+	if h.Total > 0 && covariance > 0 {
+		total, shift = h.Total, (sum-h.Total)/covariance
 	}
-	c := Curve{Tokens: math.Round(all), Miss: make([]uint16, buckets)}
-	kept, beyond := make([]float64, buckets), max(h.Cold-shift*h.coldPull, 0)
+	c := Curve{Tokens: math.Round(total), Miss: make([]uint16, bucketCount)}
+	adjusted, adjustedTotal := make([]float64, bucketCount), max(h.Cold-shift*h.coldCovariance, 0)
 	for i, v := range h.Buckets {
-		kept[i] = max(v-shift*h.pull[i], 0)
-		beyond += kept[i]
+		adjusted[i] = max(v-shift*h.covariance[i], 0)
+		adjustedTotal += adjusted[i]
 	}
-	all, left := beyond, beyond
-	for i, v := range kept {
-		left -= v
-		c.Miss[i] = uint16(math.Round(full * min(max(left/all, 0), 1)))
+	total, missed := adjustedTotal, adjustedTotal
+	for i, v := range adjusted {
+		missed -= v
+		c.Miss[i] = uint16(math.Round(fullScale * min(max(missed/total, 0), 1)))
 	}
 	return c
 }
 
-// At is the part that a memory of some tokens has to read anew. Between bounds it is interpolated; a curve of nothing says that
-// all is.
-func (c Curve) At(memory float64) float64 {
+// MissRatio is the part of used tokens that a memory of the given size has to read again. It interpolates between bucket
+// bounds. An empty curve has a miss ratio of 1.
+func (c Curve) MissRatio(memory float64) float64 {
 	if len(c.Miss) == 0 || memory <= 0 {
 		return 1
 	}
-	at := perOctave * math.Log2(memory/least)
-	i := int(math.Floor(at))
+	position := bucketsPerOctave * math.Log2(memory/minDistance)
+	i := int(math.Floor(position))
 	switch {
-	case at <= 0:
-		return 1 + (c.miss(0)-1)*memory/least
+	case position <= 0:
+		return 1 + (c.missAt(0)-1)*memory/minDistance
 	case i >= len(c.Miss)-1:
-		return c.miss(len(c.Miss) - 1)
+		return c.missAt(len(c.Miss) - 1)
 	}
-	low := edge(i)
-	part := (memory - low) / (edge(i+1) - low)
-	return c.miss(i) + part*(c.miss(i+1)-c.miss(i))
+	lower := bucketLimit(i)
+	fraction := (memory - lower) / (bucketLimit(i+1) - lower)
+	return c.missAt(i) + fraction*(c.missAt(i+1)-c.missAt(i))
 }
 
-func (c Curve) miss(i int) float64 { return float64(c.Miss[i]) / full }
+func (c Curve) missAt(i int) float64 { return float64(c.Miss[i]) / fullScale }
 
-// Keeps is how long a memory keeps what is not used, where rate prefix tokens are used each second: until as many new ones have
-// come. New ones come at the rate of misses, so that with memory m filled dm/dt = rate·At(m) (Denning's working sets; Xiang,
-// Ding, Luo, Bao, "HOTL", ASPLOS '13). In seconds; +Inf where nothing is pushed out.
-func (c Curve) Keeps(memory, rate float64) float64 {
+// Retention is how long, in seconds, a memory keeps a prefix that is not used, when rate prefix tokens are used per second. A
+// prefix is evicted once as many new tokens have arrived as the memory holds. New tokens arrive at the rate of misses, so that
+// with memory m filled dm/dt = rate·MissRatio(m) (Denning's working sets; Xiang, Ding, Luo, Bao, "HOTL", ASPLOS '13). It is
+// +Inf where nothing is evicted.
+func (c Curve) Retention(memory, rate float64) float64 {
 	if rate <= 0 {
 		return math.Inf(1)
 	}
-	t, from := 0.0, 0.0
+	seconds, from := 0.0, 0.0
 	for i := 0; from < memory; i++ {
 		to := memory
-		if i < buckets {
-			to = min(edge(i), memory)
+		if i < bucketCount {
+			to = min(bucketLimit(i), memory)
 		}
-		part := (c.At(from) + c.At(to)) / 2
-		if part <= 0 {
+		missRatio := (c.MissRatio(from) + c.MissRatio(to)) / 2
+		if missRatio <= 0 {
 			return math.Inf(1)
 		}
-		t += (to - from) / (rate * part)
+		seconds += (to - from) / (rate * missRatio)
 		from = to
 	}
-	return t
+	return seconds
 }
 
-// Merge is the mean of curves, by what each was made of.
-func Merge(list ...Curve) Curve {
-	var sum [buckets]float64
-	out := Curve{}
-	for _, c := range list {
+// Merge returns the mean of curves, weighted by their tokens.
+func Merge(curves ...Curve) Curve {
+	var weighted [bucketCount]float64
+	merged := Curve{}
+	for _, c := range curves {
 		if !c.valid() || len(c.Miss) == 0 {
 			continue
 		}
-		out.Tokens += c.Tokens
+		merged.Tokens += c.Tokens
 		for i, v := range c.Miss {
-			sum[i] += c.Tokens * float64(v)
+			weighted[i] += c.Tokens * float64(v)
 		}
 	}
-	if out.Tokens <= 0 {
+	if merged.Tokens <= 0 {
 		return Curve{}
 	}
-	out.Miss = make([]uint16, buckets)
-	for i, v := range sum {
-		out.Miss[i] = uint16(math.Round(v / out.Tokens))
+	merged.Miss = make([]uint16, bucketCount)
+	for i, v := range weighted {
+		merged.Miss[i] = uint16(math.Round(v / merged.Tokens))
 	}
-	return out
+	return merged
 }
 
-// valid tells whether a curve is one: it falls, and has as many bounds as the histogram, or none.
+// valid reports whether the curve is non-increasing and has either no buckets or as many as the histogram.
 func (c Curve) valid() bool {
-	falls := sort.SliceIsSorted(c.Miss, func(i, j int) bool { return c.Miss[i] > c.Miss[j] })
-	return falls && (len(c.Miss) == 0 || len(c.Miss) == buckets) && c.Tokens >= 0 && !math.IsInf(c.Tokens, 0)
+	nonIncreasing := sort.SliceIsSorted(c.Miss, func(i, j int) bool { return c.Miss[i] > c.Miss[j] })
+	return nonIncreasing && (len(c.Miss) == 0 || len(c.Miss) == bucketCount) && c.Tokens >= 0 && !math.IsInf(c.Tokens, 0)
 }
--- a/internal/decide/reuse/decide.go
+++ b/internal/decide/reuse/decide.go
@@ -11,282 +11,282 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a rule that a decider breaks on purpose, to test that checkers detect it.
 type Fault string
 
 // The faults.
 const (
-	BelievesAfterRestart Fault = "believes-after-restart" // a copy outlives its server's process
-	NoHysteresis         Fault = "no-hysteresis"          // what was released may be copied again at once, and gain is not asked for
-	CountsScan           Fault = "counts-scan"            // uses are believed that another prefix left behind, and one is enough
+	BelievesAfterRestart Fault = "believes-after-restart" // a copy survives a restart of its server
+	NoHysteresis         Fault = "no-hysteresis"          // a released prefix may be copied again at once, and no gain is required
+	CountsScan           Fault = "counts-scan"            // counts include the overestimate of Space-Saving, and one use is enough
 )
 
-// Decider comes to states. Each router may keep one; whose turn it is writes.
+// Decider computes new states. Each router may run one; the router whose turn it is writes the state.
 type Decider struct {
-	Me     string
+	Router string
 	Broken Fault
 
-	base    mark
-	mine    mark // what it gave last, which may have been written or not
-	heard   map[string]heard
-	used    map[int64]time.Duration // by copy: when its use was reported last
-	words   map[int64]Word          // what was reported of copies that the state does not say yet
-	uses    usage                   // of this step
-	waits   bool
-	due     time.Duration         // since when a state has been due that nobody wrote
-	purse   map[[2]string]float64 // by link: tokens that copies may take now
-	stepped time.Duration
-	gone    float64  // the part of prefixes known that nobody uses any more
-	likely  []likely // by the regions from and to
-	spill   map[string]map[string]float64
+	current     stateRef
+	proposed    stateRef // the state that it last returned, written or not
+	sightings   map[string]sighting
+	lastUsed    map[int64]time.Duration // by copy: when its use was last reported
+	statuses    map[int64]CopyStatus    // reported statuses of copies that are not yet in the state
+	usage       usage                   // of this step
+	pending     bool
+	dueSince    time.Duration         // since when a state is due that no router has written
+	budgets     map[[2]string]float64 // by link: tokens that may be copied now
+	lastStep    time.Duration
+	abandoned   float64     // the share of known prefixes that are no longer used
+	spillovers  []spillover // by source and target region
+	spillRatios map[string]map[string]float64
 }
 
-// mark is the state that was read last, and when.
-type mark struct {
+// stateRef identifies the state that was read last, and when it was read.
+type stateRef struct {
 	seq int64
 	by  string
 	at  time.Duration
 }
 
-type heard struct {
+type sighting struct {
 	rev int64
 	at  time.Duration
 	new bool
 }
 
-// View is what is known at one moment.
+// View is the input of one decision.
 type View struct {
 	Model      Model
-	Last       *State // nil: there is none
+	Last       *State // nil if there is none
 	Reports    []Report
 	Servers    []Server
-	Conditions map[string]Condition // of regions; one that is not named is up
-	// Home names the server that a region's requests with a prefix go to by themselves, so that a copy does not draw them from where
-	// they are kept; nil: a hash of the decider's own.
+	Conditions map[string]Condition // by region; a region that is not listed is up
+	// Home returns the server that a region's requests with a prefix are routed to by default. Copies are placed on that
+	// server, so that they do not draw requests away from where the prefix is cached. If nil, the decider uses its own hash.
 	Home func(k Key, servers []string) string
-	// Leaving are servers that are about to be let out, or are, as of the number Seen of the state of outages.
-	Leaving []Leaving
-	Seen    int64
+	// Drains are the servers that are drained or about to be, according to the outage state with number OutageSeq.
+	Drains    []Drain
+	OutageSeq int64
 }
 
 const (
-	freshFor  = 4  // reports are believed for so many periods
-	spillMost = 8  // uses in one region are at most so many times those in another
-	spillRate = .1 // the weight of a step in the mean
-	// later is how much later each next router writes a state that the one before it should have written.
-	later = 250 * time.Millisecond
-	// burst is for how long an idle link's part gathers.
-	burst = 5.0
+	freshPeriods = 4  // reports expire after this many periods
+	maxSpill     = 8  // maximum ratio of uses in one region to those in another
+	spillWeight  = .1 // weight of one step in the moving average
+	// takeoverDelay is added per rank: each router waits this much longer than the one before it before it writes.
+	takeoverDelay = 250 * time.Millisecond
+	// burstSeconds is how many seconds of its rate the budget of an idle link accumulates.
+	burstSeconds = 5.0
 )
 
-// Next gives the state that should take the place of the last, or nil while that may stand. now is of this process's own
-// monotonic clock; only differences are used.
+// Next returns the state that should replace the last one, or nil if that needs no change. now is the monotonic clock of
+// this process; only differences are used.
 func (d *Decider) Next(v View, now time.Duration) *State {
 	m := v.Model.Filled()
-	s, past := d.aged(v.Last, now)
-	fresh := d.fresh(v.Reports, m, now)
+	s, elapsedMs := d.ageState(v.Last, now)
+	fresh := d.freshReports(v.Reports, m, now)
 	servers := map[string]Server{}
-	for _, one := range v.Servers {
-		servers[one.ID] = one
+	for _, server := range v.Servers {
+		servers[server.ID] = server
 	}
-	v = v.known(s)
-	changed := d.keep(s, m, v, servers, fresh, now)
-	if d.gone == 0 {
-		d.gone, d.uses.at.salt = goneFirst, Key(xxhash.Sum64String(d.Me))
+	v = v.withAgreedDrains(s)
+	changed := d.updateCopies(s, m, v, servers, fresh, now)
+	if d.abandoned == 0 {
+		d.abandoned, d.usage.index.salt = initialAbandoned, Key(xxhash.Sum64String(d.Router))
 	}
-	d.uses.gather(m, fresh, d.Broken, d.gone)
-	uses := &d.uses
-	changed = s.again(m, uses) || changed
-	d.learn(m, s, uses)
-	d.fill(m, past)
-	purse := maps.Clone(d.purse)
-	if d.order(s, m, v, uses) {
+	d.usage.aggregate(m, fresh, d.Broken, d.abandoned)
+	uses := &d.usage
+	changed = s.settleReleases(m, uses) || changed
+	d.learnSpillover(m, s, uses)
+	d.refillBudgets(m, elapsedMs)
+	budgets := maps.Clone(d.budgets)
+	if d.orderCopies(s, m, v, uses) {
 		changed = true
 	}
-	if changed && !d.waits {
-		d.due = now
+	if changed && !d.pending {
+		d.dueSince = now
 	}
-	if d.waits = changed; !changed || now < d.due+time.Duration(d.rank(fresh))*later {
-		d.purse = purse
+	if d.pending = changed; !changed || now < d.dueSince+time.Duration(d.rank(fresh))*takeoverDelay {
+		d.budgets = budgets
 		return nil
 	}
 	s.Seq++
-	s.By = d.Me
-	s.Spill = d.spill
-	d.mine = mark{s.Seq, s.By, now}
+	s.By = d.Router
+	s.Spill = d.spillRatios
+	d.proposed = stateRef{s.Seq, s.By, now}
 	if v.Last != nil {
 		s.Rev = v.Last.Rev
 	}
 	return s
 }
 
-// rank is this router's turn among those that report: how many come before it (rendezvous hashing).
-func (d *Decider) rank(fresh []Report) (before int) {
+// rank is the number of reporting routers that come before this one by rendezvous hashing.
+func (d *Decider) rank(fresh []Report) (earlier int) {
 	weight := func(name string) uint64 { return xxhash.Sum64String("reuse\x00" + name) }
-	among := false
+	listed := false
 	for _, r := range fresh {
-		among = among || r.Router == d.Me
-		if r.Router != d.Me && weight(r.Router) < weight(d.Me) {
-			before++
+		listed = listed || r.Router == d.Router
+		if r.Router != d.Router && weight(r.Router) < weight(d.Router) {
+			earlier++
 		}
 	}
-	if !among {
+	if !listed {
 		return 0
 	}
-	return before
+	return earlier
 }
 
-// aged is a copy of the last state with what has passed since this decider first read it taken off. A decider that takes over
-// begins to count when it reads: a lease may last longer by that, never shorter.
-func (d *Decider) aged(last *State, now time.Duration) (*State, float64) {
-	past := ms(now - d.stepped)
-	if d.stepped == 0 {
-		past = 0
+// ageState returns a copy of the last state from which the time since this decider first read it is subtracted, and the time
+// since the last step. A decider that takes over starts counting when it reads, so a lease may last longer but never shorter.
+func (d *Decider) ageState(last *State, now time.Duration) (*State, float64) {
+	elapsedMs := ms(now - d.lastStep)
+	if d.lastStep == 0 {
+		elapsedMs = 0
 	}
-	d.stepped = now
+	d.lastStep = now
 	if last == nil {
-		return &State{}, past
+		return &State{}, elapsedMs
 	}
-	switch is := func(m mark) bool { return m.seq == last.Seq && m.by == last.By }; {
-	case is(d.base):
-	case is(d.mine):
-		d.base = d.mine
+	switch matches := func(ref stateRef) bool { return ref.seq == last.Seq && ref.by == last.By }; {
+	case matches(d.current):
+	case matches(d.proposed):
+		d.current = d.proposed
 	default:
-		d.base = mark{last.Seq, last.By, now}
+		d.current = stateRef{last.Seq, last.By, now}
 	}
 	s := *last
-	held := ms(now - d.base.at)
-	s.Copies, s.Rests, s.Notes = slices.Clone(last.Copies), nil, slices.Clone(last.Notes)
+	sinceReadMs := ms(now - d.current.at)
+	s.Copies, s.Cooldowns, s.Notes = slices.Clone(last.Copies), nil, slices.Clone(last.Notes)
 	for i := range s.Copies {
-		s.Copies[i].LeftMs -= held
-		s.Copies[i].AgeMs += held
+		s.Copies[i].LeftMs -= sinceReadMs
+		s.Copies[i].AgeMs += sinceReadMs
 	}
-	for _, r := range last.Rests {
-		if r.Asked {
-			r.SinceMs += held
+	for _, r := range last.Cooldowns {
+		if r.Pending {
+			r.SinceMs += sinceReadMs
 		}
-		if r.LeftMs -= held; r.LeftMs > 0 || r.Asked {
-			s.Rests = append(s.Rests, r)
+		if r.LeftMs -= sinceReadMs; r.LeftMs > 0 || r.Pending {
+			s.Cooldowns = append(s.Cooldowns, r)
 		}
 	}
-	return &s, past
+	return &s, elapsedMs
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// fresh are the reports that were written anew not long ago, and tells which are new since the last step.
-func (d *Decider) fresh(reports []Report, m Model, now time.Duration) (out []Report) {
-	if d.heard == nil {
-		d.heard = map[string]heard{}
+// freshReports returns the reports that were updated recently, and marks those that changed since the last step.
+func (d *Decider) freshReports(reports []Report, m Model, now time.Duration) (fresh []Report) {
+	if d.sightings == nil {
+		d.sightings = map[string]sighting{}
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range reports {
-		there[r.Router] = true
-		h, known := d.heard[r.Router]
-		h.new = !known || h.rev != r.Rev
-		if h.new {
-			h.rev, h.at = r.Rev, now
+		present[r.Router] = true
+		sighting, known := d.sightings[r.Router]
+		sighting.new = !known || sighting.rev != r.Rev
+		if sighting.new {
+			sighting.rev, sighting.at = r.Rev, now
 		}
-		d.heard[r.Router] = h
-		if ms(now-h.at) <= freshFor*m.ReportMs {
-			out = append(out, r)
+		d.sightings[r.Router] = sighting
+		if ms(now-sighting.at) <= freshPeriods*m.ReportMs {
+			fresh = append(fresh, r)
 		}
 	}
-	maps.DeleteFunc(d.heard, func(name string, _ heard) bool { return !there[name] })
-	return out
+	maps.DeleteFunc(d.sightings, func(name string, _ sighting) bool { return !present[name] })
+	return fresh
 }
 
-// keep takes what reports say of copies, and releases those that are not to be believed in. It tells whether that is to be
-// written. Leases are extended in batches, when one that was used has less than half left as it is written: at most six times
-// a lease. A use that was not written when its decider ended is one that the next has not heard of.
-func (d *Decider) keep(s *State, m Model, v View, servers map[string]Server, fresh []Report, now time.Duration) (changed bool) {
-	if d.used == nil {
-		d.used, d.words = map[int64]time.Duration{}, map[int64]Word{}
+// updateCopies applies reported statuses to the copies and releases those that are no longer valid. It reports whether the
+// state has to be written. Leases are extended in batches: a used copy's lease is written when less than half of it is left,
+// so at most six times per lease. The next decider does not know of a use that was not written before this one ended.
+func (d *Decider) updateCopies(s *State, m Model, v View, servers map[string]Server, fresh []Report, now time.Duration) (changed bool) {
+	if d.lastUsed == nil {
+		d.lastUsed, d.statuses = map[int64]time.Duration{}, map[int64]CopyStatus{}
 	}
-	there := map[int64]bool{}
+	present := map[int64]bool{}
 	for _, c := range s.Copies {
-		there[c.ID] = true
+		present[c.ID] = true
 	}
 	for _, r := range fresh {
-		if !d.heard[r.Router].new {
+		if !d.sightings[r.Router].new {
 			continue
 		}
-		for _, w := range r.Copies {
-			if w.Used > 0 {
-				d.used[w.ID] = now
+		for _, status := range r.Copies {
+			if status.Hits > 0 {
+				d.lastUsed[status.ID] = now
 			}
-			before := d.words[w.ID]
-			d.words[w.ID] = Word{ID: w.ID, Here: before.Here || w.Here, Gone: before.Gone || w.Gone}
+			previous := d.statuses[status.ID]
+			d.statuses[status.ID] = CopyStatus{ID: status.ID, Arrived: previous.Arrived || status.Arrived, Lost: previous.Lost || status.Lost}
 		}
 	}
-	maps.DeleteFunc(d.words, func(id int64, _ Word) bool { return !there[id] })
-	maps.DeleteFunc(d.used, func(id int64, _ time.Duration) bool { return !there[id] })
+	maps.DeleteFunc(d.statuses, func(id int64, _ CopyStatus) bool { return !present[id] })
+	maps.DeleteFunc(d.lastUsed, func(id int64, _ time.Duration) bool { return !present[id] })
 	kept := s.Copies[:0]
 	for _, c := range s.Copies {
-		w := d.words[c.ID]
-		if w.Here && c.Phase == Ordered {
-			c.Phase, c.LeftMs, changed = Here, m.LeaseMs, true
+		status := d.statuses[c.ID]
+		if status.Arrived && c.Phase == Ordered {
+			c.Phase, c.LeftMs, changed = Present, m.LeaseMs, true
 			s.note(c.ID, "here", fmt.Sprintf("after %.0f ms", c.AgeMs))
 		}
-		if at, used := d.used[c.ID]; used && c.Phase == Here {
-			low := c.LeftMs < m.LeaseMs/2
-			left := c.LeftMs
-			c.used(m.LeaseMs, ms(now-at))
-			s.found(&c)
-			changed = changed || low && c.LeftMs > left
+		if usedAt, used := d.lastUsed[c.ID]; used && c.Phase == Present {
+			belowHalf := c.LeftMs < m.LeaseMs/2
+			leftBefore := c.LeftMs
+			c.extendLease(m.LeaseMs, ms(now-usedAt))
+			s.recordUse(&c)
+			changed = changed || belowHalf && c.LeftMs > leftBefore
 		}
-		why, rest := c.ended(servers, v.Conditions, d.Broken), m.LeaseMs/4
-		if w.Gone {
-			why = "it is reported lost"
-		} else if no := v.revoked(s, c, d.Broken); why == "" && no != "" {
-			why, rest = no, 0
+		reason, cooldownMs := c.endReason(servers, v.Conditions, d.Broken), m.LeaseMs/4
+		if status.Lost {
+			reason = "it is reported lost"
+		} else if revocation := v.revokedReason(s, c, d.Broken); reason == "" && revocation != "" {
+			reason, cooldownMs = revocation, 0
 		}
-		if why == "" {
+		if reason == "" {
 			kept = append(kept, c)
 			continue
 		}
 		changed = true
-		if why == unused {
-			rest = 2 * m.LeaseMs
+		if reason == reasonUnused {
+			cooldownMs = 2 * m.LeaseMs
 		}
-		s.release(c, rest, why)
+		s.release(c, cooldownMs, reason)
 	}
 	s.Copies = kept
-	maps.DeleteFunc(d.used, func(id int64, _ time.Duration) bool {
+	maps.DeleteFunc(d.lastUsed, func(id int64, _ time.Duration) bool {
 		return !slices.ContainsFunc(kept, func(c Copy) bool { return c.ID == id })
 	})
 	return changed
 }
 
-// release forgets a copy, and has its prefix rest there for a while; 0: not at all.
-func (s *State) release(c Copy, restMs float64, why string) {
-	s.note(c.ID, "release", fmt.Sprintf("%016x at %s: %s", uint64(c.Prefix), c.To, why))
-	asked := s.let(c, restMs, why)
-	if restMs <= 0 {
+// release removes a copy and starts a cool-down for its prefix in that region, unless cooldownMs is 0.
+func (s *State) release(c Copy, cooldownMs float64, reason string) {
+	s.note(c.ID, "release", fmt.Sprintf("%016x at %s: %s", uint64(c.Prefix), c.To, reason))
+	pending := s.settleCopy(c, cooldownMs, reason)
+	if cooldownMs <= 0 {
 		return
 	}
-	if len(s.Rests) == maxRests {
-		s.over(&s.Rests[0], turn.Void)
-		s.Rests = s.Rests[1:]
+	if len(s.Cooldowns) == maxCooldowns {
+		s.settleRelease(&s.Cooldowns[0], turn.Void)
+		s.Cooldowns = s.Cooldowns[1:]
 	}
-	s.Rests = append(s.Rests, Rest{Prefix: c.Prefix, To: c.To, LeftMs: restMs, Asked: asked})
+	s.Cooldowns = append(s.Cooldowns, Cooldown{Prefix: c.Prefix, To: c.To, LeftMs: cooldownMs, Pending: pending})
 }
 
-func (s *State) note(id int64, what, why string) {
+func (s *State) note(id int64, kind, reason string) {
 	if len(s.Notes) >= maxNotes {
 		s.Notes = s.Notes[len(s.Notes)-maxNotes+1:]
 	}
-	s.Notes = append(s.Notes, Note{id, what, why})
+	s.Notes = append(s.Notes, Note{id, kind, reason})
 }
 
-// fill gives each link's copies their part of what it can carry.
-func (d *Decider) fill(m Model, past float64) {
-	if d.purse == nil {
-		d.purse = map[[2]string]float64{}
+// refillBudgets adds each link's share of its rate to the budget of its copies.
+func (d *Decider) refillBudgets(m Model, elapsedMs float64) {
+	if d.budgets == nil {
+		d.budgets = map[[2]string]float64{}
 	}
 	for _, l := range m.Links {
 		rate := m.LinkShare * l.Rate
 		key := [2]string{l.From, l.To}
-		d.purse[key] = min(d.purse[key]+rate*past/1000, rate*burst)
+		d.budgets[key] = min(d.budgets[key]+rate*elapsedMs/1000, rate*burstSeconds)
 	}
 }
--- a/internal/decide/reuse/expect.go
+++ b/internal/decide/reuse/expect.go
@@ -5,184 +5,185 @@
 	"time"
 )
 
-// likely is how prefixes of one region are used in another: the part of them that come there, by whether only one region or
-// several use them so far, and how much those that come are used there beside here.
-type likely struct {
-	comes [2]float64
+// spillover describes how prefixes used in one region are used in another: the share of prefixes that are used there too, by
+// whether one or several regions use them so far, and the ratio of the rate there to the rate here for those that are.
+type spillover struct {
+	share [2]float64
 	ratio float64
 }
 
 const (
-	// perVisit is how many uses of a prefix make one visit. A conversation asks again and again: its later uses come soon and
-	// find the prefix there, and its end is no sign that the prefix has ended.
-	perVisit = 2
-	// goneFirst is the part of prefixes that nobody uses any more, until it is learned.
-	goneFirst = 0.05
-	// left is the chance, before silence is counted, that a prefix that others still use is used in a region no more.
-	left = 0.05
-	// alike is the shape of the gamma distribution of the rate of those that come to a region about what is expected.
-	alike = 4.0
-	// hardly is what is used of the others in a region, beside what would be if they came.
-	hardly = 0.02
+	// usesPerVisit is how many uses of a prefix count as one visit. A conversation sends several requests with a prefix. Its
+	// later requests follow soon and find the prefix cached, and its end does not mean that the prefix is abandoned.
+	usesPerVisit = 2
+	// initialAbandoned is the assumed share of prefixes that are no longer used, until it is learned.
+	initialAbandoned = 0.05
+	// leftPrior is the prior probability that a prefix still used in other regions is no longer used in one region.
+	leftPrior = 0.05
+	// rateShape is the shape of the gamma distribution of a shared prefix's rate in a region around the expected rate.
+	rateShape = 4.0
+	// localRateFactor is the rate of a local prefix in another region relative to that of a shared prefix.
+	localRateFactor = 0.02
 )
 
-// pace comes to the rate of a prefix's visits in each region: what was counted, less the chance that it is used there no more.
-func (u *usage) pace(p *prefix, gone float64) {
-	const fades = float64(hotFor / time.Second)
-	var silent [MaxRegions]float64
-	p.idle = math.Inf(1)
-	for at := p.first; at >= 0; at = u.room[at].next {
-		in := &u.room[at]
-		in.seen = fades * -math.Expm1(-in.ageMs/1000/fades)
-		in.raw = in.count / perVisit / max(in.seen, fades/20)
-		p.visits += in.count / perVisit
-		p.idle = min(p.idle, in.idleMs/1000)
+// estimateRates computes the rate of a prefix's visits in each region: the counted rate times the chance that it is still used.
+func (u *usage) estimateRates(p *prefix, abandoned float64) {
+	const decaySeconds = float64(hotDecay / time.Second)
+	var silence [MaxRegions]float64
+	p.idleSeconds = math.Inf(1)
+	for at := p.firstUse; at >= 0; at = u.uses[at].next {
+		use := &u.uses[at]
+		use.countedSeconds = decaySeconds * -math.Expm1(-use.ageMs/1000/decaySeconds)
+		use.countedRate = use.count / usesPerVisit / max(use.countedSeconds, decaySeconds/20)
+		p.visits += use.count / usesPerVisit
+		p.idleSeconds = min(p.idleSeconds, use.idleMs/1000)
 	}
-	all := 0.0
-	for at := p.first; at >= 0; at = u.room[at].next {
-		in := &u.room[at]
-		if silent[in.region] = 1; in.idleMs/1000 > p.idle {
-			silent[in.region] = math.Exp(-in.raw * (in.idleMs/1000 - p.idle))
+	total := 0.0
+	for at := p.firstUse; at >= 0; at = u.uses[at].next {
+		use := &u.uses[at]
+		if silence[use.region] = 1; use.idleMs/1000 > p.idleSeconds {
+			silence[use.region] = math.Exp(-use.countedRate * (use.idleMs/1000 - p.idleSeconds))
 		}
-		all += in.raw * silent[in.region]
+		total += use.countedRate * silence[use.region]
 	}
-	p.quiet = math.Exp(-all * p.idle)
-	for at := p.first; at >= 0; at = u.room[at].next {
-		u.room[at].rate = u.room[at].raw * p.stays(silent[u.room[at].region], gone)
+	p.quietChance = math.Exp(-total * p.idleSeconds)
+	for at := p.firstUse; at >= 0; at = u.uses[at].next {
+		u.uses[at].rate = u.uses[at].countedRate * p.inUseChance(silence[u.uses[at].region], abandoned)
 	}
 }
 
-// stays is the chance that a prefix is still used in a region that has been silent for longer than others by a chance, if it
-// is used there. Either it is, or it left that region, or nobody uses it any more.
-func (p *prefix) stays(silent, gone float64) float64 {
-	one := (1 - gone - left) * p.quiet * silent
-	return one / (one + left*p.quiet + gone)
+// inUseChance is the chance that a prefix is still used in a region. silence is the chance that a region which uses it would
+// be silent for so much longer than the others. A prefix is either in use, or unused in that region, or abandoned everywhere.
+func (p *prefix) inUseChance(silence, abandoned float64) float64 {
+	active := (1 - abandoned - leftPrior) * p.quietChance * silence
+	return active / (active + leftPrior*p.quietChance + abandoned)
 }
 
-// expects is the rate of a prefix's visits in a region, a second: what was seen there, or what its use elsewhere lets expect.
-func (s *scales) expects(p *prefix, to int) float64 {
-	best, others := 0.0, -1
-	if in := &s.u.room[p.first]; in.next < 0 && int(in.region) != to { // most are used in one region only
-		return max(s.follows(p, in, to, 0), 0)
+// expectedRate is the rate of a prefix's visits in a region per second, as observed there or inferred from its use elsewhere.
+func (v *valuer) expectedRate(p *prefix, to int) float64 {
+	best, otherRegions := 0.0, -1
+	if use := &v.usage.uses[p.firstUse]; use.next < 0 && int(use.region) != to { // most are used in one region only
+		return max(v.rateFrom(p, use, to, 0), 0)
 	}
-	for at := p.first; at >= 0; at = s.u.room[at].next {
-		switch in := &s.u.room[at]; {
-		case int(in.region) == to:
-			best = in.rate
-		case in.count >= s.m.Uses:
-			others++
+	for at := p.firstUse; at >= 0; at = v.usage.uses[at].next {
+		switch use := &v.usage.uses[at]; {
+		case int(use.region) == to:
+			best = use.rate
+		case use.count >= v.model.Uses:
+			otherRegions++
 		}
 	}
-	for at := p.first; at >= 0; at = s.u.room[at].next {
-		if in := &s.u.room[at]; int(in.region) != to {
-			best = max(best, s.follows(p, in, to, min(max(others, 0), 1)))
+	for at := p.firstUse; at >= 0; at = v.usage.uses[at].next {
+		if use := &v.usage.uses[at]; int(use.region) != to {
+			best = max(best, v.rateFrom(p, use, to, min(max(otherRegions, 0), 1)))
 		}
 	}
 	return best
 }
 
-// follows is the rate of visits in a region that a prefix's use in another lets expect. Prefixes are of two kinds: those that come
-// there, whose rate is gamma distributed about ratio times that elsewhere, and a region's own, which hardly do. How many visits
-// came there in the time since the prefix is known, and how many regions use it, tell which kind it is of (Bayes' rule). So a
-// region's own soon counts as such, while one gamma distribution for both kinds would still expect it after long silence.
-func (s *scales) follows(p *prefix, here *used, to, others int) float64 {
-	l, there := &s.likely[here.region][to], s.u.in(p, to)
-	mean := l.ratio * here.rate
+// rateFrom is the rate of visits in a target region that is inferred from a prefix's use in a source region. There are two
+// kinds of prefixes. Shared ones are used in the target region as well, with a gamma-distributed rate around ratio times that
+// in the source. Local ones are hardly used there. The visits observed in the target region since the prefix is known, and
+// how many regions use it, give the probability of each kind (Bayes' rule). A local prefix is thus soon recognized as such,
+// while a single gamma distribution for both kinds would still expect it after a long silence.
+func (v *valuer) rateFrom(p *prefix, source *regionUse, to, others int) float64 {
+	spill, target := &v.spillovers[source.region][to], v.usage.inRegion(p, to)
+	mean := spill.ratio * source.rate
 	if mean <= 0 {
 		return 0
 	}
-	t, c, q := max(here.seen, min(here.ageMs, there.idleMs)/1000), there.count/perVisit, l.comes[others]
-	come, own := alike/mean+t, alike/(hardly*mean)+t
-	// How much more likely what was seen is of its region's own, (own/come)^-(alike+c) / hardly^alike; without visits the power
-	// is four, as decisions weigh 100,000 prefixes.
-	x := come / (own * hardly)
-	odds := x * x * x * x
-	if c > 0 {
-		odds *= math.Pow(come/own, c)
+	observed, visits, prior := max(source.countedSeconds, min(source.ageMs, target.idleMs)/1000), target.count/usesPerVisit, spill.share[others]
+	sharedBeta, localBeta := rateShape/mean+observed, rateShape/(localRateFactor*mean)+observed
+	// The likelihood ratio of a local prefix, (localBeta/sharedBeta)^-(rateShape+visits) / localRateFactor^rateShape.
+	// Without visits the exponent is four and pow is avoided, as decisions evaluate 100,000 prefixes.
+	ratio := sharedBeta / (localBeta * localRateFactor)
+	odds := ratio * ratio * ratio * ratio
+	if visits > 0 {
+		odds *= math.Pow(sharedBeta/localBeta, visits)
 	}
-	comes := q / (q + (1-q)*odds)
-	rate := (alike + c) * (comes/come + (1-comes)/own)
-	if c > 0 {
-		rate *= p.stays(math.Exp(-(alike+c)/come*(there.idleMs/1000-p.idle)), s.gone)
+	sharedChance := prior / (prior + (1-prior)*odds)
+	rate := (rateShape + visits) * (sharedChance/sharedBeta + (1-sharedChance)/localBeta)
+	if visits > 0 {
+		rate *= p.inUseChance(math.Exp(-(rateShape+visits)/sharedBeta*(target.idleMs/1000-p.idleSeconds)), v.abandoned)
 	}
 	return rate
 }
 
-// learn keeps how uses in one region compare with those in another, over prefixes that have been used for long enough to tell.
-func (d *Decider) learn(m Model, s *State, u *usage) {
+// learnSpillover updates how uses in one region relate to those in another, from prefixes that have been used long enough.
+func (d *Decider) learnSpillover(m Model, s *State, u *usage) {
 	n := len(m.Regions)
-	if len(d.likely) != n*n {
-		d.likely = make([]likely, n*n)
-		for i := range d.likely {
-			d.likely[i] = likely{[2]float64{0.5, 0.9}, 1}
+	if len(d.spillovers) != n*n {
+		d.spillovers = make([]spillover, n*n)
+		for i := range d.spillovers {
+			d.spillovers[i] = spillover{[2]float64{0.5, 0.9}, 1}
 			if v := s.Spill[m.Regions[i/n].Name][m.Regions[i%n].Name]; v > 0 {
-				d.likely[i].ratio = v
+				d.spillovers[i].ratio = v
 			}
 		}
 	}
-	type sums struct {
-		of, come    [2]float64
-		here, there float64
+	type totals struct {
+		observed, shared       [2]float64
+		sourceRate, targetRate float64
 	}
-	all := make([]sums, n*n)
-	ended, known := 0.0, 0.0
-	for i := range u.list {
-		p := &u.list[i]
+	byPair := make([]totals, n*n)
+	abandoned, known := 0.0, 0.0
+	for i := range u.prefixes {
+		p := &u.prefixes[i]
 		if p.visits >= m.Uses {
 			known++
-			if p.quiet < 0.01 {
-				ended++
+			if p.quietChance < 0.01 {
+				abandoned++
 			}
 		}
-		for at := p.first; at >= 0; at = u.room[at].next {
-			a := &u.room[at]
-			if a.count == 0 || a.count < 2*m.Uses || a.ageMs <= m.LeaseMs/2 || a.rate < a.raw/2 {
+		for at := p.firstUse; at >= 0; at = u.uses[at].next {
+			source := &u.uses[at]
+			if source.count == 0 || source.count < 2*m.Uses || source.ageMs <= m.LeaseMs/2 || source.rate < source.countedRate/2 {
 				continue
 			}
-			like := uint32(0) // where it is used as well, by no less than a tenth
-			for o := p.first; o >= 0; o = u.room[o].next {
-				if u.room[o].raw > a.raw/10 && o != at {
-					like |= 1 << u.room[o].region
+			regions := uint32(0) // regions that use it at no less than a tenth of this rate
+			for other := p.firstUse; other >= 0; other = u.uses[other].next {
+				if u.uses[other].countedRate > source.countedRate/10 && other != at {
+					regions |= 1 << u.uses[other].region
 				}
 			}
-			for b := range n {
-				if b == int(a.region) {
+			for target := range n {
+				if target == int(source.region) {
 					continue
 				}
-				sum, others := &all[int(a.region)*n+b], 0
-				if like&^(1<<b) != 0 {
+				total, others := &byPair[int(source.region)*n+target], 0
+				if regions&^(1<<target) != 0 {
 					others = 1
 				}
-				sum.of[others]++
-				if like>>b&1 == 1 {
-					sum.come[others]++
-					sum.here += a.raw
-					sum.there += u.in(p, b).raw
+				total.observed[others]++
+				if regions>>target&1 == 1 {
+					total.shared[others]++
+					total.sourceRate += source.countedRate
+					total.targetRate += u.inRegion(p, target).countedRate
 				}
 			}
 		}
 	}
 	if known > 0 {
-		d.gone += spillRate * min(1, known/20) * (min(max(ended/known, 0.02), 0.3) - d.gone)
+		d.abandoned += spillWeight * min(1, known/20) * (min(max(abandoned/known, 0.02), 0.3) - d.abandoned)
 	}
-	d.spill = map[string]map[string]float64{}
+	d.spillRatios = map[string]map[string]float64{}
 	for a, from := range m.Regions {
 		row := map[string]float64{}
 		for b, to := range m.Regions {
 			if a == b {
 				continue
 			}
-			l, sum := &d.likely[a*n+b], all[a*n+b]
-			for i := range l.comes {
-				if sum.of[i] > 0 {
-					l.comes[i] += spillRate * min(1, sum.of[i]/20) * (min(max(sum.come[i]/sum.of[i], 0.01), 0.99) - l.comes[i])
+			spill, total := &d.spillovers[a*n+b], byPair[a*n+b]
+			for i := range spill.share {
+				if total.observed[i] > 0 {
+					spill.share[i] += spillWeight * min(1, total.observed[i]/20) * (min(max(total.shared[i]/total.observed[i], 0.01), 0.99) - spill.share[i])
 				}
 			}
-			if sum.here > 0 {
-				l.ratio += spillRate * min(1, sum.here*60) * (min(sum.there/sum.here, spillMost) - l.ratio)
+			if total.sourceRate > 0 {
+				spill.ratio += spillWeight * min(1, total.sourceRate*60) * (min(total.targetRate/total.sourceRate, maxSpill) - spill.ratio)
 			}
-			row[to.Name] = math.Round(l.ratio*1e4) / 1e4
+			row[to.Name] = math.Round(spill.ratio*1e4) / 1e4
 		}
-		d.spill[from.Name] = row
+		d.spillRatios[from.Name] = row
 	}
 }
--- a/internal/decide/reuse/hindsight.go
+++ b/internal/decide/reuse/hindsight.go
@@ -6,93 +6,96 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Hindsight counts orders and releases of copies by what became of them. A copy that a request found was right, one that ended
-// without was wrong, unless its server or region ended it or it never arrived: then its question fell away. A release after which
-// the opening rests was wrong if it was asked for there within a lease, and right if not. Releases of what its region keeps by its
-// own use are not asked about: it is asked for there by what they say.
+// Hindsight counts orders and releases of copies by their outcome. A copy was right if a request found it and wrong if it ended
+// unused. It is void if its server or region ended it, or if it never arrived. A release with a cool-down was wrong if the
+// prefix was requested in that region within a lease, and right if not. Releases of prefixes that the region keeps through its
+// own use are not counted, because requests for those are expected there.
 type Hindsight struct {
 	Copies   turn.VerdictCounts `json:"copies,omitzero"`
 	Releases turn.VerdictCounts `json:"releases,omitzero"`
 }
 
-// found notes a copy's first use.
-func (s *State) found(c *Copy) {
+// recordUse records the first use of a copy.
+func (s *State) recordUse(c *Copy) {
 	if !c.Used {
 		c.Used = true
 		s.Hindsight.Copies.Settle(turn.Right)
 	}
 }
 
-// let settles what a copy was for that ends, and tells whether its release is asked about: it was decided, and its opening rests.
-func (s *State) let(c Copy, restMs float64, why string) (asked bool) {
-	decided := why == unused || why == crowded || why == enough
-	if !c.Used && decided && c.Phase == Here {
+// settleCopy settles the outcome of a copy that ends. It reports whether its release is counted: it was a decision and starts a
+// cool-down.
+func (s *State) settleCopy(c Copy, cooldownMs float64, reason string) (pending bool) {
+	decided := reason == reasonUnused || reason == reasonCrowded || reason == reasonNoBenefit
+	if !c.Used && decided && c.Phase == Present {
 		s.Hindsight.Copies.Settle(turn.Wrong)
 	} else if !c.Used {
 		s.Hindsight.Copies.Settle(turn.Void)
 	}
-	if asked = decided && restMs > 0; asked {
+	if pending = decided && cooldownMs > 0; pending {
 		s.Hindsight.Releases.Begin()
 	}
-	return asked
+	return pending
 }
 
-// over settles the release that a rest is of, where that is asked about and has not been settled.
-func (s *State) over(r *Rest, v turn.Verdict) {
-	if r.Asked {
-		r.Asked = false
-		s.Hindsight.Releases.Settle(v)
+// settleRelease settles the release behind a cool-down, if it is still pending.
+func (s *State) settleRelease(r *Cooldown, verdict turn.Verdict) {
+	if r.Pending {
+		r.Pending = false
+		s.Hindsight.Releases.Settle(verdict)
 	}
 }
 
-// again settles releases by whether their openings were used in their regions since; it tells whether any was. How long ago
-// a use was is as old as its report, so uses shortly after a release are not taken for it: they may be from before.
-func (s *State) again(m Model, u *usage) (any bool) {
-	for i := range s.Rests {
-		r := &s.Rests[i]
-		if !r.Asked {
+// settleReleases settles releases by whether their prefixes were used in their regions since, and reports whether any was. The
+// time of a use is only as exact as its report, so uses shortly after a release are ignored: they may precede it.
+func (s *State) settleReleases(m Model, u *usage) (any bool) {
+	for i := range s.Cooldowns {
+		r := &s.Cooldowns[i]
+		if !r.Pending {
 			continue
 		}
-		to := m.region(r.To)
-		at, used := u.at.find(r.Prefix)
+		region := m.regionIndex(r.To)
+		position, used := u.index.find(r.Prefix)
 		switch {
-		case used && to >= 0 && u.in(&u.list[at], to).idleMs+freshFor*m.ReportMs < r.SinceMs:
-			s.over(r, turn.Wrong)
+		case used && region >= 0 && u.inRegion(&u.prefixes[position], region).idleMs+freshPeriods*m.ReportMs < r.SinceMs:
+			s.settleRelease(r, turn.Wrong)
 		case r.SinceMs >= m.LeaseMs:
-			s.over(r, turn.Right)
+			s.settleRelease(r, turn.Right)
 		}
-		any = any || !r.Asked
+		any = any || !r.Pending
 	}
-	s.Rests = slices.DeleteFunc(s.Rests, func(r Rest) bool { return r.LeftMs <= 0 && !r.Asked })
+	s.Cooldowns = slices.DeleteFunc(s.Cooldowns, func(r Cooldown) bool { return r.LeftMs <= 0 && !r.Pending })
 	return any
 }
 
-// hindsight looks at the counts: they go on, and no more is open than copies that wait for a use and rests that are asked about.
-func (a *Auditor) hindsight(s *State) {
-	was := Hindsight{}
+// checkHindsight checks that the counts continue those of the previous state, and that no more decisions are open than there are
+// unused copies and pending cool-downs.
+func (a *Auditor) checkHindsight(s *State) {
+	previous := Hindsight{}
 	if a.last != nil {
-		was = a.last.Hindsight
+		previous = a.last.Hindsight
 	}
-	for _, one := range []struct {
-		what   string
-		is, on turn.VerdictCounts
-	}{{"copies", s.Hindsight.Copies, was.Copies}, {"releases", s.Hindsight.Releases, was.Releases}} {
-		if bad := one.is.CheckAgainst(one.on); bad != "" {
-			a.fault(s, "%s in hindsight: %s", one.what, bad)
+	for _, entry := range []struct {
+		kind            string
+		current, before turn.VerdictCounts
+	}{{"copies", s.Hindsight.Copies, previous.Copies}, {"releases", s.Hindsight.Releases, previous.Releases}} {
+		if problem := entry.current.CheckAgainst(entry.before); problem != "" {
+			a.addViolation(s, "hindsight of %s: %s", entry.kind, problem)
 		}
 	}
-	wait, asked := int64(0), int64(0)
+	unused, pending := int64(0), int64(0)
 	for _, c := range s.Copies {
 		if !c.Used {
-			wait++
+			unused++
 		}
 	}
-	for _, r := range s.Rests {
-		if r.Asked {
-			asked++
+	for _, r := range s.Cooldowns {
+		if r.Pending {
+			pending++
 		}
 	}
-	if h := s.Hindsight; h.Copies.Open > wait || h.Releases.Open > asked {
-		a.fault(s, "in hindsight %d copies and %d releases are open, %d copies wait for a use and %d releases are asked about", h.Copies.Open, h.Releases.Open, wait, asked)
+	if h := s.Hindsight; h.Copies.Open > unused || h.Releases.Open > pending {
+		a.addViolation(s, "hindsight has %d copies and %d releases open, but %d copies are unused and %d releases are pending",
+			h.Copies.Open, h.Releases.Open, unused, pending)
 	}
 }
--- a/internal/decide/reuse/hindsight_test.go
+++ b/internal/decide/reuse/hindsight_test.go
@@ -6,13 +6,13 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// A copy that is found was right; one that nobody finds was wrong once it ends, and its release with it when its opening is asked
-// for within a lease after that; one whose server starts again first is void. The auditor takes every state, and finds counts that
-// are lost or made up.
+// A copy that a request found was right. One that ends unused was wrong, and so is its release if the prefix is requested within a
+// lease after it. One whose server restarts first is void. The auditor accepts every state and detects counts that are lost or
+// made up.
 func TestCopiesInHindsight(t *testing.T) {
-	quiet := func(f *fleet, seconds int) {
+	idle := func(f *fleet, seconds int) {
 		for range seconds {
-			f.second(func() {})
+			f.advance(func() {})
 		}
 	}
 	for _, c := range []struct {
@@ -22,46 +22,47 @@
 	}{
 		{"found", func(f *fleet) {
 			for _, r := range []string{"b", "c"} {
-				f.words[r] = append(f.words[r], Word{ID: f.to(r, crowd).ID, Used: 1})
-				f.meters[r].Use(crowd, 3000, f.now)
+				f.statuses[r] = append(f.statuses[r], CopyStatus{ID: f.copyAt(r, flashKey).ID, Hits: 1})
+				f.meters[r].Use(flashKey, 3000, f.now)
 			}
-			quiet(f, 90)
+			idle(f, 90)
 		}, turn.VerdictCounts{Right: 2}, turn.VerdictCounts{Right: 2}},
-		{"not found, and not asked for", func(f *fleet) { quiet(f, 130) }, turn.VerdictCounts{Wrong: 2}, turn.VerdictCounts{Right: 2}},
-		{"not found, asked for afterwards", func(f *fleet) {
-			for f.to("b", crowd) != nil {
-				quiet(f, 1)
+		{"not found, not requested later", func(f *fleet) { idle(f, 130) }, turn.VerdictCounts{Wrong: 2}, turn.VerdictCounts{Right: 2}},
+		{"not found, requested later", func(f *fleet) {
+			for f.copyAt("b", flashKey) != nil {
+				idle(f, 1)
 			}
-			quiet(f, 20)
-			f.meters["b"].Use(crowd, 3000, f.now)
-			quiet(f, 90)
+			idle(f, 20)
+			f.meters["b"].Use(flashKey, 3000, f.now)
+			idle(f, 90)
 		}, turn.VerdictCounts{Wrong: 2}, turn.VerdictCounts{Right: 1, Wrong: 1}},
-		{"its server starts again", func(f *fleet) {
+		{"its server restarts", func(f *fleet) {
 			for i := range f.servers {
 				f.servers[i].Boot = "2"
 			}
-			quiet(f, 1)
+			idle(f, 1)
 		}, turn.VerdictCounts{Void: 2}, turn.VerdictCounts{}},
 	} {
 		f := newFleet("")
-		f.m.LeaseMs = 40_000
-		f.flash(10)
-		quiet(f, 5)
+		f.model.LeaseMs = 40_000
+		f.flashCrowd(10)
+		idle(f, 5)
 		c.after(f)
 		h := f.last.Hindsight
 		if h.Copies != c.copies || h.Releases != c.releases {
-			t.Errorf("%s: copies %v, releases %v; %+v %+v %+v", c.name, h.Copies, h.Releases, f.last.Copies, f.last.Rests, f.last.Notes)
+			t.Errorf("%s: hindsight of copies %v, of releases %v; state has %+v %+v %+v",
+				c.name, h.Copies, h.Releases, f.last.Copies, f.last.Cooldowns, f.last.Notes)
 		}
-		for _, fault := range f.audit.Faults {
+		for _, fault := range f.auditor.Violations {
 			t.Errorf("%s: %s", c.name, fault)
 		}
 		for _, broken := range []Hindsight{{}, {Copies: turn.VerdictCounts{Open: 9, Right: 9, Wrong: 9, Void: 9}, Releases: h.Releases}} {
 			s := *f.last
 			s.Seq, s.Hindsight = s.Seq+1, broken
-			b := &Auditor{Model: f.m}
-			b.Take(f.last)
-			if b.Take(&s); len(b.Faults) == 0 {
-				t.Errorf("%s: %+v after %+v is not found", c.name, broken, h)
+			b := &Auditor{Model: f.model}
+			b.Observe(f.last)
+			if b.Observe(&s); len(b.Violations) == 0 {
+				t.Errorf("%s: no violation reported for hindsight %+v after %+v", c.name, broken, h)
 			}
 		}
 	}
--- a/internal/decide/reuse/index.go
+++ b/internal/decide/reuse/index.go
@@ -1,59 +1,59 @@
 package reuse
 
-// index finds the places of prefixes in a list; it is filled anew in each step, in the room of the one before. It is a table with open
-// addressing (linear probing) of which at most half is full: a key is looked for and entered in one go.
+// index maps prefixes to positions in a list. It is refilled in each step and reuses the memory of the step before. It is a hash
+// table with open addressing and linear probing that is at most half full, so that a lookup and an insert need one probe sequence.
 type index struct {
-	keys  []Key
-	place []int32 // 0: free, else one more than the place
-	n     int
-	salt  Key // so that nobody can choose prefixes that meet in one place of every router's
+	keys      []Key
+	positions []int32 // 0 if free, else the position plus one
+	count     int
+	salt      Key // differs between routers, so that a client cannot choose prefixes that collide at all of them
 }
 
-// reset empties it.
+// reset empties the index.
 func (x *index) reset() {
 	if x.keys == nil {
-		x.keys, x.place = make([]Key, 1<<10), make([]int32, 1<<10)
+		x.keys, x.positions = make([]Key, 1<<10), make([]int32, 1<<10)
 	}
-	clear(x.place)
-	x.n = 0
+	clear(x.positions)
+	x.count = 0
 }
 
-// slot is where a key is, or would be entered.
+// slot returns the slot that holds a key, or where it would be inserted.
 func (x *index) slot(k Key) int {
 	mask := uint64(len(x.keys) - 1)
-	at := mix(k^x.salt) & mask
-	for x.place[at] != 0 && x.keys[at] != k {
-		at = (at + 1) & mask
+	i := mix(k^x.salt) & mask
+	for x.positions[i] != 0 && x.keys[i] != k {
+		i = (i + 1) & mask
 	}
-	return int(at)
+	return int(i)
 }
 
-// find gives a key's place.
+// find returns the position of a key.
 func (x *index) find(k Key) (int, bool) {
-	if x.n == 0 {
+	if x.count == 0 {
 		return 0, false
 	}
-	at := x.slot(k)
-	return int(x.place[at]) - 1, x.place[at] != 0
+	i := x.slot(k)
+	return int(x.positions[i]) - 1, x.positions[i] != 0
 }
 
-// enter gives a key's place, which is the next one if it was not known.
-func (x *index) enter(k Key) (place int, known bool) {
-	at := x.slot(k)
-	if x.place[at] != 0 {
-		return int(x.place[at]) - 1, true
+// insert returns the position of a key and adds the key at the next position if it is not known.
+func (x *index) insert(k Key) (position int, known bool) {
+	slot := x.slot(k)
+	if x.positions[slot] != 0 {
+		return int(x.positions[slot]) - 1, true
 	}
-	if x.n++; 2*x.n > len(x.keys) {
+	if x.count++; 2*x.count > len(x.keys) {
 		old := *x
-		x.keys, x.place = make([]Key, 2*len(old.keys)), make([]int32, 2*len(old.keys))
-		for i, p := range old.place {
+		x.keys, x.positions = make([]Key, 2*len(old.keys)), make([]int32, 2*len(old.keys))
+		for i, p := range old.positions {
 			if p != 0 {
-				to := x.slot(old.keys[i])
-				x.keys[to], x.place[to] = old.keys[i], p
+				target := x.slot(old.keys[i])
+				x.keys[target], x.positions[target] = old.keys[i], p
 			}
 		}
-		at = x.slot(k)
+		slot = x.slot(k)
 	}
-	x.keys[at], x.place[at] = k, int32(x.n)
-	return x.n - 1, false
+	x.keys[slot], x.positions[slot] = k, int32(x.count)
+	return x.count - 1, false
 }
--- a/internal/decide/reuse/sampler.go
+++ b/internal/decide/reuse/sampler.go
@@ -1,7 +1,6 @@
-// Package reuse decides which prefixes (openings of prompts, of which a server keeps the read state) are held in further
-// regions. It measures how far apart uses of one prefix lie in a region's whole stream, in distinct prefix tokens, makes of
-// that what a memory of a given size keeps, and copies a prefix where that saves more reading than it costs. It has no I/O,
-// clock or goroutine: time is passed in. docs/REUSE.md says why it decides as it does.
+// Package reuse decides which shared prompt prefixes are copied to further regions of the fleet. It estimates from sampled reuse
+// distances what a region's KV cache retains, and copies a prefix where that saves more prefill than it costs. It has no I/O,
+// clock or goroutines: time is passed in. The design is explained in docs/REUSE.md.
 package reuse
 
 import (
@@ -9,23 +8,23 @@
 	"slices"
 )
 
-// Key names a prefix: a hash of its text made by whoever routes, equal at all routers.
+// Key identifies a prefix. It is a hash of the text that is the same at all routers.
 type Key uint64
 
 const (
-	// Places is how many prefixes a sampler keeps at most.
-	Places = 1700
-	slots  = 2 * Places
-	cells  = 2048 // of the index, a power of two
-	// maxTokens is the longest prefix.
+	// MaxSampled is the maximum number of prefixes in a sampler.
+	MaxSampled = 1700
+	slots      = 2 * MaxSampled
+	indexCells = 2048 // of the index, a power of two
+	// maxTokens is the maximum length of a prefix.
 	maxTokens = 1 << 20
-	// spots is the range of a key's place in the sampling order: a key is sampled while its spot is below the threshold.
-	spots = 1 << 32
-	// shrinkTo is the part of a full table that stays when the threshold falls.
+	// hashRange is the range of sample hashes. A key is sampled while its hash is below the threshold.
+	hashRange = 1 << 32
+	// shrinkTo is the part of a full table that is kept when the threshold is lowered.
 	shrinkTo = 0.875
 )
 
-// mix spreads a key's bits (the finaliser of SplitMix64).
+// mix spreads a key's bits (the finalizer of SplitMix64).
 func mix(k Key) uint64 {
 	x := uint64(k) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -33,270 +32,270 @@
 	return x ^ x>>31
 }
 
-// spot is a key's place in the sampling order, alike at all routers; what is sampled is known by it too. Two prefixes are
-// taken for one when they have one spot: with a full table and a tenth sampled that befalls one new prefix in 250,000.
-func spot(k Key) uint32 { return uint32(mix(k) >> 32) }
+// sampleHash is the hash that decides whether a key is sampled. It is the same at all routers and identifies sampled keys. Two
+// prefixes with the same hash count as one. With a full table and a tenth sampled this affects one new prefix in 250,000.
+func sampleHash(k Key) uint32 { return uint32(mix(k) >> 32) }
 
 // Sampler estimates reuse distances in tokens by spatially hashed sampling in fixed memory (SHARDS: Waldspurger, Park,
-// Garthwaite, Ahmad, "Efficient MRC Construction with SHARDS", FAST '15). Keys whose hash lies below a threshold are followed
-// exactly, and their distances scaled up by the part that is sampled; when the table is full the threshold falls. Each prefix
-// weighs its tokens. What was not used within Limit tokens is forgotten, so that an endless stream of new prefixes does not
-// lower the threshold for ever. The zero value is not ready: see NewSampler.
+// Garthwaite, Ahmad, "Efficient MRC Construction with SHARDS", FAST '15). Keys whose hash is below a threshold are tracked
+// exactly and their distances are divided by the sampling rate. When the table is full the threshold is lowered. Each prefix
+// weighs its tokens. Prefixes not used within limit tokens are evicted, so that an endless stream of new prefixes does not
+// lower the threshold forever. The zero value is not usable, see NewSampler.
 type Sampler struct {
-	limit     float64 // tokens, 0: none
-	threshold uint64  // sampled are the keys with a lower spot
-	n         int     // entries
-	next, low int     // the slot of the next use; below low all are empty
-	sum       uint64  // tokens of all entries
-	hist      Histogram
-
-	keys   [Places]uint32 // spots
-	tokens [Places]uint32
-	used   [Places]float32 // tokens of all its uses, faded
-	slot   [Places]uint16  // when an entry was used last, as a slot
-	owner  [slots]uint16   // by slot: the entry + 1
-	tree   [slots + 1]uint32
-	index  [cells]uint16 // by hash: the entry + 1
+	limit                float64 // tokens, 0 for no limit
+	threshold            uint64  // keys with a lower hash are sampled
+	count                int     // number of entries
+	nextSlot, oldestSlot int     // the slot of the next use, and the one below which all slots are empty
+	totalTokens          uint64  // tokens of all entries
+	hist                 Histogram
+
+	hashes     [MaxSampled]uint32 // sample hashes
+	tokens     [MaxSampled]uint32
+	usedTokens [MaxSampled]float32 // tokens of all its uses, decayed
+	slot       [MaxSampled]uint16  // slot of the entry's last use
+	owner      [slots]uint16       // by slot: entry + 1, or 0
+	tree       [slots + 1]uint32
+	index      [indexCells]uint16 // by hash: entry + 1, or 0
 }
 
-// NewSampler gives one that forgets what was not used within limit tokens (0: it forgets nothing).
-func NewSampler(limit float64) *Sampler { return &Sampler{limit: limit, threshold: spots} }
+// NewSampler returns a sampler that evicts prefixes not used within limit tokens. With a limit of 0 it evicts none.
+func NewSampler(limit float64) *Sampler { return &Sampler{limit: limit, threshold: hashRange} }
 
-// Rate is the part of all prefixes that is sampled.
-func (s *Sampler) Rate() float64 { return float64(s.threshold) / spots }
+// Rate is the share of prefixes that is sampled.
+func (s *Sampler) Rate() float64 { return float64(s.threshold) / hashRange }
 
-// Samples tells whether a key is among those that are followed.
-func (s *Sampler) Samples(k Key) bool { return s.samples(spot(k)) }
+// Samples reports whether a key is sampled.
+func (s *Sampler) Samples(k Key) bool { return s.samples(sampleHash(k)) }
 
-func (s *Sampler) samples(spot uint32) bool { return uint64(spot) < s.threshold }
+func (s *Sampler) samples(hash uint32) bool { return uint64(hash) < s.threshold }
 
-// Seen takes all tokens that were used, sampled or not: by it the curve is adjusted for heavy prefixes that the hash happens
-// to take or to leave (SHARDS-adj).
-func (s *Sampler) Seen(tokens float64) { s.hist.Seen += tokens }
+// AddTotal adds the tokens of all uses, sampled or not. With it the curve is corrected for heavy prefixes that the hash happens
+// to include or exclude (SHARDS-adj).
+func (s *Sampler) AddTotal(tokens float64) { s.hist.Total += tokens }
 
-// Use takes a use of a prefix, in the order of the stream; what is not sampled is passed over.
-func (s *Sampler) Use(k Key, tokens int) { s.use(spot(k), tokens) }
+// Use records a use of a prefix, in stream order. Keys that are not sampled are ignored.
+func (s *Sampler) Use(k Key, tokens int) { s.use(sampleHash(k), tokens) }
 
-func (s *Sampler) use(k uint32, tokens int) {
-	if !s.samples(k) || tokens <= 0 {
+func (s *Sampler) use(hash uint32, tokens int) {
+	if !s.samples(hash) || tokens <= 0 {
 		return
 	}
-	if s.next == slots {
+	if s.nextSlot == slots {
 		s.compact()
 	}
 	weight := float64(tokens) / s.Rate()
-	if at := s.find(k); at >= 0 {
-		d := uint64(s.sum) - uint64(s.prefix(int(s.slot[at])+1)) // used after it was used last
-		s.used[at] += float32(tokens)
-		// What it has grown by is new: a session that goes on takes more room with each turn.
-		if grown := tokens - int(s.tokens[at]); grown > 0 {
-			fresh := float64(grown) / s.Rate()
-			s.hist.Cold += fresh
-			s.hist.coldPull += float64(s.used[at]) * fresh
-			weight -= fresh
+	if entry := s.find(hash); entry >= 0 {
+		distance := uint64(s.totalTokens) - uint64(s.prefixSum(int(s.slot[entry])+1)) // tokens used since its last use
+		s.usedTokens[entry] += float32(tokens)
+		// Growth is new: a session's prefix takes more memory with each turn.
+		if growth := tokens - int(s.tokens[entry]); growth > 0 {
+			added := float64(growth) / s.Rate()
+			s.hist.Cold += added
+			s.hist.coldCovariance += float64(s.usedTokens[entry]) * added
+			weight -= added
 		}
-		s.hist.add(float64(d)/s.Rate()+float64(tokens), weight, float64(s.used[at])*weight)
-		s.lift(at)
-		s.tokens[at] = uint32(min(tokens, maxTokens))
-		s.put(at)
+		s.hist.add(float64(distance)/s.Rate()+float64(tokens), weight, float64(s.usedTokens[entry])*weight)
+		s.unlink(entry)
+		s.tokens[entry] = uint32(min(tokens, maxTokens))
+		s.pushLatest(entry)
 		return
 	}
 	s.hist.Cold += weight
-	s.hist.coldPull += float64(tokens) * weight
-	if s.n == Places {
+	s.hist.coldCovariance += float64(tokens) * weight
+	if s.count == MaxSampled {
 		s.shrink()
-		if !s.samples(k) {
+		if !s.samples(hash) {
 			return
 		}
 	}
-	at := s.n
-	s.n++
-	s.keys[at], s.tokens[at], s.used[at] = k, uint32(min(tokens, maxTokens)), float32(tokens)
-	s.enter(at)
-	s.put(at)
-	s.forget()
+	entry := s.count
+	s.count++
+	s.hashes[entry], s.tokens[entry], s.usedTokens[entry] = hash, uint32(min(tokens, maxTokens)), float32(tokens)
+	s.insert(entry)
+	s.pushLatest(entry)
+	s.evictOld()
 }
 
-// Lower brings the threshold down to a part, where another router samples no more than that.
-func (s *Sampler) Lower(rate float64) {
-	if t := uint64(rate * spots); t < s.threshold && t > 0 {
+// LowerRate lowers the sampling rate to that of another router.
+func (s *Sampler) LowerRate(rate float64) {
+	if t := uint64(rate * hashRange); t < s.threshold && t > 0 {
 		s.threshold = t
-		s.drop()
+		s.dropUnsampled()
 	}
 }
 
-// put makes an entry the one used last.
-func (s *Sampler) put(at int) {
-	s.slot[at], s.owner[s.next] = uint16(s.next), uint16(at+1)
-	s.weigh(s.next, s.tokens[at])
-	s.sum += uint64(s.tokens[at])
-	s.next++
+// pushLatest makes an entry the most recently used one.
+func (s *Sampler) pushLatest(entry int) {
+	s.slot[entry], s.owner[s.nextSlot] = uint16(s.nextSlot), uint16(entry+1)
+	s.addWeight(s.nextSlot, s.tokens[entry])
+	s.totalTokens += uint64(s.tokens[entry])
+	s.nextSlot++
 }
 
-// lift takes an entry out of the order of uses.
-func (s *Sampler) lift(at int) {
-	s.weigh(int(s.slot[at]), -s.tokens[at])
-	s.owner[s.slot[at]] = 0
-	s.sum -= uint64(s.tokens[at])
+// unlink removes an entry from the order of uses.
+func (s *Sampler) unlink(entry int) {
+	s.addWeight(int(s.slot[entry]), -s.tokens[entry])
+	s.owner[s.slot[entry]] = 0
+	s.totalTokens -= uint64(s.tokens[entry])
 }
 
-// weigh adds to a slot of the Fenwick tree, modulo 2^32.
-func (s *Sampler) weigh(slot int, tokens uint32) {
+// addWeight adds to a slot of the Fenwick tree, modulo 2^32.
+func (s *Sampler) addWeight(slot int, tokens uint32) {
 	for i := slot + 1; i <= slots; i += i & -i {
 		s.tree[i] += tokens
 	}
 }
 
-// prefix sums the first slots.
-func (s *Sampler) prefix(n int) (sum uint32) {
+// prefixSum sums the first n slots.
+func (s *Sampler) prefixSum(n int) (sum uint32) {
 	for i := n; i > 0; i -= i & -i {
 		sum += s.tree[i]
 	}
 	return sum
 }
 
-// compact numbers the uses anew, in their order.
+// compact renumbers the slots in the order of uses.
 func (s *Sampler) compact() {
 	to := 0
 	for from := range slots {
-		if o := s.owner[from]; o != 0 {
+		if owner := s.owner[from]; owner != 0 {
 			s.owner[from] = 0
-			s.owner[to] = o
-			s.slot[o-1] = uint16(to)
+			s.owner[to] = owner
+			s.slot[owner-1] = uint16(to)
 			to++
 		}
 	}
-	s.next, s.low = to, 0
+	s.nextSlot, s.oldestSlot = to, 0
 	clear(s.tree[:])
 	for i := range to {
 		s.tree[i+1] = s.tokens[s.owner[i]-1]
 	}
 	for i := 1; i <= slots; i++ {
-		if up := i + i&-i; up <= slots {
-			s.tree[up] += s.tree[i]
+		if parent := i + i&-i; parent <= slots {
+			s.tree[parent] += s.tree[i]
 		}
 	}
 }
 
-// shrink lowers the threshold until a part of the table is free.
+// shrink lowers the threshold until part of the table is free.
 func (s *Sampler) shrink() {
-	var list [Places]uint32
-	copy(list[:], s.keys[:s.n])
-	slices.Sort(list[:s.n])
-	s.threshold = uint64(list[int(shrinkTo*float64(s.n))])
-	s.drop()
+	var hashes [MaxSampled]uint32
+	copy(hashes[:], s.hashes[:s.count])
+	slices.Sort(hashes[:s.count])
+	s.threshold = uint64(hashes[int(shrinkTo*float64(s.count))])
+	s.dropUnsampled()
 }
 
-// drop removes what is not sampled any more.
-func (s *Sampler) drop() {
-	for at := 0; at < s.n; {
-		if s.samples(s.keys[at]) {
-			at++
+// dropUnsampled removes the entries that are no longer sampled.
+func (s *Sampler) dropUnsampled() {
+	for entry := 0; entry < s.count; {
+		if s.samples(s.hashes[entry]) {
+			entry++
 			continue
 		}
-		s.remove(at)
+		s.remove(entry)
 	}
 	clear(s.index[:])
-	for at := range s.n {
-		s.enter(at)
+	for entry := range s.count {
+		s.insert(entry)
 	}
 }
 
-// remove takes an entry out and has the last take its place; the index is made anew by the caller.
-func (s *Sampler) remove(at int) {
-	s.lift(at)
-	s.n--
-	if last := s.n; at != last {
-		s.keys[at], s.tokens[at], s.slot[at], s.used[at] = s.keys[last], s.tokens[last], s.slot[last], s.used[last]
-		s.owner[s.slot[at]] = uint16(at + 1)
+// remove deletes an entry and moves the last one into its place. The caller rebuilds the index.
+func (s *Sampler) remove(entry int) {
+	s.unlink(entry)
+	s.count--
+	if last := s.count; entry != last {
+		s.hashes[entry], s.tokens[entry], s.slot[entry], s.usedTokens[entry] = s.hashes[last], s.tokens[last], s.slot[last], s.usedTokens[last]
+		s.owner[s.slot[entry]] = uint16(entry + 1)
 	}
 }
 
-// forget removes what was not used within the limit, with some slack so that the index is made anew seldom.
-func (s *Sampler) forget() {
-	if most := s.limit * s.Rate(); s.limit > 0 && float64(s.sum) > 1.1*most {
-		for ; s.low < s.next && float64(s.sum) > most; s.low++ {
-			if o := s.owner[s.low]; o != 0 {
-				s.remove(int(o) - 1)
+// evictOld removes entries not used within the limit. It allows 10% beyond it, so that the index is rebuilt rarely.
+func (s *Sampler) evictOld() {
+	if limit := s.limit * s.Rate(); s.limit > 0 && float64(s.totalTokens) > 1.1*limit {
+		for ; s.oldestSlot < s.nextSlot && float64(s.totalTokens) > limit; s.oldestSlot++ {
+			if owner := s.owner[s.oldestSlot]; owner != 0 {
+				s.remove(int(owner) - 1)
 			}
 		}
 		clear(s.index[:])
-		for at := range s.n {
-			s.enter(at)
+		for entry := range s.count {
+			s.insert(entry)
 		}
 	}
 }
 
-// cell is where the index begins to look; a spot's high bits say little, as only low ones are sampled.
-func cell(k uint32) uint32 { return k * 2654435761 >> (32 - 11) }
+// indexStart is where probing of the index starts. It multiplies because only low hashes are sampled, so high bits vary little.
+func indexStart(hash uint32) uint32 { return hash * 2654435761 >> (32 - 11) }
 
-func (s *Sampler) find(k uint32) int {
-	for i := cell(k); s.index[i] != 0; i = (i + 1) % cells {
-		if at := int(s.index[i]) - 1; s.keys[at] == k {
-			return at
+func (s *Sampler) find(hash uint32) int {
+	for i := indexStart(hash); s.index[i] != 0; i = (i + 1) % indexCells {
+		if entry := int(s.index[i]) - 1; s.hashes[entry] == hash {
+			return entry
 		}
 	}
 	return -1
 }
 
-func (s *Sampler) enter(at int) {
-	i := cell(s.keys[at])
+func (s *Sampler) insert(entry int) {
+	i := indexStart(s.hashes[entry])
 	for s.index[i] != 0 {
-		i = (i + 1) % cells
+		i = (i + 1) % indexCells
 	}
-	s.index[i] = uint16(at + 1)
+	s.index[i] = uint16(entry + 1)
 }
 
-// Histogram is what a sampler has counted: tokens of uses by reuse distance, in buckets whose bounds grow by a quarter of an
-// octave, in estimated tokens of the whole stream.
+// Histogram counts the tokens of uses by reuse distance, in estimated tokens of the whole stream. Bucket bounds grow by a quarter
+// of an octave.
 type Histogram struct {
-	Buckets [buckets]float64
-	Cold    float64 // used for the first time, or not within the limit
-	Seen    float64 // all that was used, exactly
-	// By bucket, how much it varies with the heavy prefixes that the hash happens to take.
-	pull     [buckets]float64
-	coldPull float64
+	Buckets [bucketCount]float64
+	Cold    float64 // first uses, and uses not within the limit
+	Total   float64 // tokens of all uses, exact
+	// By bucket, the covariance of its weight with the sum over the heavy prefixes that the hash may include or exclude.
+	covariance     [bucketCount]float64
+	coldCovariance float64
 }
 
 const (
-	perOctave = 4
-	least     = 256 // tokens up to which distances are one bucket
-	buckets   = 22*perOctave + 1
+	bucketsPerOctave = 4
+	minDistance      = 256 // tokens, upper bound of the first bucket
+	bucketCount      = 22*bucketsPerOctave + 1
 )
 
-// bucket is the place of a distance; that of the longest holds all beyond.
-func bucket(d float64) int {
-	if d <= least {
+// bucket returns the bucket of a distance. The last one holds all longer distances.
+func bucket(distance float64) int {
+	if distance <= minDistance {
 		return 0
 	}
-	return min(int(math.Ceil(perOctave*math.Log2(d/least))), buckets-1)
+	return min(int(math.Ceil(bucketsPerOctave*math.Log2(distance/minDistance))), bucketCount-1)
 }
 
-// edge is the longest distance of a bucket.
-func edge(i int) float64 { return least * math.Exp2(float64(i)/perOctave) }
+// bucketLimit is the longest distance of a bucket.
+func bucketLimit(i int) float64 { return minDistance * math.Exp2(float64(i)/bucketsPerOctave) }
 
-func (h *Histogram) add(d, weight, pull float64) {
-	b := bucket(d)
+func (h *Histogram) add(distance, weight, covariance float64) {
+	b := bucket(distance)
 	h.Buckets[b] += weight
-	h.pull[b] += pull
+	h.covariance[b] += covariance
 }
 
-// Fade lowers all counts to a part, so that what is old counts less.
-func (h *Histogram) Fade(part float64) {
+// Decay multiplies all counts by factor, so that older uses count less.
+func (h *Histogram) Decay(factor float64) {
 	for i := range h.Buckets {
-		h.Buckets[i] *= part
-		h.pull[i] *= part
+		h.Buckets[i] *= factor
+		h.covariance[i] *= factor
 	}
-	h.Cold, h.Seen, h.coldPull = h.Cold*part, h.Seen*part, h.coldPull*part
+	h.Cold, h.Total, h.coldCovariance = h.Cold*factor, h.Total*factor, h.coldCovariance*factor
 }
 
-// Fade lowers all counts to a part; what is followed stays.
-func (s *Sampler) Fade(part float64) {
-	s.hist.Fade(part)
-	for i := range s.used[:s.n] {
-		s.used[i] *= float32(part)
+// Decay multiplies all counts by factor. Tracked entries stay.
+func (s *Sampler) Decay(factor float64) {
+	s.hist.Decay(factor)
+	for i := range s.usedTokens[:s.count] {
+		s.usedTokens[i] *= float32(factor)
 	}
 }
 
-// Curve is what a sampler has found so far.
+// Curve returns the curve of the uses recorded so far.
 func (s *Sampler) Curve() Curve { return s.hist.Curve() }
--- a/internal/decide/reuse/value.go
+++ b/internal/decide/reuse/value.go
@@ -8,341 +8,344 @@
 	"slices"
 )
 
-// usage is how prefixes are used, by region, put together from all reports.
+// usage is the use of prefixes by region, aggregated from all reports.
 type usage struct {
-	at    index // places in list
-	list  []prefix
-	curve []Curve   // by region
-	rate  []float64 // tokens used a second
-	room  []used    // of all prefixes: few are used in many regions, and 100,000 of them are passed through in each step
+	index    index // positions in prefixes
+	prefixes []prefix
+	curve    []Curve     // by region
+	rate     []float64   // tokens used per second, by region
+	uses     []regionUse // of all prefixes in one slice, as few are used in many regions and each step iterates over 100,000 of them
 }
 
 type prefix struct {
-	key    Key
-	tokens int
-	first  int32   // its first use in usage.room
-	known  uint32  // a bit for each region where it was counted
-	idle   float64 // seconds since its last use anywhere
-	quiet  float64 // the chance of that silence, if it is still used
-	visits float64 // in all regions
+	key         Key
+	tokens      int
+	firstUse    int32   // index of its first use in usage.uses
+	regions     uint32  // bit set of the regions where it was counted
+	idleSeconds float64 // seconds since its last use in any region
+	quietChance float64 // the chance of that silence if it is still used
+	visits      float64 // in all regions
 }
 
-// used is how a prefix is used in one region.
-type used struct {
-	region, next  int32   // the place in usage.room of its use in the next region, or -1
-	count         float64 // faded
-	ageMs, idleMs float64
-	seen          float64 // for how long it would have been counted, faded, in seconds
-	raw, rate     float64 // visits a second, as counted and as believed in: see pace
+// regionUse is the use of a prefix in one region.
+type regionUse struct {
+	region, next      int32   // region, and index in usage.uses of the use in the next region, or -1
+	count             float64 // decayed
+	ageMs, idleMs     float64
+	countedSeconds    float64 // seconds of counting, decayed
+	countedRate, rate float64 // visits per second, as counted and as estimated, see estimateRates
 }
 
-// unknown is how a prefix is used that no router of a region names.
-var unknown = used{idleMs: math.Inf(1)}
+// noUse is the use of a prefix that no router of a region reports.
+var noUse = regionUse{idleMs: math.Inf(1)}
 
-// in is how a prefix is used in a region.
-func (u *usage) in(p *prefix, a int) *used {
-	if p.known>>a&1 == 0 {
-		return &unknown
+// inRegion returns the use of a prefix in a region.
+func (u *usage) inRegion(p *prefix, region int) *regionUse {
+	if p.regions>>region&1 == 0 {
+		return &noUse
 	}
-	i := p.first
-	for u.room[i].region != int32(a) {
-		i = u.room[i].next
+	i := p.firstUse
+	for u.uses[i].region != int32(region) {
+		i = u.uses[i].next
 	}
-	return &u.room[i]
+	return &u.uses[i]
 }
 
-// enter is the same for one that is to be counted there; uses stay in the order of regions.
-func (u *usage) enter(p *prefix, a int) *used {
-	if p.known>>a&1 == 1 {
-		return u.in(p, a)
+// addRegion returns the use of a prefix in a region and adds one if there is none. Uses are linked in the order of regions.
+func (u *usage) addRegion(p *prefix, region int) *regionUse {
+	if p.regions>>region&1 == 1 {
+		return u.inRegion(p, region)
 	}
-	p.known |= 1 << a
-	at := &p.first
-	for *at >= 0 && u.room[*at].region < int32(a) {
-		at = &u.room[*at].next
+	p.regions |= 1 << region
+	link := &p.firstUse
+	for *link >= 0 && u.uses[*link].region < int32(region) {
+		link = &u.uses[*link].next
 	}
-	one := used{region: int32(a), next: *at, idleMs: math.Inf(1)}
-	*at = int32(len(u.room))
-	u.room = append(u.room, one)
-	return &u.room[len(u.room)-1]
+	use := regionUse{region: int32(region), next: *link, idleMs: math.Inf(1)}
+	*link = int32(len(u.uses))
+	u.uses = append(u.uses, use)
+	return &u.uses[len(u.uses)-1]
 }
 
-// gather adds up what the routers of each region say, in the room of an earlier step.
-func (u *usage) gather(m Model, reports []Report, broken Fault, gone float64) {
+// aggregate sums up the reports of each region's routers. It reuses the memory of an earlier step.
+func (u *usage) aggregate(m Model, reports []Report, broken Fault, abandoned float64) {
 	n := len(m.Regions)
-	u.at.reset()
-	hot := 0
+	u.index.reset()
+	total := 0
 	for _, r := range reports {
-		hot += len(r.Hot)
+		total += len(r.Hot)
 	}
-	u.list, u.room = slices.Grow(u.list[:0], hot), slices.Grow(u.room[:0], hot)
+	u.prefixes, u.uses = slices.Grow(u.prefixes[:0], total), slices.Grow(u.uses[:0], total)
 	u.curve, u.rate = make([]Curve, n), make([]float64, n)
 	curves := make([][]Curve, n)
 	for _, r := range reports {
-		a := m.region(r.Region)
-		if a < 0 {
+		region := m.regionIndex(r.Region)
+		if region < 0 {
 			continue
 		}
-		curves[a] = append(curves[a], r.Curve)
-		u.rate[a] += r.Rate
+		curves[region] = append(curves[region], r.Curve)
+		u.rate[region] += r.Rate
 		for _, h := range r.Hot {
-			i, known := u.at.enter(h.Prefix)
+			i, known := u.index.insert(h.Prefix)
 			if !known {
-				u.list = append(u.list, prefix{key: h.Prefix, tokens: h.Tokens, first: -1})
+				u.prefixes = append(u.prefixes, prefix{key: h.Prefix, tokens: h.Tokens, firstUse: -1})
 			}
-			one := u.enter(&u.list[i], a)
-			one.count += h.Count
+			use := u.addRegion(&u.prefixes[i], region)
+			use.count += h.Count
 			if broken == CountsScan {
-				one.count += h.Over
+				use.count += h.Overestimate
 			}
-			one.ageMs, one.idleMs = max(one.ageMs, float64(h.AgeMs)), min(one.idleMs, float64(h.IdleMs))
+			use.ageMs, use.idleMs = max(use.ageMs, float64(h.AgeMs)), min(use.idleMs, float64(h.IdleMs))
 		}
 	}
-	for i := range u.list {
-		u.pace(&u.list[i], gone)
+	for i := range u.prefixes {
+		u.estimateRates(&u.prefixes[i], abandoned)
 	}
-	for a := range m.Regions {
-		u.curve[a] = Merge(curves[a]...)
+	for region := range m.Regions {
+		u.curve[region] = Merge(curves[region]...)
 	}
 }
 
-// scales is what a decider weighs by, by the places of regions.
-type scales struct {
-	m      Model
-	u      *usage
-	links  []*Link    // by the regions from and to
-	likely [][]likely // by the regions from and to
-	keeps  []float64  // how long a region keeps what is not used, in seconds
-	price  []float64  // tokens read again, a second, for each token that is held
-	closed []bool     // nothing is copied there
-	lost   []bool
-	gone   float64 // the part of prefixes known that nobody uses any more
-	least  float64
+// valuer holds what benefits and costs are computed from. Slices are indexed by region.
+type valuer struct {
+	model       Model
+	usage       *usage
+	links       []*Link       // by source and target region
+	spillovers  [][]spillover // by source and target region
+	retention   []float64     // how long a region keeps a prefix without a lease, in seconds
+	holdingCost []float64     // tokens read again per second for each held token
+	closed      []bool        // nothing is copied there
+	lost        []bool
+	abandoned   float64 // the share of known prefixes that are no longer used
+	minUses     float64
 }
 
-func (d *Decider) scales(m Model, v View, u *usage, copies []Copy) *scales {
+func (d *Decider) newValuer(m Model, v View, u *usage, copies []Copy) *valuer {
 	n := len(m.Regions)
-	s := &scales{m: m, u: u, links: make([]*Link, n*n), keeps: make([]float64, n), price: make([]float64, n), closed: make([]bool, n), lost: make([]bool, n), gone: d.gone, least: m.Uses}
+	val := &valuer{model: m, usage: u, links: make([]*Link, n*n), retention: make([]float64, n), holdingCost: make([]float64, n),
+		closed: make([]bool, n), lost: make([]bool, n), abandoned: d.abandoned, minUses: m.Uses}
 	if d.Broken == CountsScan {
-		s.least = 1
+		val.minUses = 1
 	}
 	for a, r := range m.Regions {
 		c := v.Conditions[r.Name]
-		s.closed[a], s.lost[a] = c != Up && c != "", c == Lost
-		s.likely = append(s.likely, d.likely[a*n:(a+1)*n])
+		val.closed[a], val.lost[a] = c != Up && c != "", c == Lost
+		val.spillovers = append(val.spillovers, d.spillovers[a*n:(a+1)*n])
 	}
 	for a := range m.Regions {
-		s.settle(a, copies)
+		val.computeRetention(a, copies)
 	}
 	for i, l := range m.Links {
-		s.links[m.region(l.From)*n+m.region(l.To)] = &m.Links[i]
+		val.links[m.regionIndex(l.From)*n+m.regionIndex(l.To)] = &m.Links[i]
 	}
-	return s
+	return val
 }
 
-// settle comes to how long a region keeps what is not held, and to what a held token costs there.
+// computeRetention computes how long a region keeps prefixes without a lease, and what a held token costs there.
 //
-// A held prefix takes only the room that it would not have anyway: with rate λ it would be there but for the part exp(−λ·keeps)
-// of the time. What else is kept then is what a memory smaller by that would keep of the whole stream. Misses of held prefixes
-// stand in the curve and do not happen, so they are taken off both the tokens that come new and the curve's slope: what is left
-// is what a little less room costs the rest. Without that, prefixes near the edge of what is kept, which are those worth
-// holding, raise the price of holding each other.
-func (s *scales) settle(a int, copies []Copy) {
-	type one struct{ tokens, rate float64 }
-	var held []one
+// A held prefix takes only the memory that it would not take anyway: at rate λ it would be evicted exp(−λ·retention) of the time.
+// The rest of the cache behaves like a memory that is smaller by that amount under the whole stream. The curve includes
+// misses of held prefixes, which do not occur, so they are subtracted both from the new tokens and from the curve's slope. What
+// remains is the cost of a little less memory for all others. Otherwise prefixes near the eviction limit, which are those worth
+// holding, would raise the cost of holding each other.
+func (v *valuer) computeRetention(region int, copies []Copy) {
+	type heldCopy struct{ tokens, rate float64 }
+	var held []heldCopy
 	for _, c := range copies {
-		if c.To == s.m.Regions[a].Name {
-			h := one{tokens: float64(c.Tokens)}
-			if i, used := s.u.at.find(c.Prefix); used {
-				h.rate = s.expects(&s.u.list[i], a)
+		if c.To == v.model.Regions[region].Name {
+			h := heldCopy{tokens: float64(c.Tokens)}
+			if i, used := v.usage.index.find(c.Prefix); used {
+				h.rate = v.expectedRate(&v.usage.prefixes[i], region)
 			}
 			held = append(held, h)
 		}
 	}
-	c, memory, rate := s.u.curve[a], s.m.Regions[a].Memory, s.u.rate[a]
-	room, misses, slopes := memory, 0.0, 0.0
-	for range settles {
-		s.keeps[a] = c.Keeps(room, rate)
-		room, misses, slopes = memory, 0, 0
+	curve, memory, rate := v.usage.curve[region], v.model.Regions[region].Memory, v.usage.rate[region]
+	memoryLeft, misses, slopes := memory, 0.0, 0.0
+	for range retentionRounds {
+		v.retention[region] = curve.Retention(memoryLeft, rate)
+		memoryLeft, misses, slopes = memory, 0, 0
 		for _, h := range held {
-			lost := h.tokens * math.Exp(-h.rate*s.keeps[a])
-			room -= lost
+			lost := h.tokens * math.Exp(-h.rate*v.retention[region])
+			memoryLeft -= lost
 			misses += h.rate * lost
 			slopes += h.rate * h.rate * lost
 		}
-		room = max(room, memory/10)
+		memoryLeft = max(memoryLeft, memory/10)
 	}
-	all := rate * c.At(room)
+	total := rate * curve.MissRatio(memoryLeft)
 	step := memory / 20
-	slope := rate * max(c.At(max(room-step, 1))-c.At(room), 0) / step
-	s.price[a] = max((slope*all-slopes)/max(all-misses, all/4, 1), slope/2)
+	slope := rate * max(curve.MissRatio(max(memoryLeft-step, 1))-curve.MissRatio(memoryLeft), 0) / step
+	v.holdingCost[region] = max((slope*total-slopes)/max(total-misses, total/4, 1), slope/2)
 }
 
-// settles is how often room and time kept are put into each other; they settle at once, as what held prefixes take is small.
-const settles = 4
+// retentionRounds is how often memory and retention are computed from each other. They converge quickly, as held prefixes take
+// little memory.
+const retentionRounds = 4
 
-// worth is what a copy is worth, in tokens read: saved, and what it costs.
-type worth struct{ rate, saved, costs float64 }
+// benefit is the value of a copy at a rate of visits, in tokens read: what it saves and what it costs.
+type benefit struct{ rate, saved, costs float64 }
 
-// A copy is ordered for no less than leastSaved reads within a lease, and stays for no less than leastHeld.
-const leastSaved, leastHeld = 0.1, 0.02
+// A copy is ordered if it saves at least minSavedReads reads within a lease, and kept if it saves at least minHeldReads.
+const minSavedReads, minHeldReads = 0.1, 0.02
 
-// pushes is how many tokens a second are read again in a region for so many that are held there.
-func (s *scales) pushes(tokens float64, to int) float64 { return s.price[to] * tokens }
+// displaced is the number of tokens per second that a region reads again because the given tokens are held.
+func (v *valuer) displaced(tokens float64, to int) float64 { return v.holdingCost[to] * tokens }
 
-// pays tells whether holding on to a prefix that is there does: it saves reads, and as many as it has others read again. To be
-// ordered it must gain more.
-func (s *scales) pays(p *prefix, to int) bool {
-	return s.saves(p, to) >= leastHeld && s.expects(p, to) > s.price[to]
+// worthHolding reports whether a present copy pays: it saves reads, and no fewer than it causes for others. Ordering a copy
+// requires a larger gain.
+func (v *valuer) worthHolding(p *prefix, to int) bool {
+	return v.savedReads(p, to) >= minHeldReads && v.expectedRate(p, to) > v.holdingCost[to]
 }
 
-// saves is how many reads of a prefix that is there a lease saves.
-func (s *scales) saves(p *prefix, to int) float64 {
-	rate := s.expects(p, to)
-	return rate * s.m.LeaseMs / 1000 * math.Exp(-rate*s.keeps[to])
+// savedReads is the number of reads of a present prefix that a lease saves.
+func (v *valuer) savedReads(p *prefix, to int) float64 {
+	rate := v.expectedRate(p, to)
+	return rate * v.model.LeaseMs / 1000 * math.Exp(-rate*v.retention[to])
 }
 
-// weigh tells what copying a prefix over a link is worth within a lease, if it is used at a rate; nothing
-// where that is surely less than floor for each token.
-func (s *scales) weigh(p *prefix, l *Link, to int, rate, floor float64) worth {
-	// It is there already where it was used within the time that the memory keeps what is not used; then nothing is sent.
-	there := 0.0
-	if s.u.in(p, to).idleMs/1000 < s.keeps[to] {
-		there = 1
+// copyBenefit is the benefit of copying a prefix over a link within a lease, if it is used at the given rate. It is zero where the
+// benefit per token is certainly below floor.
+func (v *valuer) copyBenefit(p *prefix, link *Link, to int, rate, floor float64) benefit {
+	// The prefix is already present if it was used within the retention; then nothing is sent.
+	present := 0.0
+	if v.usage.inRegion(p, to).idleMs/1000 < v.retention[to] {
+		present = 1
 	}
 	tokens := float64(p.tokens)
-	horizon := s.m.LeaseMs/1000 - tokens/(s.m.LinkShare*l.Rate)
-	n := rate * horizon
-	if horizon <= 0 || n <= max(floor, leastSaved) { // more than each use is not saved
-		return worth{}
+	horizon := v.model.LeaseMs/1000 - tokens/(v.model.LinkShare*link.Rate)
+	uses := rate * horizon
+	if horizon <= 0 || uses <= max(floor, minSavedReads) { // a use saves no more than one read
+		return benefit{}
 	}
-	keeps := s.keeps[to]
-	price, x := l.Price, rate*keeps
-	if s.m.ReadTokens != nil {
-		price += s.m.besides(l) / tokens
+	retention := v.retention[to]
+	cost, x := link.Price, rate*retention
+	if v.model.ReadTokens != nil {
+		cost += v.model.fixedCost(link) / tokens
 	}
-	price *= 1 - there
-	// No more is saved: 1 − exp(−n) < n − n²/2 + n³/6, and exp(−x) is less than one through the first terms of exp(x).
-	most := (1 - there) * min(n*(1-n*(1./2-n*(1./6))), 1)
-	if (most+(n-most)/(1+x*(1+x*(1./2+x*(1./6+x*(1./24))))))*(1+1e-9) <= price+max(floor, leastSaved) {
-		return worth{}
+	cost *= 1 - present
+	// Upper bound of the saving with n uses: 1 − exp(−n) < n − n²/2 + n³/6, and exp(−x) is below the inverse of the first terms of exp(x).
+	bound := (1 - present) * min(uses*(1-uses*(1./2-uses*(1./6))), 1)
+	if (bound+(uses-bound)/(1+x*(1+x*(1./2+x*(1./6+x*(1./24))))))*(1+1e-9) <= cost+max(floor, minSavedReads) {
+		return benefit{}
 	}
-	lost := math.Exp(-x)                      // the chance that it is pushed out between two uses
-	first := (1 - there) * (1 - math.Exp(-n)) // the first use reads it, if there is one
-	saved := tokens * (first + max(n-first, 0)*lost)
-	if saved <= (price+max(floor, leastSaved))*tokens {
-		return worth{}
+	evictedChance := math.Exp(-x)                     // the chance that it is evicted between two uses
+	firstUse := (1 - present) * (1 - math.Exp(-uses)) // the first use reads it, if there is one
+	saved := tokens * (firstUse + max(uses-firstUse, 0)*evictedChance)
+	if saved <= (cost+max(floor, minSavedReads))*tokens {
+		return benefit{}
 	}
-	// Held, it takes room from others, unless it would be there anyway.
-	return worth{rate, saved, price*tokens + s.pushes(tokens, to)*horizon*(1-min((there+first)*(1-lost), 1))}
+	// A held prefix displaces others, unless it would be present anyway.
+	return benefit{rate, saved, cost*tokens + v.displaced(tokens, to)*horizon*(1-min((present+firstUse)*(1-evictedChance), 1))}
 }
 
-func (o option) why() string {
+func (o option) reason() string {
 	return fmt.Sprintf("%.3g uses a second expected: saves %.0f tokens, costs %.0f", o.rate, o.saved, o.costs)
 }
 
 // option is a copy that could be ordered.
 type option struct {
 	p *prefix
-	worth
-	link *Link
-	to   int
-	each float64 // what it gains for each token
+	benefit
+	link   *Link
+	to     int
+	margin float64 // net benefit per token
 }
 
-// mostOptions bounds how many copies are weighed against each other: the best of all.
-const mostOptions = 2 * MaxCopies
+// maxOptions bounds the copies that are compared: the best of all.
+const maxOptions = 2 * MaxCopies
 
-// best are the copies to any region that would save most for each token, and more than they cost by the gain; has tells of
-// those that are there or rest.
-func (s *scales) best(gain float64, has func(k Key, to int) bool) []option {
-	var out []option
+// bestOptions returns the copies to any region with the largest net benefit per token, of those whose saving exceeds the cost by
+// the factor gain. occupied reports copies that exist or are in a cool-down.
+func (v *valuer) bestOptions(gain float64, occupied func(k Key, to int) bool) []option {
+	var options []option
 	floor := 0.0
-	for i := range s.u.list {
-		p := &s.u.list[i]
-		sources := uint32(0) // where it surely was used often enough, and is kept
-		for at := p.first; at >= 0; at = s.u.room[at].next {
-			if in := &s.u.room[at]; !s.lost[in.region] && in.count >= s.least && in.idleMs/1000 < s.keeps[in.region] {
-				sources |= 1 << in.region
+	for i := range v.usage.prefixes {
+		p := &v.usage.prefixes[i]
+		sources := uint32(0) // regions where it certainly was used often enough and is cached
+		for at := p.firstUse; at >= 0; at = v.usage.uses[at].next {
+			if use := &v.usage.uses[at]; !v.lost[use.region] && use.count >= v.minUses && use.idleMs/1000 < v.retention[use.region] {
+				sources |= 1 << use.region
 			}
 		}
 		if sources == 0 {
 			continue
 		}
-		for to := range s.m.Regions {
-			if s.closed[to] {
+		for to := range v.model.Regions {
+			if v.closed[to] {
 				continue
 			}
 			found, rate := option{}, -1.0
 			for set := sources &^ (1 << to); set > 0; set &= set - 1 {
-				link := s.links[bits.TrailingZeros32(set)*len(s.m.Regions)+to]
+				link := v.links[bits.TrailingZeros32(set)*len(v.model.Regions)+to]
 				if link == nil {
 					continue
 				}
 				if rate < 0 {
-					rate = s.expects(p, to)
+					rate = v.expectedRate(p, to)
 				}
-				if one := s.weigh(p, link, to, rate, floor); one.saved > gain*one.costs && (found.p == nil || one.saved-one.costs > found.saved-found.costs) {
-					found = option{p: p, worth: one, link: link, to: to}
+				if candidate := v.copyBenefit(p, link, to, rate, floor); candidate.saved > gain*candidate.costs &&
+					(found.p == nil || candidate.saved-candidate.costs > found.saved-found.costs) {
+					found = option{p: p, benefit: candidate, link: link, to: to}
 				}
 			}
-			if s.m.Own && found.p == nil && sources>>to&1 == 1 {
-				own := &Link{To: s.m.Regions[to].Name, Rate: math.Inf(1)}
-				if one := s.weigh(p, own, to, s.expects(p, to), floor); one.saved > gain*one.costs {
-					found = option{p: p, worth: one, link: own, to: to}
+			if v.model.HoldOwn && found.p == nil && sources>>to&1 == 1 {
+				own := &Link{To: v.model.Regions[to].Name, Rate: math.Inf(1)}
+				if candidate := v.copyBenefit(p, own, to, v.expectedRate(p, to), floor); candidate.saved > gain*candidate.costs {
+					found = option{p: p, benefit: candidate, link: own, to: to}
 				}
 			}
 			if found.p == nil {
 				continue
 			}
-			if found.each = (found.saved - found.costs) / float64(p.tokens); found.each > floor && !has(p.key, to) {
-				if out = append(out, found); len(out) >= 4*mostOptions {
-					out = first(out, mostOptions)
-					floor = slices.MinFunc(out, func(x, y option) int { return cmp.Compare(x.each, y.each) }).each
+			if found.margin = (found.saved - found.costs) / float64(p.tokens); found.margin > floor && !occupied(p.key, to) {
+				if options = append(options, found); len(options) >= 4*maxOptions {
+					options = topOptions(options, maxOptions)
+					floor = slices.MinFunc(options, func(x, y option) int { return cmp.Compare(x.margin, y.margin) }).margin
 				}
 			}
 		}
 	}
-	out = first(out, mostOptions)
-	slices.SortFunc(out, func(x, y option) int {
+	options = topOptions(options, maxOptions)
+	slices.SortFunc(options, func(x, y option) int {
 		switch {
-		case x.before(&y):
+		case x.ranksBefore(&y):
 			return -1
-		case y.before(&x):
+		case y.ranksBefore(&x):
 			return 1
 		}
 		return 0
 	})
-	return out
+	return options
 }
 
-// before tells which of two copies saves more for each token; the order of all is whole.
-func (o *option) before(than *option) bool {
+// ranksBefore reports whether a copy has the larger net benefit per token. Ties are broken, so the order is total.
+func (o *option) ranksBefore(other *option) bool {
 	switch {
-	case o.each != than.each:
-		return o.each > than.each
-	case o.p.key != than.p.key:
-		return o.p.key < than.p.key
+	case o.margin != other.margin:
+		return o.margin > other.margin
+	case o.p.key != other.p.key:
+		return o.p.key < other.p.key
 	}
-	return o.to < than.to
+	return o.to < other.to
 }
 
-// first are the first n of a list, in any order (quickselect: Hoare 1961).
-func first(list []option, n int) []option {
-	if len(list) <= n {
-		return list
+// topOptions returns the first n options in any order (quickselect: Hoare 1961).
+func topOptions(options []option, n int) []option {
+	if len(options) <= n {
+		return options
 	}
-	for low, high := 0, len(list)-1; low < high; {
-		pivot, i, j := list[(low+high)/2], low, high
+	for low, high := 0, len(options)-1; low < high; {
+		pivot, i, j := options[(low+high)/2], low, high
 		for i <= j {
-			for list[i].before(&pivot) {
+			for options[i].ranksBefore(&pivot) {
 				i++
 			}
-			for pivot.before(&list[j]) {
+			for pivot.ranksBefore(&options[j]) {
 				j--
 			}
 			if i <= j {
-				list[i], list[j] = list[j], list[i]
+				options[i], options[j] = options[j], options[i]
 				i, j = i+1, j-1
 			}
 		}
@@ -352,8 +355,8 @@
 		case n-1 >= i:
 			low = i
 		default:
-			return list[:n]
+			return options[:n]
 		}
 	}
-	return list[:n]
+	return options[:n]
 }
