--- a/cmd/sumacloft/meters.go
+++ b/cmd/sumacloft/meters.go
@@ -30,7 +30,7 @@
 	if a.Heard && !a.Failed {
 		m.samples.Answered(a.Class, a.InTime)
 	}
-	m.outage.Tried(outage.Attempt{Server: a.Worker.Name, Heard: a.Heard, InTime: a.InTime, Failed: a.Failed, First: a.First})
+	m.outage.Tried(outage.Attempt{Server: a.Worker.Name, Answered: a.Heard, InTime: a.InTime, Failed: a.Failed, FirstToken: a.First})
 }
 
 // Refused serves chat.Meter.
--- a/cmd/sumactl/hindsight.go
+++ b/cmd/sumactl/hindsight.go
@@ -13,12 +13,12 @@
 
 // showRoom shows the number that follows room, and what became of halts.
 func showRoom(w io.Writer, s *outage.State) error {
-	if r := s.Room; r != nil {
+	if r := s.Headroom; r != nil {
 		more := ""
 		if r.Rising {
-			more = fmt.Sprintf("; there is room for %d", r.Low)
+			more = fmt.Sprintf("; there is room for %d", r.LowestLimit)
 		}
-		if _, err := fmt.Fprintf(w, "the number follows room: %d may be out%s; %.0f%% of the fullest role were used when that was written\n", r.Most, more, 100*r.Used); err != nil {
+		if _, err := fmt.Fprintf(w, "the number follows room: %d may be out%s; %.0f%% of the fullest role were used when that was written\n", r.Limit, more, 100*r.Utilization); err != nil {
 			return err
 		}
 	}
@@ -26,8 +26,8 @@
 		if _, err := fmt.Fprintf(w, "halts in hindsight: %v\n", h.Halts); err != nil {
 			return err
 		}
-		for _, one := range h.Last {
-			if _, err := fmt.Fprintf(w, "  %s, halted at %d: %s, %s\n", one.Release, one.Seq, one.Was, one.Why); err != nil {
+		for _, one := range h.Recent {
+			if _, err := fmt.Fprintf(w, "  %s, halted at %d: %s, %s\n", one.Release, one.Seq, one.Verdict, one.Why); err != nil {
 				return err
 			}
 		}
--- a/cmd/sumactl/outage.go
+++ b/cmd/sumactl/outage.go
@@ -79,7 +79,7 @@
 			if !known(v, thing) {
 				return nil, &outage.RefusedError{Thing: thing, Why: "no router has it in its list", Do: "'sumactl members' and 'sumactl routers' list what there is"}
 			}
-			next, out := v.Last.Ask(thing, me())
+			next, out := v.Last.Drain(thing, me())
 			permitted = out
 			return next, nil
 		})
@@ -93,7 +93,7 @@
 			})
 		}
 		if time.Now().After(end) {
-			why := s.Wishes[thing].Wait
+			why := s.PermitRequests[thing].WaitReason
 			if p, given := s.Permits[thing]; given {
 				why = fmt.Sprintf("permit %d is given, not every router has said that it knows", p.ID)
 			}
@@ -113,7 +113,7 @@
 		_, is := v.Last.Router(name)
 		return is
 	}
-	return slices.ContainsFunc(v.Reports, func(r outage.Report) bool { _, is := r.Sees[name]; return is })
+	return slices.ContainsFunc(v.Reports, func(r outage.Report) bool { _, is := r.Observed[name]; return is })
 }
 
 // served takes back what was asked of a thing by hand; false: the policy has no budget, or nothing was asked.
@@ -142,7 +142,7 @@
 		if kind, name := outage.Split(thing); kind == outage.Router && v.Routers[name].Live {
 			return nil, &outage.RefusedError{Thing: thing, Why: "it is registered and alive", Do: "stop it first"}
 		}
-		next := v.Last.Gone(thing, me())
+		next := v.Last.DeclareGone(thing, me())
 		did = next != nil
 		return next, nil
 	})
@@ -214,7 +214,7 @@
 
 // Run takes it back.
 func (l *releaseBackLine) Run(c *ctl) error {
-	return c.release(func(v outage.View) (*outage.State, error) { return v.Last.TakeBack(me()) })
+	return c.release(func(v outage.View) (*outage.State, error) { return v.Last.RollBack(me()) })
 }
 
 // showOutages shows a state.
@@ -228,7 +228,7 @@
 	}
 	return c.print(d, func(w io.Writer) error {
 		b := s.Budget
-		if _, err := fmt.Fprintf(w, "servers out: %d of %d, %d may be; routers out: %d of %d, %d may be\n", b.ServersOut, b.Servers, b.ServersMost, b.RoutersOut, b.Routers, b.RoutersMost); err != nil {
+		if _, err := fmt.Fprintf(w, "servers out: %d of %d, %d may be; routers out: %d of %d, %d may be\n", b.ServersOut, b.Servers, b.ServersLimit, b.RoutersOut, b.Routers, b.RoutersLimit); err != nil {
 			return err
 		}
 		var rows []table.Row
@@ -239,8 +239,8 @@
 		for _, thing := range slices.Sorted(maps.Keys(s.Lost)) {
 			rows = append(rows, table.Row{thing, "lost", s.Lost[thing].Why, ""})
 		}
-		for _, thing := range slices.Sorted(maps.Keys(s.Wishes)) {
-			rows = append(rows, table.Row{thing, "waits", s.Wishes[thing].Wait, ""})
+		for _, thing := range slices.Sorted(maps.Keys(s.PermitRequests)) {
+			rows = append(rows, table.Row{thing, "waits", s.PermitRequests[thing].WaitReason, ""})
 		}
 		if len(rows) > 0 {
 			if err := tabled(table.Row{"thing", "state", "why", "to come back as"}, rows)(w); err != nil {
--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -106,7 +106,7 @@
 	if to == nil || to.stopped {
 		return
 	}
-	to.gatherer.Take(r.name, Line[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.made)), Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, l.now)
+	to.gatherer.Take(r.name, Line[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.made)), Report: outage.Report{Observed: map[string]outage.Observation{"s": {Weight: 1, Boot: "1", Probed: true}}}}, l.now)
 	r.sender.Answered(to.name, to.gatherer.Holder(l.store[r.region], live, l.terms, l.now), l.now)
 }
 
@@ -161,7 +161,7 @@
 // look has the decider decide, and checks what it believes.
 func (l *life) look() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
-	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(believed) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(believed) / float64(4*time.Millisecond)}, Last: l.state, Routers: map[string]outage.Registration{}}
 	for _, r := range l.store {
 		records = append(records, r)
 		if l.first[r.Rev] == 0 {
@@ -170,7 +170,7 @@
 	}
 	boots := l.live("")
 	for name, boot := range boots {
-		v.Routers[name] = outage.Registered{Boot: boot, Live: true}
+		v.Routers[name] = outage.Registration{Boot: boot, Live: true}
 	}
 	v.Reports, fresh = Reports(records, boots, l.broken), map[string]bool{}
 	for _, one := range v.Reports {
@@ -324,14 +324,14 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Lines: map[string]Line[outage.Report]{}}
 	for i := range 9 {
-		one := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
+		one := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", StateSeq: 5, Observed: map[string]outage.Observation{}, StoreMember: i < 3}
 		for k := range 40 {
-			s := outage.Sight{Site: "x", Weight: 1, Label: "v1", Asked: true}
+			s := outage.Observation{Site: "x", Weight: 1, Label: "v1", Probed: true}
 			if rng.IntN(6) == 0 {
 				s.SilentMs = float64(rng.IntN(1000))
 			}
 			if rng.IntN(6) > 0 {
-				one.Sees[fmt.Sprint("s", k)] = s
+				one.Observed[fmt.Sprint("s", k)] = s
 			}
 		}
 		r.Lines[one.Router] = Line[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: one}
@@ -350,7 +350,7 @@
 	}
 	dropped := 0
 	for name, l := range cut.Lines {
-		if l.Report.Seen != r.Lines[name].Report.Seen || !l.Late && len(maps.Collect(l.Report.All)) != len(r.Lines[name].Report.Sees) {
+		if l.Report.StateSeq != r.Lines[name].Report.StateSeq || !l.Late && len(maps.Collect(l.Report.All)) != len(r.Lines[name].Report.Observed) {
 			t.Errorf("%s: %+v", name, l)
 		}
 		if l.Late {
@@ -365,8 +365,8 @@
 		t.Fatal(err)
 	}
 	for name, l := range back.Lines {
-		l.Report.Sees = maps.Collect(l.Report.All)
-		l.Report.Table, l.Report.Lacks = nil, nil
+		l.Report.Observed = maps.Collect(l.Report.All)
+		l.Report.Table, l.Report.Absent = nil, nil
 		back.Lines[name] = l
 	}
 	if !reflect.DeepEqual(r, back) {
--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -17,7 +17,7 @@
 // what it sees differently. Nothing is left out, so decisions on gathered reports are those on the reports themselves.
 type packed struct {
 	Record[apart]
-	Table map[string]outage.Sight `json:"table"`
+	Table map[string]outage.Observation `json:"table"`
 }
 
 type apart struct {
@@ -56,7 +56,7 @@
 	p := packed{Record[apart]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Line[apart]{}, 0}, table(r)}
 	for router, l := range r.Lines {
 		one := apart{Report: l.Report}
-		one.Sees = map[string]outage.Sight{}
+		one.Observed = map[string]outage.Observation{}
 		seen := 0
 		for id, s := range l.Report.All {
 			common, is := p.Table[id]
@@ -64,12 +64,12 @@
 				seen++
 			}
 			if !is || common != s {
-				one.Sees[id] = s
+				one.Observed[id] = s
 			}
 		}
 		if seen < len(p.Table) {
 			for id := range p.Table {
-				if _, is := l.Report.Sight(id); !is {
+				if _, is := l.Report.Observation(id); !is {
 					one.Without = append(one.Without, id)
 				}
 			}
@@ -78,7 +78,7 @@
 		p.Lines[router] = Line[apart]{l.Boot, l.Number, l.AgeMs, l.Late, one}
 	}
 	odd := slices.SortedFunc(maps.Keys(p.Lines), func(a, b string) int {
-		size := func(name string) int { return len(p.Lines[name].Report.Sees) + len(p.Lines[name].Report.Without) }
+		size := func(name string) int { return len(p.Lines[name].Report.Observed) + len(p.Lines[name].Report.Without) }
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b))
 	})
 	for {
@@ -95,7 +95,7 @@
 		n := (len(odd) + 7) / 8
 		for _, router := range odd[:n] {
 			l := p.Lines[router]
-			l.Late, l.Report.Sees, l.Report.Without = true, nil, nil
+			l.Late, l.Report.Observed, l.Report.Without = true, nil, nil
 			p.Lines[router] = l
 		}
 		odd = odd[n:]
@@ -123,9 +123,9 @@
 
 // table is what most see of each server, by the majority vote of Boyer and Moore (1981); where there is no majority it may be
 // anybody's, and the others differ from it.
-func table(r *Record[outage.Report]) map[string]outage.Sight {
+func table(r *Record[outage.Report]) map[string]outage.Observation {
 	type vote struct {
-		s outage.Sight
+		s outage.Observation
 		n int
 	}
 	votes := map[string]*vote{}
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	out := make(map[string]outage.Sight, len(votes))
+	out := make(map[string]outage.Observation, len(votes))
 	for id, v := range votes {
 		out[id] = v.s
 	}
@@ -166,7 +166,7 @@
 	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Line[outage.Report], len(p.Lines)), 0}
 	for router, l := range p.Lines {
 		one := l.Report.Report
-		one.Table, one.Lacks = p.Table, l.Report.Without
+		one.Table, one.Absent = p.Table, l.Report.Without
 		r.Lines[router] = Line[outage.Report]{l.Boot, l.Number, l.AgeMs, l.Late, one}
 	}
 	return r, nil
@@ -187,10 +187,10 @@
 				one.AgeMs = late
 			}
 			if broken == Silence {
-				one.Sees, one.Table = maps.Collect(one.All), nil
-				for id, s := range one.Sees {
+				one.Observed, one.Table = maps.Collect(one.All), nil
+				for id, s := range one.Observed {
 					s.SilentMs += l.AgeMs
-					one.Sees[id] = s
+					one.Observed[id] = s
 				}
 			}
 			if was, is := best[router]; is && (was.Boot == boots[router] && one.Boot != was.Boot || was.Boot == one.Boot && was.AgeMs <= one.AgeMs) {
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -15,16 +15,16 @@
 
 // The faults.
 const (
-	FreesLapsed Fault = "lapse"      // a permit ends once its thing has been out for long, whatever is seen
-	CountsOwn   Fault = "own-count"  // each router counts only what itself has given
-	NoFence     Fault = "no-fence"   // writes compare nothing (the carrier breaks it)
-	NoHalt      Fault = "no-halt"    // a halt is not looked at
-	ForgetsOne  Fault = "forgets"    // the way back leaves out the target that was released last
-	StopsEarly  Fault = "not-clear"  // a thing may be stopped before all routers know that it is out
-	TwoOwners   Fault = "over-fills" // a permit is given past the budget by one
-	WaitsOn     Fault = "waits-on"   // the wait for copies never ends
-	RisesOnce   Fault = "rises-once" // the number that follows room rises at once
-	OverWall    Fault = "over-wall"  // it has no walls
+	ExpiresPermits       Fault = "lapse"      // a permit ends once its thing has been out for long, whatever is seen
+	CountsReleasesOnly   Fault = "own-count"  // each router counts only what itself has given
+	NoFence              Fault = "no-fence"   // writes compare nothing (the carrier breaks it)
+	IgnoresHalt          Fault = "no-halt"    // a halt is not looked at
+	SkipsRollback        Fault = "forgets"    // the way back leaves out the target that was released last
+	SkipsAcknowledgement Fault = "not-clear"  // a thing may be stopped before all routers know that it is out
+	ExceedsBudget        Fault = "over-fills" // a permit is given past the budget by one
+	WaitsForever         Fault = "waits-on"   // the wait for copies never ends
+	RisesAtOnce          Fault = "rises-once" // the number that follows room rises at once
+	IgnoresBounds        Fault = "over-wall"  // it has no walls
 )
 
 // Decider comes to states. Each router keeps one and steps it alike; whose turn it is writes.
@@ -32,53 +32,53 @@
 	Me     string
 	Broken Fault
 
-	stood turn.Stood
-	due   turn.Due
-	gave  struct { // the state that it gave last, and when: its times were right then
+	ages    turn.Stood
+	due     turn.Due
+	written struct { // the state that it gave last, and when: its times were right then
 		seq int64
 		at  time.Duration
 	}
 }
 
-// step is how much later each next router writes a state that the one before it should have written.
-const step = 250 * time.Millisecond
+// turnDelay is how much later each next router writes a state that the one before it should have written.
+const turnDelay = 250 * time.Millisecond
 
-// stateKey is the state's among the records whose age is kept.
-const stateKey = "\x00state"
+// stateRecord is the state's among the records whose age is kept.
+const stateRecord = "\x00state"
 
 // Next gives the state that should take the place of the last, or nil while that may stand, another router's turn is before
 // ours, or the last is of a newer format than this program's.
 func (d *Decider) Next(v View, now time.Duration) *State {
-	if !v.Model.Filled().On() || v.Last != nil && v.Last.Format > Format {
+	if !v.Model.WithDefaults().On() || v.Last != nil && v.Last.Format > Format {
 		return nil
 	}
-	reported := map[string]bool{stateKey: true}
+	reported := map[string]bool{stateRecord: true}
 	for _, r := range v.Reports {
 		reported[r.Router] = true
 	}
-	d.stood.Keep(func(key string) bool { return reported[key] })
+	d.ages.Keep(func(key string) bool { return reported[key] })
 	rev := int64(0)
 	if v.Last != nil {
 		rev = v.Last.Rev
 	}
 	state := func() time.Duration {
-		stood := d.stood.For(stateKey, rev, now)
-		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.gave.seq { // it stood from before it was read
-			stood = max(stood, now-d.gave.at)
+		stood := d.ages.For(stateRecord, rev, now)
+		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // it stood from before it was read
+			stood = max(stood, now-d.written.at)
 		}
 		return stood
 	}
 	made := d.Step(v, Ages{State: state,
-		Report: func(router string, rev int64) time.Duration { return d.stood.For(router, rev, now) }})
+		Report: func(router string, rev int64) time.Duration { return d.ages.For(router, rev, now) }})
 	switch {
 	case made.Next == nil:
 		d.due.Over()
 		return nil
-	case !made.Most || !d.due.Now(turn.Rank("outage", d.Me, made.names), step, now):
+	case !made.Quorum || !d.due.Now(turn.Rank("outage", d.Me, made.routers), turnDelay, now):
 		return nil
 	}
 	d.due.Over()
-	d.gave.seq, d.gave.at = made.Next.Seq, now
+	d.written.seq, d.written.at = made.Next.Seq, now
 	return made.Next
 }
 
@@ -90,40 +90,40 @@
 
 // Step is what a decider makes of a view.
 type Step struct {
-	Next  *State // nil: the last may stand
-	Most  bool   // more than half of the live routers report, so Next may be written
-	names []string
+	Next    *State // nil: the last may stand
+	Quorum  bool   // more than half of the live routers report, so Next may be written
+	routers []string
 }
 
 // Step makes a step without regard to whose turn it is; it needs no memory but the ages.
 func (d *Decider) Step(v View, ages Ages) Step {
-	m := v.Model.Filled()
-	f := look(v, m, ages.Report)
+	m := v.Model.WithDefaults()
+	f := aggregate(v, m, ages.Report)
 	next := v.Last.clone()
 	next.Format, next.Version, next.By = Format, v.Version, d.Me
 	next.Wrote()
-	next.age(ms(ages.State()))
-	w := &work{State: next, v: v, m: m, f: f, broken: d.Broken, me: d.Me, waits: map[string]bool{}}
+	next.addElapsed(milliseconds(ages.State()))
+	w := &draft{State: next, view: v, model: m, fleet: f, broken: d.Broken, self: d.Me, copyWaiters: map[string]bool{}}
 	w.Seq++
-	w.routers()
-	w.losses()
-	w.permits()
-	w.follow()
-	w.count()
-	w.release()
-	w.hindsight()
-	w.give()
-	w.stay()
-	out := Step{Most: 2*len(f.fresh) > w.live(), names: f.names}
-	if len(w.said) > 0 || v.Last == nil || w.counted(v.Last.Budget) {
-		next.Why = strings.Join(w.said, "; ")
+	w.updateRouters()
+	w.updateLosses()
+	w.updatePermits()
+	w.updateHeadroom()
+	w.updateBudget()
+	w.updateRelease()
+	w.updateHindsight()
+	w.grantPermits()
+	w.dropStaleLeaving()
+	out := Step{Quorum: 2*len(f.fresh) > w.liveRouters(), routers: f.routers}
+	if len(w.log) > 0 || v.Last == nil || w.budgetChanged(v.Last.Budget) {
+		next.Why = strings.Join(w.log, "; ")
 		out.Next = next
 	}
 	return out
 }
 
-// age adds to all times what has passed since the state was written, as far as was seen.
-func (s *State) age(passed float64) {
+// addElapsed adds to all times what has passed since the state was written, as far as was seen.
+func (s *State) addElapsed(passed float64) {
 	for thing, p := range s.Permits {
 		p.OutMs += passed
 		if p.Stage == Returning {
@@ -131,8 +131,8 @@
 		}
 		s.Permits[thing] = p
 	}
-	if s.Over {
-		s.OverMs += passed
+	if s.OverBudget {
+		s.OverBudgetMs += passed
 	}
 	for thing, l := range s.Leaving {
 		l.WaitMs += passed
@@ -141,61 +141,61 @@
 	if r := s.Release; r != nil && r.Paused {
 		r.PauseMs += passed
 	}
-	if s.Room != nil && s.Room.Rising {
-		r := *s.Room
+	if s.Headroom != nil && s.Headroom.Rising {
+		r := *s.Headroom
 		r.RiseMs += passed
-		s.Room = &r
+		s.Headroom = &r
 	}
 }
 
-// work is one step of a decider.
-type work struct {
+// draft is one step of a decider.
+type draft struct {
 	*State
-	v      View
-	m      Model
-	f      facts
-	broken Fault
-	me     string
-	said   []string        // what has changed
-	waits  map[string]bool // who has its turn and waits for copies
+	view        View
+	model       Model
+	fleet       fleetStatus
+	broken      Fault
+	self        string
+	log         []string        // what has changed
+	copyWaiters map[string]bool // who has its turn and waits for copies
 
-	whole   *stock // these are counted when they are first asked for
-	away    *gone
-	follows *int64
+	totals      *fleetTotals // these are counted when they are first asked for
+	outCache    *outCounts
+	oldestCache *int64
 }
 
-func (w *work) say(format string, args ...any) { w.said = append(w.said, fmt.Sprintf(format, args...)) }
+func (w *draft) note(format string, args ...any) { w.log = append(w.log, fmt.Sprintf(format, args...)) }
 
-// routers keeps who is known: a router that was ever registered is counted with until it is declared gone.
-func (w *work) routers() {
-	for _, name := range slices.Sorted(maps.Keys(w.v.Routers)) {
-		r := w.v.Routers[name]
+// updateRouters keeps who is known: a router that was ever registered is counted with until it is declared gone.
+func (w *draft) updateRouters() {
+	for _, name := range slices.Sorted(maps.Keys(w.view.Routers)) {
+		r := w.view.Routers[name]
 		if !r.Live {
 			continue
 		}
-		report := w.f.reported[name]
-		one := Known{Boot: r.Boot, Label: r.Label, Site: w.Known[name].Site, Hosts: w.Known[name].Hosts}
+		report := w.fleet.reported[name]
+		one := KnownRouter{Boot: r.Boot, Label: r.Label, Site: w.Known[name].Site, StoreMember: w.Known[name].StoreMember}
 		if report.Boot == r.Boot {
-			one.Hosts = report.Hosts
+			one.StoreMember = report.StoreMember
 		}
 		if w.Known[name] != one {
 			w.Known[name] = one
-			w.say("router %s runs as %s, label %q", name, one.Boot, one.Label)
+			w.note("router %s runs as %s, label %q", name, one.Boot, one.Label)
 		}
 	}
 }
 
-// losses agrees on what is out without a permit.
-func (w *work) losses() {
+// updateLosses agrees on what is out without a permit.
+func (w *draft) updateLosses() {
 	lost := map[string]Loss{}
-	for id, s := range w.f.servers {
+	for id, s := range w.fleet.servers {
 		thing, one := ID(Server, id), Loss{Site: s.Site, Role: s.Role}
 		switch {
-		case w.v.LostSites[s.Site]:
+		case w.view.LostSites[s.Site]:
 			one.Why = "lost site"
-		case s.drains:
+		case s.draining:
 			one.Why = "drained"
-		case s.silent || w.Lost[thing].Why == "silent" && !s.answers:
+		case s.silent || w.Lost[thing].Why == "silent" && !s.answering:
 			one.Why = "silent"
 		default:
 			continue
@@ -206,28 +206,28 @@
 	}
 	for name, k := range w.Known {
 		thing := ID(Router, name)
-		if _, out := w.Permits[thing]; !out && !w.v.Routers[name].Live {
+		if _, out := w.Permits[thing]; !out && !w.view.Routers[name].Live {
 			lost[thing] = Loss{Why: "ended", Site: k.Site}
 		}
 	}
 	for _, thing := range slices.Sorted(maps.Keys(lost)) {
 		if was, is := w.Lost[thing]; !is || was.Why != lost[thing].Why {
-			w.say("%s is lost: %s", thing, lost[thing].Why)
+			w.note("%s is lost: %s", thing, lost[thing].Why)
 		}
 	}
 	for _, thing := range slices.Sorted(maps.Keys(w.Lost)) {
 		if _, is := lost[thing]; !is {
 			if _, out := w.Permits[thing]; !out {
-				w.say("%s is seen back", thing)
+				w.note("%s is seen back", thing)
 			}
 		}
 	}
 	w.Lost = lost
 }
 
-// live is how many routers are registered: less than half of them decide nothing.
-func (w *work) live() (n int) {
-	for _, r := range w.v.Routers {
+// liveRouters is how many routers are registered: less than half of them decide nothing.
+func (w *draft) liveRouters() (n int) {
+	for _, r := range w.view.Routers {
 		if r.Live {
 			n++
 		}
@@ -235,47 +235,47 @@
 	return n
 }
 
-// told tells whether every router that is alive follows a state from a number on.
-func (w *work) told(seq int64) bool { return w.least() >= seq }
+// acknowledged tells whether every router that is alive follows a state from a number on.
+func (w *draft) acknowledged(seq int64) bool { return w.oldestSeq() >= seq }
 
-// permits moves permits on by what is seen of their things.
-func (w *work) permits() {
+// updatePermits moves updatePermits on by what is seen of their things.
+func (w *draft) updatePermits() {
 	for _, thing := range slices.Sorted(maps.Keys(w.Permits)) {
 		p, was := w.Permits[thing], w.Permits[thing].Stage
 		kind, name := Split(thing)
 		boot, label, answers, there := "", "", false, false
 		if kind == Server {
-			var s fact
-			if s, there = w.f.servers[name]; there {
-				boot, label, answers = s.Boot, s.Label, s.answers && !s.silent && s.agreed
+			var s serverStatus
+			if s, there = w.fleet.servers[name]; there {
+				boot, label, answers = s.Boot, s.Label, s.answering && !s.silent && s.agreed
 			}
 		} else {
-			r, report := w.v.Routers[name], w.f.reported[name]
+			r, report := w.view.Routers[name], w.fleet.reported[name]
 			if there = r.Live; there {
-				boot, label, answers = r.Boot, r.Label, slices.Contains(w.f.names, name) && report.Boot == r.Boot
+				boot, label, answers = r.Boot, r.Label, slices.Contains(w.fleet.routers, name) && report.Boot == r.Boot
 			}
 		}
 		switch p.Stage {
-		case Given:
-			empty := kind != Router || w.f.reported[name].Empty == p.ID || !w.v.Routers[name].Live
-			if w.told(p.Seq) && empty || w.broken == StopsEarly {
-				p.Stage = Clear
+		case Granted:
+			empty := kind != Router || w.fleet.reported[name].DrainedPermit == p.ID || !w.view.Routers[name].Live
+			if w.acknowledged(p.Seq) && empty || w.broken == SkipsAcknowledgement {
+				p.Stage = Acknowledged
 			}
 		}
 		back := there && answers && (boot != p.Boot || p.Serve)
 		switch {
-		case p.Stage == Clear && back:
+		case p.Stage == Acknowledged && back:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Given && p.Serve && back:
+		case p.Stage == Granted && p.Serve && back:
 			p.Stage, p.BackMs = Returning, 0
 		case p.Stage == Returning && !back: // routers send to it by now: they are told anew
-			p.Stage, p.Seq = Given, w.Seq
+			p.Stage, p.Seq = Granted, w.Seq
 		}
 		w.Permits[thing] = p
 		if p.Stage != was {
-			w.say("%s is %s (permit %d)", thing, p.Stage, p.ID)
+			w.note("%s is %s (permit %d)", thing, p.Stage, p.ID)
 		}
-		warm := w.m.WarmMs
+		warm := w.model.WarmMs
 		if p.Serve && boot == p.Boot { // it never stopped
 			warm = 0
 		}
@@ -284,21 +284,21 @@
 			if p.Serve && boot == p.Boot {
 				end = "served"
 			}
-			w.ended(thing, end, label)
-			w.say("%s is back with label %q, its permit %d has ended", thing, label, p.ID)
-			w.came(thing, label)
-		} else if w.broken == FreesLapsed && p.Stage == Clear && p.OutMs > w.m.LostMs {
-			w.ended(thing, "back", label)
-			w.say("%s: its permit lapsed", thing)
-			w.came(thing, p.To)
+			w.endPermit(thing, end, label)
+			w.note("%s is back with label %q, its permit %d has ended", thing, label, p.ID)
+			w.targetReturned(thing, label)
+		} else if w.broken == ExpiresPermits && p.Stage == Acknowledged && p.OutMs > w.model.LostMs {
+			w.endPermit(thing, "back", label)
+			w.note("%s: its permit lapsed", thing)
+			w.targetReturned(thing, p.To)
 		}
 	}
 }
 
-// count counts what is out against the budget.
-func (w *work) count() {
-	b := Budget{Servers: len(w.f.servers), Routers: len(w.Known)}
-	b.ServersMost, b.RoutersMost = limit(w.bound(w.m), b.Servers), limit(w.m.Routers, b.Routers)
+// updateBudget counts what is out against the budget.
+func (w *draft) updateBudget() {
+	b := Budget{Servers: len(w.fleet.servers), Routers: len(w.Known)}
+	b.ServersLimit, b.RoutersLimit = limit(w.serverBound(w.model), b.Servers), limit(w.model.Routers, b.Routers)
 	for thing := range w.Lost {
 		if k, _ := Split(thing); k == Server {
 			b.ServersLost++
@@ -311,7 +311,7 @@
 		if k == Server {
 			b.ServersOut++
 			if p.Stage != Returning {
-				b.ServersGiven++
+				b.ServersGranted++
 			}
 		} else {
 			b.RoutersOut++
@@ -320,24 +320,24 @@
 	b.ServersOut += b.ServersLost
 	b.RoutersOut += b.RoutersLost
 	w.Budget = b
-	over := b.ServersMost > 0 && b.ServersLost >= b.ServersMost || b.RoutersMost > 0 && b.RoutersLost >= b.RoutersMost
-	if over != w.Over {
-		w.Over, w.OverMs = over, 0
+	over := b.ServersLimit > 0 && b.ServersLost >= b.ServersLimit || b.RoutersLimit > 0 && b.RoutersLost >= b.RoutersLimit
+	if over != w.OverBudget {
+		w.OverBudget, w.OverBudgetMs = over, 0
 		if over {
-			w.say("losses alone use up the budget")
+			w.note("losses alone use up the budget")
 		} else {
-			w.say("losses leave room in the budget again")
+			w.note("losses leave room in the budget again")
 		}
 	}
 }
 
-// counted tells whether what was counted differs in what is worth writing by itself.
-func (w *work) counted(was Budget) bool {
-	return was.ServersOut != w.Budget.ServersOut || was.RoutersOut != w.Budget.RoutersOut || was.ServersMost != w.Budget.ServersMost || was.RoutersMost != w.Budget.RoutersMost
+// budgetChanged tells whether what was budgetChanged differs in what is worth writing by itself.
+func (w *draft) budgetChanged(was Budget) bool {
+	return was.ServersOut != w.Budget.ServersOut || was.RoutersOut != w.Budget.RoutersOut || was.ServersLimit != w.Budget.ServersLimit || was.RoutersLimit != w.Budget.RoutersLimit
 }
 
-// room tells why one more thing may not be taken out; "": it may.
-func (w *work) room(thing, site, role string) string {
+// blockReason tells why one more thing may not be taken out; "": it may.
+func (w *draft) blockReason(thing, site, role string) string {
 	kind, _ := Split(thing)
 	extra := 0
 	if l, lost := w.Lost[thing]; lost { // it counts already, and a permit for it changes nothing but who brings it back
@@ -346,24 +346,24 @@
 		}
 		extra = 1
 	}
-	if w.broken == TwoOwners {
+	if w.broken == ExceedsBudget {
 		extra++
 	}
-	away := w.gone()
+	away := w.outOfService()
 	if kind == Router {
 		switch {
-		case w.Budget.RoutersMost == 0:
+		case w.Budget.RoutersLimit == 0:
 			return "the policy lets no router out"
-		case away.routers >= w.Budget.RoutersMost+extra:
-			return fmt.Sprintf("%d of %d routers are out, %d may be", away.routers, w.Budget.Routers, w.Budget.RoutersMost)
+		case away.routers >= w.Budget.RoutersLimit+extra:
+			return fmt.Sprintf("%d of %d routers are out, %d may be", away.routers, w.Budget.Routers, w.Budget.RoutersLimit)
 		}
-		if w.Known[name(thing)].Hosts && w.f.behind != "" {
-			return w.f.behind
+		if w.Known[memberName(thing)].StoreMember && w.fleet.storeLag != "" {
+			return w.fleet.storeLag
 		}
 		return ""
 	}
-	if w.whole == nil {
-		w.whole = w.f.stock()
+	if w.totals == nil {
+		w.totals = w.fleet.totals()
 	}
 	for _, b := range [...]struct {
 		what, of string
@@ -371,20 +371,20 @@
 		all, out int
 		is       func(k Kind, s, r string) bool
 	}{
-		{"servers", "", w.bound(w.m), w.Budget.Servers, away.servers, func(k Kind, _, _ string) bool { return k == Server }},
-		{"servers of site ", site, w.m.WorkersSite, w.whole.site[site], away.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
-		{"servers of role ", role, w.m.WorkersRole, w.whole.role[role], away.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
+		{"servers", "", w.serverBound(w.model), w.Budget.Servers, away.servers, func(k Kind, _, _ string) bool { return k == Server }},
+		{"servers of site ", site, w.model.WorkersSite, w.totals.site[site], away.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
+		{"servers of role ", role, w.model.WorkersRole, w.totals.role[role], away.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
 	} {
-		if out, most := b.out+w.leaving(thing, b.is), limit(b.bound, b.all); out >= most+extra {
+		if out, most := b.out+w.reservedCount(thing, b.is), limit(b.bound, b.all); out >= most+extra {
 			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.what+b.of, most)
 		}
 	}
-	all, left := w.whole.weight, w.whole.weight-away.weight-w.keeping(thing)
+	all, left := w.totals.weight, w.totals.weight-away.weight-w.reservedWeight(thing)
 	_, out := w.Permits[thing]
 	if _, lost := w.Lost[thing]; !out && !lost {
-		left -= w.f.servers[name(thing)].Weight
+		left -= w.fleet.servers[memberName(thing)].Weight
 	}
-	for _, k := range w.m.Classes {
+	for _, k := range w.model.Classes {
 		if left < k.Part*all {
 			return fmt.Sprintf("class %s would have %.0f%% of the servers' weight, %.0f%% must stay", k.Name, 100*left/all, 100*k.Part)
 		}
@@ -392,4 +392,4 @@
 	return ""
 }
 
-func name(thing string) string { _, n := Split(thing); return n }
+func memberName(thing string) string { _, n := Split(thing); return n }
--- a/internal/decide/outage/evidence_test.go
+++ b/internal/decide/outage/evidence_test.go
@@ -21,22 +21,22 @@
 		{"enough", outage.Running, 10, 1000, true, "wave 2"},
 		{"too few for long", outage.Running, 9, 8000, true, "27 of 30 requests"},
 		{"enough, in the pause", outage.Running, 10, -1500, false, ""},
-		{"a way back", outage.Back, 0, 1000, true, "wave 2"},
+		{"a way back", outage.RollingBack, 0, 1000, true, "wave 2"},
 	} {
 		last := &outage.State{Format: outage.Format, Seq: 1, Release: &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"},
 			Run: "up-1", Phase: c.phase, Paused: true, PauseMs: c.paused,
-			Targets: []outage.Target{{Name: "s0", From: "old", State: outage.Reached, Nth: 1}, {Name: "s1", From: "old", State: outage.Waiting, Nth: 2}}}}
+			Targets: []outage.Target{{Name: "s0", From: "old", State: outage.Reached, Order: 1}, {Name: "s1", From: "old", State: outage.Waiting, Order: 2}}}}
 		label := "old"
-		if c.phase == outage.Back {
+		if c.phase == outage.RollingBack {
 			label = "new"
 		}
-		sight := outage.Sight{Boot: "1", Label: label}
-		v := behind(last, sight, sight, sight)
+		sight := outage.Observation{Boot: "1", Label: label}
+		v := viewWith(last, sight, sight, sight)
 		v.Model.Halt = outage.Halt{Least: 1000, Seen: 30, SeenMs: 5000}
 		for i := range v.Reports {
 			v.Reports[i].Release, v.Reports[i].Counts = "up-1", outage.Counts{Old: outage.Tally{N: 500}, New: outage.Tally{N: c.seen}}
 		}
-		next := aged(v) // the state has stood for 2 s, the pause is 1 s
+		next := stepAfterTwoSeconds(v) // the state has stood for 2 s, the pause is 1 s
 		begins := next != nil && !next.Release.Paused
 		if begins != c.begins || begins && !strings.Contains(next.Why, c.says) {
 			t.Errorf("%s: begins %v, %+v", c.name, begins, next)
--- a/internal/decide/outage/facts.go
+++ b/internal/decide/outage/facts.go
@@ -9,15 +9,15 @@
 
 // Report is what one router has to say: what it sees of each server, and what it counted for the release that runs.
 type Report struct {
-	Router string           `json:"router"`
-	Boot   string           `json:"boot"`
-	Seen   int64            `json:"seen"` // Seq of the state that it follows
-	Sees   map[string]Sight `json:"sees"` // by server
-	// Empty is the permit for which this router itself has ended what it had, as a target.
-	Empty int64 `json:"empty,omitempty"`
+	Router   string                 `json:"router"`
+	Boot     string                 `json:"boot"`
+	StateSeq int64                  `json:"seen"` // Seq of the state that it follows
+	Observed map[string]Observation `json:"sees"` // by server
+	// DrainedPermit is the permit for which this router itself has ended what it had, as a target.
+	DrainedPermit int64 `json:"empty,omitempty"`
 	// Applied is the revision of the store that its own member has, 0 where it hosts none.
-	Applied int64 `json:"applied,omitempty"`
-	Hosts   bool  `json:"hosts,omitempty"`
+	Applied     int64 `json:"applied,omitempty"`
+	StoreMember bool  `json:"hosts,omitempty"`
 	// Release is the run of a release that Counts is about.
 	Release string `json:"release,omitempty"`
 	Counts  Counts `json:"counts,omitzero"`
@@ -29,53 +29,53 @@
 	Rev  int64 `json:"-"`
 	// AgeMs is how much older it is than its revision, where it was gathered with others before it was written. Table has what it
 	// sees besides Sees, shared with the reports that it was gathered with; Lacks are servers of it that it does not have.
-	AgeMs float64          `json:"-"`
-	Table map[string]Sight `json:"-"`
-	Lacks []string         `json:"-"`
+	AgeMs  float64                `json:"-"`
+	Table  map[string]Observation `json:"-"`
+	Absent []string               `json:"-"`
 }
 
-// Sight gives what a router sees of a server.
-func (r Report) Sight(id string) (Sight, bool) {
-	s, is := r.Sees[id]
-	if !is && len(r.Table) > 0 && !slices.Contains(r.Lacks, id) {
+// Observation gives what a router sees of a server.
+func (r Report) Observation(id string) (Observation, bool) {
+	s, is := r.Observed[id]
+	if !is && len(r.Table) > 0 && !slices.Contains(r.Absent, id) {
 		s, is = r.Table[id]
 	}
 	return s, is
 }
 
 // All gives all servers that a router sees.
-func (r Report) All(yield func(string, Sight) bool) {
-	for id, s := range r.Sees {
+func (r Report) All(yield func(string, Observation) bool) {
+	for id, s := range r.Observed {
 		if !yield(id, s) {
 			return
 		}
 	}
 	for id, s := range r.Table {
-		if _, own := r.Sees[id]; !own && !slices.Contains(r.Lacks, id) && !yield(id, s) {
+		if _, own := r.Observed[id]; !own && !slices.Contains(r.Absent, id) && !yield(id, s) {
 			return
 		}
 	}
 }
 
-// Sight is what a router sees of a server.
-type Sight struct {
-	Site   string  `json:"site,omitempty"`
-	Role   string  `json:"role,omitempty"`
-	Weight float64 `json:"weight,omitempty"`
-	Drains bool    `json:"drains,omitempty"` // the list says so, by somebody's hand
-	Boot   string  `json:"boot,omitempty"`   // its last start, as the list has it
-	Label  string  `json:"label,omitempty"`
+// Observation is what a router sees of a server.
+type Observation struct {
+	Site     string  `json:"site,omitempty"`
+	Role     string  `json:"role,omitempty"`
+	Weight   float64 `json:"weight,omitempty"`
+	Draining bool    `json:"drains,omitempty"` // the list says so, by somebody's hand
+	Boot     string  `json:"boot,omitempty"`   // its last start, as the list has it
+	Label    string  `json:"label,omitempty"`
 	// SilentMs is since when it has not answered, 0 while it does; Asked tells whether it was ever asked.
 	SilentMs float64 `json:"silent_ms,omitempty"`
-	Asked    bool    `json:"asked,omitempty"`
+	Probed   bool    `json:"asked,omitempty"`
 	Busy     int     `json:"busy,omitempty"` // requests that this router has there, where the budget follows room
 }
 
-// Registered is a router's registration in the fleet's policy.
-type Registered struct {
-	Boot, Label string
-	Live        bool // its lease stands
-	Keeps       bool // it goes on serving without its lease, so it must be heard before anything is clear
+// Registration is a router's registration in the fleet's policy.
+type Registration struct {
+	Boot, Label        string
+	Live               bool // its lease stands
+	ServesWithoutLease bool // it goes on serving without its lease, so it must be heard before anything is clear
 }
 
 // View is what is known at one revision of the store.
@@ -86,78 +86,78 @@
 	VersionRev int64
 	Last       *State
 	Reports    []Report
-	Routers    map[string]Registered
+	Routers    map[string]Registration
 	// Sites are those that the plan of sites says are lost.
 	LostSites map[string]bool
-	// Kept is what servers hold for their regions besides, in prompt tokens; those that are not named hold nothing.
-	Kept map[string]float64
-	// Copied is the last turn of a server for which nothing that pays is to be copied from it any more, by server.
-	Copied map[string]int64
+	// CachedTokens is what servers hold for their regions besides, in prompt tokens; those that are not named hold nothing.
+	CachedTokens map[string]float64
+	// CopiesDone is the last turn of a server for which nothing that pays is to be copied from it any more, by server.
+	CopiesDone map[string]int64
 }
 
-// fact is what most routers see of a server.
-type fact struct {
-	Sight
-	answers bool // to most routers that asked
-	silent  bool // to most, for as long as the model says
-	drains  bool
-	agreed  bool // most that know it say the same start and label
+// serverStatus is what most routers see of a server.
+type serverStatus struct {
+	Observation
+	answering bool // to most routers that asked
+	silent    bool // to most, for as long as the model says
+	draining  bool
+	agreed    bool // most that know it say the same start and label
 }
 
-// facts are what is agreed on at one look.
-type facts struct {
-	servers  map[string]fact
+// fleetStatus are what is agreed on at one look.
+type fleetStatus struct {
+	servers  map[string]serverStatus
 	fresh    []Report // believed now, of routers whose registration stands
-	names    []string // of their routers
-	behind   string   // why a router that hosts a member of the store may not be let out, if one may not
+	routers  []string // of their routers
+	storeLag string   // why a router that hosts a member of the store may not be let out, if one may not
 	reported map[string]Report
 	copies   bool // some router takes part in copies
 }
 
-// freshFor is for how many periods a report is believed.
-const freshFor = 4
+// freshPeriods is for how many periods a report is believed.
+const freshPeriods = 4
 
-// look puts together what the routers see: of each thing what most of those say that are alive and report.
-func look(v View, m Model, age func(router string, rev int64) time.Duration) facts {
-	f := facts{reported: make(map[string]Report, len(v.Reports))}
+// aggregate puts together what the routers see: of each thing what most of those say that are alive and report.
+func aggregate(v View, m Model, age func(router string, rev int64) time.Duration) fleetStatus {
+	f := fleetStatus{reported: make(map[string]Report, len(v.Reports))}
 	for _, r := range v.Reports {
 		f.reported[r.Router] = r
 		reg := v.Routers[r.Router]
-		if !reg.Live || reg.Boot != r.Boot || ms(age(r.Router, r.Rev))+r.AgeMs > freshFor*m.ReportMs {
+		if !reg.Live || reg.Boot != r.Boot || milliseconds(age(r.Router, r.Rev))+r.AgeMs > freshPeriods*m.ReportMs {
 			continue
 		}
 		f.fresh = append(f.fresh, r)
-		f.names = append(f.names, r.Router)
+		f.routers = append(f.routers, r.Router)
 		f.copies = f.copies || r.Copies
 	}
-	n, tallies := tallied(f.fresh, m)
-	f.servers = make(map[string]fact, n)
+	n, tallies := countVotes(f.fresh, m)
+	f.servers = make(map[string]serverStatus, n)
 	for id, t := range tallies {
-		if 2*t.knows <= len(f.fresh) && len(f.fresh) > 1 { // most do not have it in their lists: it was taken off
+		if 2*t.listed <= len(f.fresh) && len(f.fresh) > 1 { // most do not have it in their lists: it was taken off
 			continue
 		}
-		said := t.said()
-		s, _ := f.fresh[said.last].Sight(id)
-		one := fact{Sight: s, agreed: 2*said.n > t.knows, drains: 2*t.drains > t.knows, answers: t.asked > 0 && 2*t.answers > t.asked, silent: t.asked > 0 && 2*t.silent > t.asked}
+		said := t.majority()
+		s, _ := f.fresh[said.last].Observation(id)
+		one := serverStatus{Observation: s, agreed: 2*said.reports > t.listed, draining: 2*t.draining > t.listed, answering: t.probed > 0 && 2*t.answering > t.probed, silent: t.probed > 0 && 2*t.silent > t.probed}
 		one.Weight = cmp.Or(one.Weight, 1)
 		f.servers[id] = one
 	}
-	f.behind = v.behind(m, f)
+	f.storeLag = v.storeLag(m, f)
 	return f
 }
 
-// behind tells why no router that hosts a member of the store may be let out; "": one may.
-func (v View) behind(m Model, f facts) string {
+// storeLag tells why no router that hosts a member of the store may be let out; "": one may.
+func (v View) storeLag(m Model, f fleetStatus) string {
 	newest := int64(0)
 	for _, r := range f.fresh {
 		newest = max(newest, r.Applied)
 	}
-	var known map[string]Known
+	var known map[string]KnownRouter
 	if v.Last != nil {
 		known = v.Last.Known
 	}
 	for _, name := range slices.Sorted(maps.Keys(known)) {
-		if !known[name].Hosts {
+		if !known[name].StoreMember {
 			continue
 		}
 		i := slices.IndexFunc(f.fresh, func(r Report) bool { return r.Router == name })
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -15,23 +15,23 @@
 // fleet is a fleet in virtual time: servers, routers that report and decide, a store of one state, and a deployer that
 // follows permits.
 type fleet struct {
-	rng      *rand.Rand
-	now      time.Duration
-	model    outage.Model
-	servers  map[string]*server
-	routers  map[string]*router
-	state    *outage.State
-	rev      int64
-	audit    outage.Auditor
-	deployer bool // it works
-	badLabel string
-	counts   map[string]outage.Counts // by run
-	failing  float64                  // part of requests that the bad label fails
-	most     int                      // servers that were down at once by the deployer's hand
-	waits    outage.Waits
-	copies   bool             // routers take part in copies
-	copied   map[string]int64 // what is said of servers that leave
-	lost     map[string]bool  // sites
+	rng         *rand.Rand
+	now         time.Duration
+	model       outage.Model
+	servers     map[string]*server
+	routers     map[string]*router
+	state       *outage.State
+	rev         int64
+	audit       outage.Auditor
+	deployer    bool // it works
+	badLabel    string
+	counts      map[string]outage.Counts // by run
+	failureRate float64                  // part of requests that the bad label fails
+	maxDown     int                      // servers that were down at once by the deployer's hand
+	waits       outage.CopyWaits
+	copies      bool             // routers take part in copies
+	copiesDone  map[string]int64 // what is said of servers that leave
+	lostSites   map[string]bool  // sites
 }
 
 type server struct {
@@ -42,14 +42,14 @@
 }
 
 type router struct {
-	label, boot string
-	up, stopped bool
-	boots       int
-	heard       time.Duration // of its last report
-	seen        int64
-	empty       int64
-	decider     *outage.Decider
-	rev         int64
+	label, boot   string
+	up, stopped   bool
+	boots         int
+	lastReport    time.Duration // of its last report
+	stateSeq      int64
+	drainedPermit int64
+	decider       *outage.Decider
+	rev           int64
 }
 
 func newFleet(seed uint64, m outage.Model, broken outage.Fault) *fleet {
@@ -66,22 +66,22 @@
 }
 
 func (f *fleet) view() outage.View {
-	v := outage.View{Model: f.model, Version: 1, Last: f.state, Routers: map[string]outage.Registered{}, LostSites: f.lost, Copied: f.copied}
+	v := outage.View{Model: f.model, Version: 1, Last: f.state, Routers: map[string]outage.Registration{}, LostSites: f.lostSites, CopiesDone: f.copiesDone}
 	for name, r := range f.routers {
-		live := r.up && f.now-r.heard < 3*time.Second || r.stopped && f.now-r.heard < 3*time.Second
-		v.Routers[name] = outage.Registered{Boot: r.boot, Label: r.label, Live: live}
+		live := r.up && f.now-r.lastReport < 3*time.Second || r.stopped && f.now-r.lastReport < 3*time.Second
+		v.Routers[name] = outage.Registration{Boot: r.boot, Label: r.label, Live: live}
 		if !live {
 			delete(v.Routers, name)
 		}
-		report := outage.Report{Router: name, Boot: r.boot, Seen: r.seen, Empty: r.empty, Rev: r.rev, Hosts: name != "d6", Applied: 1000, Copies: f.copies, Sees: map[string]outage.Sight{}}
+		report := outage.Report{Router: name, Boot: r.boot, StateSeq: r.stateSeq, DrainedPermit: r.drainedPermit, Rev: r.rev, StoreMember: name != "d6", Applied: 1000, Copies: f.copies, Observed: map[string]outage.Observation{}}
 		for id, s := range f.servers {
-			sight := outage.Sight{Site: s.site, Role: "chat", Boot: s.boot, Label: s.label, Asked: true}
+			sight := outage.Observation{Site: s.site, Role: "chat", Boot: s.boot, Label: s.label, Probed: true}
 			if !s.up {
 				sight.SilentMs = float64((f.now - s.downAt) / time.Millisecond)
 			}
-			report.Sees[id] = sight
+			report.Observed[id] = sight
 		}
-		if rel := f.running(); rel != nil && name == "d1" {
+		if rel := f.release(); rel != nil && name == "d1" {
 			report.Release, report.Counts = rel.Run, f.counts[rel.Run]
 		}
 		v.Reports = append(v.Reports, report)
@@ -90,7 +90,7 @@
 	return v
 }
 
-func (f *fleet) running() *outage.Release {
+func (f *fleet) release() *outage.Release {
 	if f.state == nil {
 		return nil
 	}
@@ -109,15 +109,15 @@
 		panic(err)
 	}
 	f.state.Rev = f.rev
-	f.audit.Take(f.state)
-	f.waits.Took(f.state, float64(f.now/time.Millisecond))
+	f.audit.Check(f.state)
+	f.waits.Check(f.state, float64(f.now/time.Millisecond))
 }
 
 // step has half a second pass.
 func (f *fleet) step() {
 	f.now += 500 * time.Millisecond
-	f.waits.Passed(float64(f.now / time.Millisecond))
-	if rel := f.running(); rel != nil {
+	f.waits.Advance(float64(f.now / time.Millisecond))
+	if rel := f.release(); rel != nil {
 		c := f.counts[rel.Run]
 		for _, s := range f.servers {
 			if !s.up {
@@ -126,13 +126,13 @@
 			t := outage.Tally{N: 8}
 			rate := 0.002
 			if s.label == f.badLabel {
-				rate = f.failing
+				rate = f.failureRate
 			}
 			for range 8 {
 				if f.rng.Float64() < rate {
 					t.Failed++
 				}
-				t.First[8+f.rng.IntN(2)]++
+				t.FirstToken[8+f.rng.IntN(2)]++
 			}
 			if s.label == rel.To {
 				c.New.Add(t)
@@ -150,11 +150,11 @@
 			continue
 		}
 		f.rev++
-		r.rev, r.heard = f.rev, f.now
+		r.rev, r.lastReport = f.rev, f.now
 		if f.state != nil {
-			r.seen = f.state.Seq
+			r.stateSeq = f.state.Seq
 			if p, out := f.state.Permits[outage.ID(outage.Router, name)]; out && p.Boot == r.boot {
-				r.empty = p.ID
+				r.drainedPermit = p.ID
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 			down++
 		}
 	}
-	f.most = max(f.most, down)
+	f.maxDown = max(f.maxDown, down)
 }
 
 // deploy stops what is clear and starts it with the label that its permit names, some time later.
@@ -184,7 +184,7 @@
 	for _, thing := range slices.Sorted(maps.Keys(f.state.Permits)) {
 		p := f.state.Permits[thing]
 		kind, name := outage.Split(thing)
-		if p.Stage != outage.Clear || p.To == "" {
+		if p.Stage != outage.Acknowledged || p.To == "" {
 			continue
 		}
 		if kind == outage.Server {
@@ -200,7 +200,7 @@
 		switch r := f.routers[name]; {
 		case r.up && r.boot == p.Boot:
 			r.up = false
-		case !r.up && f.now-r.heard > 2*time.Second:
+		case !r.up && f.now-r.lastReport > 2*time.Second:
 			f.startRouter(name, p.To)
 		}
 	}
@@ -218,11 +218,11 @@
 	r := f.routers[name]
 	r.boots++
 	f.rev++
-	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, heard: f.now, rev: f.rev, decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
+	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, lastReport: f.now, rev: f.rev, decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
 }
 
-// order has an operator change the state; it tells what was refused.
-func (f *fleet) order(how func(v outage.View) (*outage.State, error)) error {
+// applyOrder has an operator change the state; it tells what was refused.
+func (f *fleet) applyOrder(how func(v outage.View) (*outage.State, error)) error {
 	next, err := how(f.view())
 	if next != nil && err == nil {
 		f.write(next)
@@ -230,7 +230,7 @@
 	return err
 }
 
-func (f *fleet) until(t *testing.T, what string, within time.Duration, is func() bool) {
+func (f *fleet) waitUntil(t *testing.T, what string, within time.Duration, is func() bool) {
 	t.Helper()
 	for end := f.now + within; !is(); f.step() {
 		if f.now > end {
@@ -240,7 +240,7 @@
 	}
 }
 
-func (f *fleet) clean(t *testing.T) {
+func (f *fleet) checkNoFaults(t *testing.T) {
 	t.Helper()
 	for _, fault := range append(f.audit.Faults, f.waits.Faults...) {
 		t.Error(fault)
@@ -248,10 +248,10 @@
 }
 
 func (f *fleet) phase() outage.Phase {
-	if f.running() == nil {
+	if f.release() == nil {
 		return ""
 	}
-	return f.running().Phase
+	return f.release().Phase
 }
 
 func (f *fleet) labels() map[string]int {
@@ -262,11 +262,11 @@
 	return out
 }
 
-var plain = outage.Model{Workers: 2, Routers: 1, WorkersSite: 1, PauseMs: 2000, WarmMs: 2000, ReturnMs: 15000, LostMs: 1000, Halt: outage.Halt{OverMs: 20000}}
+var testModel = outage.Model{Workers: 2, Routers: 1, WorkersSite: 1, PauseMs: 2000, WarmMs: 2000, ReturnMs: 15000, LostMs: 1000, Halt: outage.Halt{OverMs: 20000}}
 
 func spec(to string) outage.Spec { return outage.Spec{Name: "r-" + to, Kind: outage.Server, To: to} }
 
-func read(data []byte) *outage.State {
+func decodeState(data []byte) *outage.State {
 	s := &outage.State{}
 	if json.Unmarshal(data, s) != nil {
 		return nil
--- a/internal/decide/outage/halt.go
+++ b/internal/decide/outage/halt.go
@@ -13,10 +13,10 @@
 type Counts struct {
 	Old Tally `json:"old,omitzero"`
 	New Tally `json:"new,omitzero"`
-	// Expect is how much of what befell both is the new version's by chance, if it is as bad as the bound allows. Alone is
+	// Expected is how much of what befell both is the new version's by chance, if it is as bad as the bound allows. Alone is
 	// what the new version had with no old one beside it: it is in New as well, and tells nothing.
-	Expect Expect `json:"expect,omitzero"`
-	Alone  Tally  `json:"alone,omitzero"`
+	Expected Expected `json:"expect,omitzero"`
+	Unpaired Tally    `json:"alone,omitzero"`
 	// Asked and Refused are by class, since the run began.
 	Asked   map[string]int64 `json:"asked,omitempty"`
 	Refused map[string]int64 `json:"refused,omitempty"`
@@ -27,8 +27,8 @@
 	N      int64 `json:"n"`
 	Failed int64 `json:"failed,omitempty"`
 	Late   int64 `json:"late,omitempty"`
-	// First are times to the first token, by powers of two of a millisecond.
-	First [FirstBuckets]int64 `json:"first,omitzero"`
+	// FirstToken are times to the first token, by powers of two of a millisecond.
+	FirstToken [FirstBuckets]int64 `json:"first,omitzero"`
 }
 
 // FirstBuckets is how many powers of two are told apart.
@@ -45,8 +45,8 @@
 // Add adds what another counted.
 func (t *Tally) Add(o Tally) {
 	t.N, t.Failed, t.Late = t.N+o.N, t.Failed+o.Failed, t.Late+o.Late
-	for i := range t.First {
-		t.First[i] += o.First[i]
+	for i := range t.FirstToken {
+		t.FirstToken[i] += o.FirstToken[i]
 	}
 }
 
@@ -54,8 +54,8 @@
 func (c *Counts) Add(o Counts) {
 	c.Old.Add(o.Old)
 	c.New.Add(o.New)
-	c.Expect.Add(o.Expect)
-	c.Alone.Add(o.Alone)
+	c.Expected.Add(o.Expected)
+	c.Unpaired.Add(o.Unpaired)
 	for _, pair := range [...]struct {
 		to   *map[string]int64
 		from map[string]int64
@@ -69,73 +69,73 @@
 	}
 }
 
-// Expect are mean numbers of events of the new version, among those of both.
-type Expect struct {
-	Failed float64               `json:"failed,omitempty"`
-	Calm   Calm                  `json:"calm,omitzero"`
-	Late   float64               `json:"late,omitempty"`
-	First  [FirstBuckets]float64 `json:"first,omitzero"`
+// Expected are mean numbers of events of the new version, among those of both.
+type Expected struct {
+	Failed     float64               `json:"failed,omitempty"`
+	Calm       Calm                  `json:"calm,omitzero"`
+	Late       float64               `json:"late,omitempty"`
+	FirstToken [FirstBuckets]float64 `json:"first,omitzero"`
 }
 
 // Calm is what failed in stretches in which little failed of both: in a bad hour so much fails by chance that a version that is a
 // little worse is not seen. Which stretches these are hangs on the failures of both together, which say nothing of whose they are, so
 // to choose them favours neither.
 type Calm struct {
-	Old    int64   `json:"old,omitempty"`
-	New    int64   `json:"new,omitempty"`
-	Expect float64 `json:"expect,omitempty"`
+	Old      int64   `json:"old,omitempty"`
+	New      int64   `json:"new,omitempty"`
+	Expected float64 `json:"expect,omitempty"`
 }
 
-// calm is the greatest part of both versions' requests that fails in a stretch that is calm.
-const calm = 0.05
+// calmShare is the greatest part of both versions' requests that fails in a stretch that is calmShare.
+const calmShare = 0.05
 
 // Add adds what is expected of another stretch.
-func (e *Expect) Add(o Expect) {
-	e.Calm = Calm{e.Calm.Old + o.Calm.Old, e.Calm.New + o.Calm.New, e.Calm.Expect + o.Calm.Expect}
+func (e *Expected) Add(o Expected) {
+	e.Calm = Calm{e.Calm.Old + o.Calm.Old, e.Calm.New + o.Calm.New, e.Calm.Expected + o.Calm.Expected}
 	e.Failed, e.Late = e.Failed+o.Failed, e.Late+o.Late
-	for i := range e.First {
-		e.First[i] += o.First[i]
+	for i := range e.FirstToken {
+		e.FirstToken[i] += o.FirstToken[i]
 	}
 }
 
-// beside adds what is expected in one stretch, if the new version's rate is so many times the old one's.
-func (c *Counts) beside(old, next Tally, worse float64) {
+// addStretch adds what is expected in one stretch, if the new version's rate is so many times the old one's.
+func (c *Counts) addStretch(old, next Tally, worse float64) {
 	if old.N == 0 {
-		c.Alone.Add(next)
+		c.Unpaired.Add(next)
 		return
 	}
-	var e Expect
+	var e Expected
 	share := worse * float64(next.N) / (worse*float64(next.N) + float64(old.N))
 	e.Failed, e.Late = share*float64(old.Failed+next.Failed), share*float64(old.Late+next.Late)
-	if float64(old.Failed+next.Failed) <= calm*float64(old.N+next.N) {
+	if float64(old.Failed+next.Failed) <= calmShare*float64(old.N+next.N) {
 		e.Calm = Calm{old.Failed, next.Failed, e.Failed}
 	}
-	for i := range e.First {
-		e.First[i] = share * float64(old.First[i]+next.First[i])
+	for i := range e.FirstToken {
+		e.FirstToken[i] = share * float64(old.FirstToken[i]+next.FirstToken[i])
 	}
-	c.Expect.Add(e)
+	c.Expected.Add(e)
 }
 
-// filled are counts with what is expected; those of a router that does not say so are one stretch.
-func (c Counts) filled(worse float64) Counts {
-	if c.Expect == (Expect{}) && c.Alone == (Tally{}) {
-		c.beside(c.Old, c.New, worse)
+// withExpected are counts with what is expected; those of a router that does not say so are one stretch.
+func (c Counts) withExpected(worse float64) Counts {
+	if c.Expected == (Expected{}) && c.Unpaired == (Tally{}) {
+		c.addStretch(c.Old, c.New, worse)
 	}
 	return c
 }
 
-// slower is how many answers of each came later than nine of ten of the old version's do, and how many are
+// slowFirstTokens is how many answers of each came later than nine of ten of the old version's do, and how many are
 // expected of the new one.
-func (c Counts) slower() (old, new int64, expect float64) {
+func (c Counts) slowFirstTokens() (old, new int64, expect float64) {
 	sum, at := int64(0), FirstBuckets-1
-	for i, n := range c.Old.First {
+	for i, n := range c.Old.FirstToken {
 		if sum += n; 10*sum >= 9*c.Old.N && c.Old.N > 0 {
 			at = i
 			break
 		}
 	}
 	for i := at + 1; i < FirstBuckets; i++ {
-		old, new, expect = old+c.Old.First[i], new+c.New.First[i]-c.Alone.First[i], expect+c.Expect.First[i]
+		old, new, expect = old+c.Old.FirstToken[i], new+c.New.FirstToken[i]-c.Unpaired.FirstToken[i], expect+c.Expected.FirstToken[i]
 	}
 	return old, new, expect
 }
@@ -153,14 +153,14 @@
 // answers and times to the first token; so however often it looks, a version that is no worse is halted at most with the level's chance.
 func (h Halt) judge(c Counts, look int) (bad string) {
 	level := h.Level / math.Pow(2, float64(look+1)) / 4
-	c = c.filled(h.Worse)
-	oldSlow, newSlow, expectSlow := c.slower()
+	c = c.withExpected(h.Worse)
+	oldSlow, newSlow, expectSlow := c.slowFirstTokens()
 	for _, one := range [...]struct {
 		what     string
 		old, new int64
 		expect   float64
-	}{{"failed", c.Old.Failed, c.New.Failed - c.Alone.Failed, c.Expect.Failed}, {"failed in calm hours", c.Expect.Calm.Old, c.Expect.Calm.New, c.Expect.Calm.Expect},
-		{"late", c.Old.Late, c.New.Late - c.Alone.Late, c.Expect.Late}, {"slow to the first token", oldSlow, newSlow, expectSlow}} {
+	}{{"failed", c.Old.Failed, c.New.Failed - c.Unpaired.Failed, c.Expected.Failed}, {"failed in calm hours", c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
+		{"late", c.Old.Late, c.New.Late - c.Unpaired.Late, c.Expected.Late}, {"slow to the first token", oldSlow, newSlow, expectSlow}} {
 		all := one.old + one.new
 		if float64(one.new) < one.expect+1 { // no worse, and the bound on the chance holds from here on
 			continue
@@ -174,8 +174,8 @@
 	return ""
 }
 
-// refuses names a class of which more is refused than the bound allows.
-func (h Halt) refuses(c Counts) string {
+// excessRefusals names a class of which more is refused than the bound allows.
+func (h Halt) excessRefusals(c Counts) string {
 	if h.Refused <= 0 {
 		return ""
 	}
--- a/internal/decide/outage/leave_test.go
+++ b/internal/decide/outage/leave_test.go
@@ -7,28 +7,28 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// copying has servers that have their turn wait for copies; 0: not at all. Deciders that change may add as much again.
-func (f *fleet) copying(waitMs int) {
-	f.model.CopyWaitMs, f.copies, f.copied = float64(waitMs), waitMs > 0, map[string]int64{}
-	f.waits.Most = 1e12
+// enableCopyWait has servers that have their turn wait for copies; 0: not at all. Deciders that change may add as much again.
+func (f *fleet) enableCopyWait(waitMs int) {
+	f.model.CopyWaitMs, f.copies, f.copiesDone = float64(waitMs), waitMs > 0, map[string]int64{}
+	f.waits.LimitMs = 1e12
 }
 
-// asked has s1 wished out in a fleet that waits for copies for 3 s, and gives the time at which that is written.
-func asked(t *testing.T, seed uint64, broken outage.Fault) (*fleet, time.Duration) {
+// fleetWithRequest has s1 wished out in a fleet that waits for copies for 3 s, and gives the time at which that is written.
+func fleetWithRequest(t *testing.T, seed uint64, broken outage.Fault) (*fleet, time.Duration) {
 	t.Helper()
-	f := newFleet(seed, plain, broken)
-	f.copying(3000)
-	f.waits.Most = 4500 // and a turn of a router or two, who see steps of half a second
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	_ = f.order(func(v outage.View) (*outage.State, error) {
-		next, _ := v.Last.Ask("server/s1", "op")
+	f := newFleet(seed, testModel, broken)
+	f.enableCopyWait(3000)
+	f.waits.LimitMs = 4500 // and a turn of a router or two, who see steps of half a second
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	_ = f.applyOrder(func(v outage.View) (*outage.State, error) {
+		next, _ := v.Last.Drain("server/s1", "op")
 		return next, nil
 	})
-	f.until(t, "its turn", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
+	f.waitUntil(t, "its turn", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
 	return f, f.now
 }
 
-func out(f *fleet) bool { return f.state.Permits["server/s1"].ID > 0 }
+func hasPermit(f *fleet) bool { return f.state.Permits["server/s1"].ID > 0 }
 
 // A server's permit waits until copies are made, no longer than the policy says, and not where nobody makes any. A withdrawn wish, a lost
 // site, a halt and losses that take the room end the wait without one.
@@ -40,23 +40,23 @@
 		least, most time.Duration // 0: never
 	}{
 		"nothing is said":     {func(*fleet) {}, long, long + soon},
-		"of an earlier turn":  {func(f *fleet) { f.copied["s1"] = turn(f) - 1 }, long, long + soon},
-		"copies are made":     {func(f *fleet) { f.copied["s1"] = turn(f) }, 0, soon},
+		"of an earlier turn":  {func(f *fleet) { f.copiesDone["s1"] = turn(f) - 1 }, long, long + soon},
+		"copies are made":     {func(f *fleet) { f.copiesDone["s1"] = turn(f) }, 0, soon},
 		"copies are no more":  {func(f *fleet) { f.copies = false }, 0, soon},
 		"the policy is other": {func(f *fleet) { f.model.CopyWaitMs = 0 }, 0, soon},
 		"it is lost":          {func(f *fleet) { f.kill("s1") }, 0, long},
 		"withdrawn": {func(f *fleet) {
-			_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
+			_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
 		}, 0, 0},
-		"its site is lost": {func(f *fleet) { f.lost = map[string]bool{"a": true} }, 0, 0},
+		"its site is lost": {func(f *fleet) { f.lostSites = map[string]bool{"a": true} }, 0, 0},
 		"losses":           {func(f *fleet) { f.kill("s4"); f.kill("s7") }, 0, 0},
 		"halt": {func(f *fleet) {
-			_ = f.order(start(f, spec("v2")))
-			_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
+			_ = f.applyOrder(startRelease(f, spec("v2")))
+			_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
 		}, 0, 0},
 	} {
-		f, began := asked(t, 1, "")
-		if out(f) {
+		f, began := fleetWithRequest(t, 1, "")
+		if hasPermit(f) {
 			t.Errorf("%s: it is out at once", name)
 		}
 		f.deployer = false
@@ -64,16 +64,16 @@
 			for range 80 {
 				f.step()
 			}
-			if out(f) || len(f.state.Leaving) > 0 {
+			if hasPermit(f) || len(f.state.Leaving) > 0 {
 				t.Errorf("%s: %+v %+v", name, f.state.Permits, f.state.Leaving)
 			}
 		} else {
-			f.until(t, name, time.Minute, func() bool { return out(f) })
+			f.waitUntil(t, name, time.Minute, func() bool { return hasPermit(f) })
 			if took := f.now - began; took < c.least || took > c.most {
 				t.Errorf("%s: out after %s, from %s to %s", name, took, c.least, c.most)
 			}
 		}
-		f.clean(t)
+		f.checkNoFaults(t)
 	}
 }
 
@@ -81,9 +81,9 @@
 // found.
 func TestWaitForCopiesIsBounded(t *testing.T) {
 	for seed := range uint64(10) {
-		f, _ := asked(t, seed, "")
-		f.waits.Most = 3000 + 6*500 + 1500
-		for i := 0; !out(f); i++ {
+		f, _ := fleetWithRequest(t, seed, "")
+		f.waits.LimitMs = 3000 + 6*500 + 1500
+		for i := 0; !hasPermit(f); i++ {
 			if i < 6 {
 				name := []string{"d1", "d2", "d3", "d4", "d5", "d6"}[i]
 				f.routers[name].up = false
@@ -93,17 +93,17 @@
 				t.Fatalf("seed %d: not out after six lost deciders", seed)
 			}
 		}
-		f.clean(t)
+		f.checkNoFaults(t)
 	}
-	f, _ := asked(t, 1, outage.WaitsOn)
+	f, _ := fleetWithRequest(t, 1, outage.WaitsForever)
 	for range 20 {
 		f.step()
 	}
-	if len(f.waits.Faults) != 1 || out(f) {
+	if len(f.waits.Faults) != 1 || hasPermit(f) {
 		t.Errorf("a wait without end: %v", f.waits.Faults)
 	}
 	f.kill("s9") // a state is written, and says how long it was
-	f.until(t, "the loss", 10*time.Second, func() bool { return len(f.state.Lost) > 0 })
+	f.waitUntil(t, "the loss", 10*time.Second, func() bool { return len(f.state.Lost) > 0 })
 	if len(f.audit.Faults) == 0 {
 		t.Error("the auditor does not see how long a server has waited")
 	}
@@ -111,15 +111,15 @@
 
 // In a release those that wait for copies take places in the budget and in their wave; it comes to its end.
 func TestReleaseWaitsForCopies(t *testing.T) {
-	f := newFleet(3, plain, "")
-	f.copying(3000)
-	f.waits.Most = 4500
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	if err := f.order(start(f, spec("v2"))); err != nil {
+	f := newFleet(3, testModel, "")
+	f.enableCopyWait(3000)
+	f.waits.LimitMs = 4500
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
 	waited := map[string]bool{}
-	f.until(t, "done", 10*time.Minute, func() bool {
+	f.waitUntil(t, "done", 10*time.Minute, func() bool {
 		for thing := range f.state.Leaving {
 			waited[thing] = true
 		}
@@ -131,5 +131,5 @@
 	if len(waited) != 9 || f.labels()["v2"] != 9 {
 		t.Errorf("%d waited, %v", len(waited), f.labels())
 	}
-	f.clean(t)
+	f.checkNoFaults(t)
 }
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -7,20 +7,20 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// behind is a view in which three routers have three starts of a server, the first one's list being the oldest.
-func behind(last *outage.State, sights ...outage.Sight) outage.View {
-	v := outage.View{Model: outage.Model{Workers: 2, Routers: 1, WarmMs: 1000, PauseMs: 1000}, Last: last, Routers: map[string]outage.Registered{}}
+// viewWith is a view in which three routers have three starts of a server, the first one's list being the oldest.
+func viewWith(last *outage.State, sights ...outage.Observation) outage.View {
+	v := outage.View{Model: outage.Model{Workers: 2, Routers: 1, WarmMs: 1000, PauseMs: 1000}, Last: last, Routers: map[string]outage.Registration{}}
 	for i, s := range sights {
 		name := string(rune('a' + i))
-		s.Asked = true
-		v.Routers[name] = outage.Registered{Boot: "1", Live: true}
-		v.Reports = append(v.Reports, outage.Report{Router: name, Boot: "1", Seen: 100, Sees: map[string]outage.Sight{"s1": s}})
+		s.Probed = true
+		v.Routers[name] = outage.Registration{Boot: "1", Live: true}
+		v.Reports = append(v.Reports, outage.Report{Router: name, Boot: "1", StateSeq: 100, Observed: map[string]outage.Observation{"s1": s}})
 	}
 	return v
 }
 
-// aged steps a decider that has seen the state and all reports stand for long.
-func aged(v outage.View) *outage.State {
+// stepAfterTwoSeconds steps a decider that has seen the state and all reports stand for long.
+func stepAfterTwoSeconds(v outage.View) *outage.State {
 	d := &outage.Decider{Me: "a"}
 	made := d.Step(v, outage.Ages{State: func() time.Duration { return 2 * time.Second }, Report: func(string, int64) time.Duration { return 0 }})
 	return made.Next
@@ -29,81 +29,81 @@
 // The end of a way back is not taken from a list that is behind: the search found it, by "read r1, write r1, report r1, report r2,
 // report r3, read r1, write r1, take s1, new s1, report r2, report r3, read r1, write r1, read-aged r1, write r1, crash s1, new s1,
 // report r2, back, read r1, write r1, read r1, write r1".
-func TestBehindListEndsNoWayBack(t *testing.T) {
-	old, new1, new2 := outage.Sight{Boot: "1", Label: "old"}, outage.Sight{Boot: "2", Label: "new"}, outage.Sight{Boot: "3", Label: "new"}
-	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Back, Left: 1,
-		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting, Nth: 1}}}
+func TestStaleListDoesNotEndRollback(t *testing.T) {
+	old, new1, new2 := outage.Observation{Boot: "1", Label: "old"}, outage.Observation{Boot: "2", Label: "new"}, outage.Observation{Boot: "3", Label: "new"}
+	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.RollingBack, WaveLeft: 1,
+		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting, Order: 1}}}
 	last := &outage.State{Format: outage.Format, Seq: 1, Release: rel}
-	next := aged(behind(last, old, new2, new1))
+	next := stepAfterTwoSeconds(viewWith(last, old, new2, new1))
 	if got := next.Release.Targets[0]; got.State != outage.Waiting || got.Why == "" || len(next.Permits) > 0 {
 		t.Errorf("%+v, permits %v", got, next.Permits)
 	}
-	next = aged(behind(next, new2, new2, new1))
+	next = stepAfterTwoSeconds(viewWith(next, new2, new2, new1))
 	if p := next.Permits["server/s1"]; p.To != "old" || p.Boot != "3" {
 		t.Errorf("most agree: %+v", p)
 	}
 }
 
 // What returns under its permit is not out: who asks for it then is told to wait, else it would be stopped under traffic.
-func TestReturningIsNotOut(t *testing.T) {
-	for stage, out := range map[outage.Stage]bool{outage.Given: false, outage.Clear: true, outage.Returning: false} {
+func TestOnlyAcknowledgedPermitAllowsStop(t *testing.T) {
+	for stage, out := range map[outage.Stage]bool{outage.Granted: false, outage.Acknowledged: true, outage.Returning: false} {
 		s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: stage}}}
-		if next, permitted := s.Ask("server/s1", "op"); permitted != out || next != nil {
+		if next, permitted := s.Drain("server/s1", "op"); permitted != out || next != nil {
 			t.Errorf("%s: permitted %v", stage, permitted)
 		}
 	}
-	s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: outage.Clear, Serve: true}}}
-	if _, permitted := s.Ask("server/s1", "op"); permitted {
+	s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: outage.Acknowledged, Serve: true}}}
+	if _, permitted := s.Drain("server/s1", "op"); permitted {
 		t.Error("what is to serve again may be stopped")
 	}
 }
 
 // A way back ends with no target that is seen with another label, also where the target was never released: one that returned
 // under an earlier permit with the old label may have started again with the new one.
-func TestStrayedGoesBack(t *testing.T) {
-	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, Before: outage.Running,
+func TestRollbackIncludesTargetWithOtherLabel(t *testing.T) {
+	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, HaltedFrom: outage.Running,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting}}}
-	last, err := (&outage.State{Format: outage.Format, Seq: 1, Release: rel}).TakeBack("op")
+	last, err := (&outage.State{Format: outage.Format, Seq: 1, Release: rel}).RollBack("op")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, old := outage.Sight{Boot: "2", Label: "new"}, outage.Sight{Boot: "3", Label: "old"}
-	next := aged(behind(last, fresh, fresh, fresh))
-	if p := next.Permits["server/s1"]; next.Release.Phase != outage.Back || p.To != "old" {
+	fresh, old := outage.Observation{Boot: "2", Label: "new"}, outage.Observation{Boot: "3", Label: "old"}
+	next := stepAfterTwoSeconds(viewWith(last, fresh, fresh, fresh))
+	if p := next.Permits["server/s1"]; next.Release.Phase != outage.RollingBack || p.To != "old" {
 		t.Errorf("%s, %+v", next.Release.Phase, p)
 	}
-	if next = aged(behind(last, old, old, old)); next.Release.Phase != outage.Undone || len(next.Permits) > 0 {
+	if next = stepAfterTwoSeconds(viewWith(last, old, old, old)); next.Release.Phase != outage.RolledBack || len(next.Permits) > 0 {
 		t.Errorf("at its old label: %s, %+v", next.Release.Phase, next.Permits)
 	}
 }
 
 // What returned and does not answer any more is clear again only once all routers have heard it: they send to it.
-func TestReturningIsToldAnew(t *testing.T) {
-	last := &outage.State{Format: outage.Format, Seq: 100, Known: map[string]outage.Known{}, Permits: map[string]outage.Permit{
+func TestSilentReturningServerNeedsNewAcknowledgement(t *testing.T) {
+	last := &outage.State{Format: outage.Format, Seq: 100, Known: map[string]outage.KnownRouter{}, Permits: map[string]outage.Permit{
 		"server/s1": {ID: 1, For: outage.ByHand, Stage: outage.Returning, Seq: 3, Boot: "1"}}}
-	silent := outage.Sight{Boot: "2", SilentMs: 10_000}
-	v := behind(last, silent, silent, silent)
-	next := aged(v)
+	silent := outage.Observation{Boot: "2", SilentMs: 10_000}
+	v := viewWith(last, silent, silent, silent)
+	next := stepAfterTwoSeconds(v)
 	p := next.Permits["server/s1"]
-	if p.Stage != outage.Given || p.Seq != 101 {
+	if p.Stage != outage.Granted || p.Seq != 101 {
 		t.Fatalf("%+v", p)
 	}
 	v.Last = next
-	if next = aged(v); next != nil && next.Permits["server/s1"].Stage != outage.Given {
+	if next = stepAfterTwoSeconds(v); next != nil && next.Permits["server/s1"].Stage != outage.Granted {
 		t.Errorf("not all have heard it: %+v", next.Permits)
 	}
 	for i := range v.Reports {
-		v.Reports[i].Seen = 101
+		v.Reports[i].StateSeq = 101
 	}
-	if next = aged(v); next == nil || next.Permits["server/s1"].Stage != outage.Clear {
+	if next = stepAfterTwoSeconds(v); next == nil || next.Permits["server/s1"].Stage != outage.Acknowledged {
 		t.Error("all have heard it and it is not clear")
 	}
 }
 
 // A release remembers the label that most routers have of a server, not the one that a list has which is behind.
-func TestFromIsWhatMostSay(t *testing.T) {
-	older, old := outage.Sight{Boot: "1", Label: "older"}, outage.Sight{Boot: "2", Label: "old"}
-	next, err := behind(nil, older, old, old).Start(outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, "op")
+func TestReleaseRecordsMajorityLabel(t *testing.T) {
+	older, old := outage.Observation{Boot: "1", Label: "older"}, outage.Observation{Boot: "2", Label: "old"}
+	next, err := viewWith(nil, older, old, old).Start(outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, "op")
 	if err != nil || next.Release.Targets[0].From != "old" {
 		t.Errorf("%v, %+v", err, next)
 	}
--- a/internal/decide/outage/meter.go
+++ b/internal/decide/outage/meter.go
@@ -7,36 +7,36 @@
 
 // Attempt is an attempt at a server that ended by itself.
 type Attempt struct {
-	Server string
-	Heard  bool // it answered, whatever it said
-	InTime bool
-	Failed bool
-	First  time.Duration // until its answer began
+	Server     string
+	Answered   bool // it answered, whatever it said
+	InTime     bool
+	Failed     bool
+	FirstToken time.Duration // until its answer began
 }
 
-// Side is whether a server's answers are the old version's or the new one's.
-type Side uint8
+// Cohort is whether a server's answers are the old version's or the new one's.
+type Cohort uint8
 
 // The sides. What is out, or comes back just now, is on neither.
 const (
-	Neither Side = iota
-	OldSide
-	NewSide
+	NoCohort Cohort = iota
+	OldCohort
+	NewCohort
 )
 
-// Sides tells of which version servers are, given their labels; nil: no release runs, and nothing is counted.
-func (s *State) Sides(labels map[string]string) (run string, sides map[string]Side) {
+// Cohorts tells of which version servers are, given their labels; nil: no release runs, and nothing is counted.
+func (s *State) Cohorts(labels map[string]string) (run string, sides map[string]Cohort) {
 	if s == nil || s.Release == nil || !s.Release.Counted() {
 		return "", nil
 	}
-	sides = map[string]Side{}
+	sides = map[string]Cohort{}
 	for name, label := range labels {
 		if _, away := s.Permits[ID(Server, name)]; away {
 			continue
 		}
-		sides[name] = OldSide
+		sides[name] = OldCohort
 		if label == s.Release.To {
-			sides[name] = NewSide
+			sides[name] = NewCohort
 		}
 	}
 	return s.Release.Run, sides
@@ -48,37 +48,37 @@
 // each kind of server: rates of several hours, or of quick and slow servers, are not put together where the versions' parts of
 // the requests differ between them. Otherwise a version that had most of its requests in a bad hour would look worse.
 type Meter struct {
-	run    string
-	worse  float64
-	sides  map[string]Side
-	kinds  map[string]string
-	counts Counts // Expect of what is over
-	open   map[string]*[2]Tally
+	run        string
+	worseRatio float64
+	cohorts    map[string]Cohort
+	kinds      map[string]string
+	counts     Counts // Expect of what is over
+	open       map[string]*[2]Tally
 }
 
-// stretch is how many requests each side must have for a stretch to end before the sides change.
-const stretch = 20
+// stretchRequests is how many requests each side must have for a stretchRequests to end before the sides change.
+const stretchRequests = 20
 
-// Count has what comes from now on counted for a run of a release, as the halt's bound on the old version's rate says; kinds may be nil.
+// Configure has what comes from now on counted for a run of a release, as the halt's bound on the old version's rate says; kinds may be nil.
 // Another run begins anew.
-func (m *Meter) Count(run string, sides map[string]Side, kinds map[string]string, worse float64) {
+func (m *Meter) Configure(run string, sides map[string]Cohort, kinds map[string]string, worse float64) {
 	if run != m.run {
 		m.run, m.counts, m.open = run, Counts{}, nil
 	}
-	m.worse = worse
-	if !maps.Equal(m.sides, sides) || !maps.Equal(m.kinds, kinds) {
+	m.worseRatio = worse
+	if !maps.Equal(m.cohorts, sides) || !maps.Equal(m.kinds, kinds) {
 		for _, pair := range m.open {
-			m.counts.beside(pair[0], pair[1], m.worse)
+			m.counts.addStretch(pair[0], pair[1], m.worseRatio)
 		}
 		m.open = nil
 	}
-	m.sides, m.kinds = sides, kinds
+	m.cohorts, m.kinds = sides, kinds
 }
 
-// Tried counts an attempt.
-func (m *Meter) Tried(a Attempt) {
-	side := m.sides[a.Server]
-	if side == Neither {
+// Record counts an attempt.
+func (m *Meter) Record(a Attempt) {
+	side := m.cohorts[a.Server]
+	if side == NoCohort {
 		return
 	}
 	if m.open == nil {
@@ -91,10 +91,10 @@
 		m.open[kind] = pair
 	}
 	total := &m.counts.Old
-	if side == NewSide {
+	if side == NewCohort {
 		total = &m.counts.New
 	}
-	for _, t := range [...]*Tally{total, &pair[side-OldSide]} {
+	for _, t := range [...]*Tally{total, &pair[side-OldCohort]} {
 		t.N++
 		if a.Failed {
 			t.Failed++
@@ -103,16 +103,16 @@
 		if !a.InTime {
 			t.Late++
 		}
-		t.First[Bucket(ms(a.First))]++
+		t.FirstToken[Bucket(milliseconds(a.FirstToken))]++
 	}
-	if pair[0].N >= stretch && pair[1].N >= stretch {
-		m.counts.beside(pair[0], pair[1], m.worse)
+	if pair[0].N >= stretchRequests && pair[1].N >= stretchRequests {
+		m.counts.addStretch(pair[0], pair[1], m.worseRatio)
 		delete(m.open, kind)
 	}
 }
 
-// Class counts a request of a class, or one that was refused.
-func (m *Meter) Class(name string, refused bool) {
+// RecordClass counts a request of a class, or one that was refused.
+func (m *Meter) RecordClass(name string, refused bool) {
 	if m.run == "" {
 		return
 	}
@@ -126,11 +126,11 @@
 	}
 }
 
-// Cut gives what was counted, for a report.
-func (m *Meter) Cut() (run string, c Counts) {
+// Snapshot gives what was counted, for a report.
+func (m *Meter) Snapshot() (run string, c Counts) {
 	c = m.counts
 	for _, pair := range m.open {
-		c.beside(pair[0], pair[1], m.worse)
+		c.addStretch(pair[0], pair[1], m.worseRatio)
 	}
 	c.Asked, c.Refused = maps.Clone(c.Asked), maps.Clone(c.Refused)
 	return m.run, c
--- a/internal/decide/outage/meter_test.go
+++ b/internal/decide/outage/meter_test.go
@@ -11,12 +11,12 @@
 // A version that has most of its requests in a bad hour is no worse for it. The same counts put together would halt it, so
 // what is expected is what keeps it; and one that fails more in each hour is halted.
 func TestBadHourHaltsNobody(t *testing.T) {
-	sides := func(fresh int) map[string]outage.Side {
-		out := map[string]outage.Side{}
+	sides := func(fresh int) map[string]outage.Cohort {
+		out := map[string]outage.Cohort{}
 		for i := range 10 {
-			out[fmt.Sprint(i)] = outage.OldSide
+			out[fmt.Sprint(i)] = outage.OldCohort
 			if i < fresh {
-				out[fmt.Sprint(i)] = outage.NewSide
+				out[fmt.Sprint(i)] = outage.NewCohort
 			}
 		}
 		return out
@@ -24,25 +24,25 @@
 	count := func(worse int) outage.Counts {
 		var m outage.Meter
 		for _, hour := range []struct{ fresh, failing int }{{1, 1}, {5, 10}} { // of 100
-			m.Count("up-1", sides(hour.fresh), nil, 1.5)
+			m.Configure("up-1", sides(hour.fresh), nil, 1.5)
 			for i := range 10_000 {
-				one := outage.Attempt{Server: fmt.Sprint(i % 10), Heard: true, InTime: true, First: 100 * time.Millisecond}
+				one := outage.Attempt{Server: fmt.Sprint(i % 10), Answered: true, InTime: true, FirstToken: 100 * time.Millisecond}
 				one.Failed = i/10%100 < hour.failing
 				if i%10 < hour.fresh && i/10%100 < hour.failing*worse {
 					one.Failed = true
 				}
-				m.Tried(one)
+				m.Record(one)
 			}
 		}
-		_, c := m.Cut()
+		_, c := m.Snapshot()
 		return c
 	}
-	h := outage.Model{}.Filled().Halt
+	h := outage.Model{}.WithDefaults().Halt
 	c := count(1)
 	if bad, looked := h.Look(c, 0); bad != "" || !looked {
 		t.Errorf("no worse: %q", bad)
 	}
-	c.Expect = outage.Expect{}
+	c.Expected = outage.Expected{}
 	if bad, _ := h.Look(c, 0); bad == "" {
 		t.Error("all hours put together do not mislead: the case shows nothing")
 	}
--- a/internal/decide/outage/model.go
+++ b/internal/decide/outage/model.go
@@ -19,9 +19,9 @@
 	Routers     float64 `toml:"routers"`
 	WorkersSite float64 `toml:"workers_site,omitzero"`
 	WorkersRole float64 `toml:"workers_role,omitzero"`
-	Follow
+	HeadroomLimit
 	// Classes state what must go on serving each class.
-	Classes []Keep `toml:"class,omitempty"`
+	Classes []ClassFloor `toml:"class,omitempty"`
 	// PauseMs is the least time between the end of a wave of a release and the next one, in which it is looked at.
 	PauseMs float64 `toml:"pause_ms,omitzero"`
 	// LostMs is how long a server must be silent to most routers until it counts as lost.
@@ -41,8 +41,8 @@
 	Halt Halt  `toml:"halt,omitempty"`
 }
 
-// Keep is the least that must go on serving a class.
-type Keep struct {
+// ClassFloor is the least that must go on serving a class.
+type ClassFloor struct {
 	Name string  `toml:"name"`
 	Part float64 `toml:"keep"` // of the weight of all servers, from 0 to 1
 }
@@ -61,12 +61,12 @@
 }
 
 // On tells whether there is a budget.
-func (m Model) On() bool { return m.Workers > 0 || m.Routers > 0 || m.Follows() }
+func (m Model) On() bool { return m.Workers > 0 || m.Routers > 0 || m.FollowsHeadroom() }
 
-// Filled gives the model with its defaults.
-func (m Model) Filled() Model {
+// WithDefaults gives the model with its defaults.
+func (m Model) WithDefaults() Model {
 	all := cmp.Or(m.Max, m.Workers)
-	m.WorkersSite, m.WorkersRole, m.Follow = cmp.Or(m.WorkersSite, all), cmp.Or(m.WorkersRole, all), m.Follow.filled()
+	m.WorkersSite, m.WorkersRole, m.HeadroomLimit = cmp.Or(m.WorkersSite, all), cmp.Or(m.WorkersRole, all), m.HeadroomLimit.withDefaults()
 	m.PauseMs, m.LostMs, m.WarmMs = cmp.Or(m.PauseMs, 5000), cmp.Or(m.LostMs, 1500), cmp.Or(m.WarmMs, 5000)
 	m.ReturnMs, m.ReportMs, m.Lag = cmp.Or(m.ReturnMs, 120_000), cmp.Or(m.ReportMs, 500), cmp.Or(m.Lag, 200)
 	h := &m.Halt
@@ -120,7 +120,7 @@
 	} else if !(h.Refused >= 0 && h.Refused <= 1) {
 		return &ModelError{"halt.refused", h.Refused, "must be from 0 to 1"}
 	}
-	if err := m.Follow.check(); err != nil {
+	if err := m.HeadroomLimit.check(); err != nil {
 		return err
 	}
 	for _, k := range m.Classes {
@@ -142,4 +142,4 @@
 	return max(int(bound*float64(n)), 1)
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/decide/outage/order_test.go
+++ b/internal/decide/outage/order_test.go
@@ -5,7 +5,7 @@
 )
 
 // What holds least for others goes first; of equals the sites take turns. An order that is asked for stands.
-func TestLeastLossFirst(t *testing.T) {
+func TestTargetOrder(t *testing.T) {
 	list := func() (out []Target) {
 		for _, name := range []string{"a1", "a2", "a3", "b1", "b2", "c1"} {
 			out = append(out, Target{Name: name, Site: name[:1]})
@@ -19,7 +19,7 @@
 		want  string
 	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", kept, "c1 a2 b2 a3 b1 a1"}, {"name", kept, "a1 a2 a3 b1 b2 c1"}, {"site", kept, "a1 a2 a3 b1 b2 c1"}} {
 		got := ""
-		for _, one := range arranged(list(), c.order, c.kept) {
+		for _, one := range sortTargets(list(), c.order, c.kept) {
 			got += " " + one.Name
 		}
 		if got != " "+c.want {
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -13,32 +13,32 @@
 	"sumacloft/internal/standin"
 )
 
-func start(f *fleet, s outage.Spec) func(v outage.View) (*outage.State, error) {
+func startRelease(f *fleet, s outage.Spec) func(v outage.View) (*outage.State, error) {
 	return func(v outage.View) (*outage.State, error) { return v.Start(s, "op") }
 }
 
 // Six wishes by hand at once: no more than the budget are out, each waits with a reason, and one that serves again lets
 // the next one go.
-func TestWishesWaitTheirTurn(t *testing.T) {
-	f := newFleet(1, plain, "")
-	f.until(t, "routers known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+func TestPermitRequestsWaitForBudget(t *testing.T) {
+	f := newFleet(1, testModel, "")
+	f.waitUntil(t, "routers known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
 	for _, name := range []string{"s1", "s2", "s4", "s5", "s7", "s8"} {
-		_ = f.order(func(v outage.View) (*outage.State, error) {
-			next, _ := v.Last.Ask(outage.ID(outage.Server, name), "op")
+		_ = f.applyOrder(func(v outage.View) (*outage.State, error) {
+			next, _ := v.Last.Drain(outage.ID(outage.Server, name), "op")
 			return next, nil
 		})
 	}
-	clear := func(name string) bool { return f.state.Permits["server/"+name].Stage == outage.Clear }
-	f.until(t, "two are out", 10*time.Second, func() bool { return clear("s1") && clear("s4") })
-	if len(f.state.Permits) != 2 || f.state.Wishes["server/s2"].Wait == "" || f.state.Wishes["server/s7"].Wait == "" {
-		t.Fatalf("%+v %+v", f.state.Permits, f.state.Wishes)
+	clear := func(name string) bool { return f.state.Permits["server/"+name].Stage == outage.Acknowledged }
+	f.waitUntil(t, "two are out", 10*time.Second, func() bool { return clear("s1") && clear("s4") })
+	if len(f.state.Permits) != 2 || f.state.PermitRequests["server/s2"].WaitReason == "" || f.state.PermitRequests["server/s7"].WaitReason == "" {
+		t.Fatalf("%+v %+v", f.state.Permits, f.state.PermitRequests)
 	}
-	_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
-	f.until(t, "the next of the same site", 10*time.Second, func() bool { return clear("s2") && len(f.state.Permits) == 2 })
+	_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
+	f.waitUntil(t, "the next of the same site", 10*time.Second, func() bool { return clear("s2") && len(f.state.Permits) == 2 })
 	// A loss uses the budget: nothing more is given, though a permit has room to end.
 	f.kill("s9")
-	f.until(t, "the loss is agreed", 10*time.Second, func() bool { return f.state.Lost["server/s9"].Why == "silent" })
-	_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s4", "op"), nil })
+	f.waitUntil(t, "the loss is agreed", 10*time.Second, func() bool { return f.state.Lost["server/s9"].Why == "silent" })
+	_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s4", "op"), nil })
 	for range 40 {
 		f.step()
 	}
@@ -46,99 +46,99 @@
 		t.Fatalf("%+v", f.state.Permits)
 	}
 	f.start("s9", "v1")
-	f.until(t, "room again", 10*time.Second, func() bool { return len(f.state.Permits) == 2 })
-	f.clean(t)
+	f.waitUntil(t, "room again", 10*time.Second, func() bool { return len(f.state.Permits) == 2 })
+	f.checkNoFaults(t)
 }
 
 // A permit ends only by what is seen: not while its thing is away, whoever is gone; a bad label that comes back halts.
-func TestPermitEndsByEvidenceOnly(t *testing.T) {
-	f := newFleet(2, plain, "")
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	if err := f.order(start(f, spec("v2"))); err != nil {
+func TestPermitEndsOnlyWhenServerReturns(t *testing.T) {
+	f := newFleet(2, testModel, "")
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
-	f.until(t, "the canary is clear", 10*time.Second, func() bool { return f.state.Permits["server/s1"].Stage == outage.Clear })
+	f.waitUntil(t, "the canary is clear", 10*time.Second, func() bool { return f.state.Permits["server/s1"].Stage == outage.Acknowledged })
 	f.deployer = false
 	f.kill("s1")
 	for range 200 {
 		f.step()
 	}
-	if f.state.Permits["server/s1"].Stage != outage.Clear || f.phase() != outage.Halted {
+	if f.state.Permits["server/s1"].Stage != outage.Acknowledged || f.phase() != outage.Halted {
 		t.Fatalf("%+v %v", f.state.Permits, f.phase())
 	}
 	f.start("s1", "v1") // with the old label
-	f.until(t, "it has ended", 20*time.Second, func() bool { return len(f.state.Permits) == 0 })
-	if got := f.running().Targets[0]; got.State != outage.Held {
+	f.waitUntil(t, "it has ended", 20*time.Second, func() bool { return len(f.state.Permits) == 0 })
+	if got := f.release().Targets[0]; got.State != outage.Blocked {
 		t.Fatalf("%+v", got)
 	}
 	f.deployer = true
-	if err := f.order(func(v outage.View) (*outage.State, error) { return v.Resume("op") }); err != nil {
+	if err := f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Resume("op") }); err != nil {
 		t.Fatal(err)
 	}
-	f.until(t, "done", 5*time.Minute, func() bool { return f.phase() == outage.Done })
-	if f.labels()["v2"] != 9 || f.most > 2 {
-		t.Fatalf("%v, %d down at once", f.labels(), f.most)
+	f.waitUntil(t, "done", 5*time.Minute, func() bool { return f.phase() == outage.Done })
+	if f.labels()["v2"] != 9 || f.maxDown > 2 {
+		t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
 	}
-	f.clean(t)
+	f.checkNoFaults(t)
 }
 
 // A version that fails one request in twenty is halted and taken back; asked twice it is one way back. A release that
 // shares the fleet with it is refused and told of it. A good one goes through, also while all fail alike.
-func TestHaltAndWayBack(t *testing.T) {
+func TestHaltAndRollback(t *testing.T) {
 	halted := 0
 	for seed := range uint64(10) {
-		f := newFleet(seed, plain, "")
-		f.badLabel, f.failing = "v2", 0.05
-		f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-		if err := f.order(start(f, spec("v2"))); err != nil {
+		f := newFleet(seed, testModel, "")
+		f.badLabel, f.failureRate = "v2", 0.05
+		f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+		if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 			t.Fatal(err)
 		}
 		var refused *outage.RefusedError
-		if err := f.order(start(f, spec("v3"))); !errors.As(err, &refused) {
+		if err := f.applyOrder(startRelease(f, spec("v3"))); !errors.As(err, &refused) {
 			t.Fatalf("a second release: %v", err)
 		}
-		f.until(t, "halted or done", 10*time.Minute, func() bool { return f.phase() == outage.Halted || f.phase() == outage.Done })
+		f.waitUntil(t, "halted or done", 10*time.Minute, func() bool { return f.phase() == outage.Halted || f.phase() == outage.Done })
 		if f.phase() == outage.Halted {
 			halted++
 		}
 		for range 2 {
-			if err := f.order(func(v outage.View) (*outage.State, error) { return v.Last.TakeBack("op") }); err != nil {
+			if err := f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") }); err != nil {
 				t.Fatal(err)
 			}
 			f.step()
 		}
-		f.until(t, "taken back", 10*time.Minute, func() bool { return f.phase() == outage.Undone })
-		if f.labels()["v1"] != 9 || f.most > 2 {
-			t.Fatalf("%v, %d down at once", f.labels(), f.most)
+		f.waitUntil(t, "taken back", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
+		if f.labels()["v1"] != 9 || f.maxDown > 2 {
+			t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
 		}
-		f.clean(t)
+		f.checkNoFaults(t)
 	}
 	if halted < 10 {
 		t.Errorf("%d of 10 bad releases were halted", halted)
 	}
 	for seed := range uint64(20) { // all fail alike: no false halt
-		f := newFleet(100+seed, plain, "")
-		f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-		if err := f.order(start(f, spec("v2"))); err != nil {
+		f := newFleet(100+seed, testModel, "")
+		f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+		if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 			t.Fatal(err)
 		}
-		f.until(t, "done", 10*time.Minute, func() bool { return f.phase() == outage.Done })
-		f.clean(t)
+		f.waitUntil(t, "done", 10*time.Minute, func() bool { return f.phase() == outage.Done })
+		f.checkNoFaults(t)
 	}
 }
 
 // What was declared gone is named, and neither a resumed release nor the way back waits for it.
-func TestGoneIsNotTriedAgain(t *testing.T) {
-	f := newFleet(7, plain, "")
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+func TestServerDeclaredGoneIsNotRetried(t *testing.T) {
+	f := newFleet(7, testModel, "")
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
 	f.deployer = false
-	if err := f.order(start(f, spec("v2"))); err != nil {
+	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
 	gone := ""
-	f.until(t, "clear", time.Minute, func() bool {
+	f.waitUntil(t, "clear", time.Minute, func() bool {
 		for thing, p := range f.state.Permits {
-			if p.Stage == outage.Clear {
+			if p.Stage == outage.Acknowledged {
 				_, gone = outage.Split(thing)
 			}
 		}
@@ -147,36 +147,36 @@
 	delete(f.servers, gone)
 	for _, how := range []func(v outage.View) (*outage.State, error){
 		func(v outage.View) (*outage.State, error) {
-			return v.Last.Gone(outage.ID(outage.Server, gone), "op"), nil
+			return v.Last.DeclareGone(outage.ID(outage.Server, gone), "op"), nil
 		},
 		func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") },
 		func(v outage.View) (*outage.State, error) { return v.Resume("op") },
 	} {
-		if err := f.order(how); err != nil {
+		if err := f.applyOrder(how); err != nil {
 			t.Fatal(err)
 		}
 	}
 	f.deployer = true
-	f.until(t, "done without it", 10*time.Minute, func() bool { return f.phase() == outage.Done })
-	if err := f.order(func(v outage.View) (*outage.State, error) { return v.Last.TakeBack("op") }); err != nil {
+	f.waitUntil(t, "done without it", 10*time.Minute, func() bool { return f.phase() == outage.Done })
+	if err := f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") }); err != nil {
 		t.Fatal(err)
 	}
-	f.until(t, "taken back without it", 10*time.Minute, func() bool { return f.phase() == outage.Undone })
-	if f.labels()["v1"] != 8 || f.most > 2 {
-		t.Fatalf("%v, %d down at once", f.labels(), f.most)
+	f.waitUntil(t, "taken back without it", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
+	if f.labels()["v1"] != 8 || f.maxDown > 2 {
+		t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
 	}
-	f.clean(t)
+	f.checkNoFaults(t)
 }
 
 // Routers are released one after the other, and each waits for the store's members.
-func TestRoutersAreReleased(t *testing.T) {
-	f := newFleet(5, plain, "")
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	if err := f.order(start(f, outage.Spec{Name: "prog", Kind: outage.Router, To: "v2"})); err != nil {
+func TestRouterRelease(t *testing.T) {
+	f := newFleet(5, testModel, "")
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	if err := f.applyOrder(startRelease(f, outage.Spec{Name: "prog", Kind: outage.Router, To: "v2"})); err != nil {
 		t.Fatal(err)
 	}
 	most := 0
-	f.until(t, "done", 10*time.Minute, func() bool {
+	f.waitUntil(t, "done", 10*time.Minute, func() bool {
 		down := 0
 		for _, r := range f.routers {
 			if !r.up {
@@ -194,20 +194,20 @@
 	if most != 1 {
 		t.Errorf("%d routers were down at once", most)
 	}
-	f.clean(t)
+	f.checkNoFaults(t)
 }
 
-// chaos draws what happens to a fleet, and tells whether the auditor or the labels at the end find a fault.
-func chaos(rt *rapid.T, broken outage.Fault) (faults []string) {
-	f := newFleet(rapid.Uint64().Draw(rt, "seed"), plain, broken)
-	f.badLabel, f.failing = "v2", 0.3
-	f.copying(f.rng.IntN(4) / 3 * 3000) // one life in four
+// randomOperations draws what happens to a fleet, and tells whether the auditor or the labels at the end find a fault.
+func randomOperations(rt *rapid.T, broken outage.Fault) (faults []string) {
+	f := newFleet(rapid.Uint64().Draw(rt, "seed"), testModel, broken)
+	f.badLabel, f.failureRate = "v2", 0.3
+	f.enableCopyWait(f.rng.IntN(4) / 3 * 3000) // one life in four
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"}
 	routers := []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 	pick := func(list []string) string { return rapid.SampledFrom(list).Draw(rt, "which") }
 	view := func(how func(v outage.View) (*outage.State, error)) {
 		if f.state != nil {
-			_ = f.order(how) // what is refused changes nothing
+			_ = f.applyOrder(how) // what is refused changes nothing
 		}
 	}
 	for range rapid.IntRange(10, 40).Draw(rt, "events") {
@@ -228,14 +228,14 @@
 			}
 		case 5:
 			thing := outage.ID(outage.Server, pick(servers))
-			view(func(v outage.View) (*outage.State, error) { next, _ := v.Last.Ask(thing, "op"); return next, nil })
+			view(func(v outage.View) (*outage.State, error) { next, _ := v.Last.Drain(thing, "op"); return next, nil })
 		case 6:
 			thing := outage.ID(outage.Server, pick(servers))
 			view(func(v outage.View) (*outage.State, error) { return v.Last.Serve(thing, "op"), nil })
 		case 7:
-			view(start(f, spec(pick([]string{"v1", "v2"}))))
+			view(startRelease(f, spec(pick([]string{"v1", "v2"}))))
 		case 8:
-			view(func(v outage.View) (*outage.State, error) { return v.Last.TakeBack("op") })
+			view(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
 		case 9:
 			view(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
 		case 10:
@@ -264,15 +264,15 @@
 	for range 20 {
 		f.step()
 	}
-	view(func(v outage.View) (*outage.State, error) { return v.Last.TakeBack("op") })
+	view(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
 	view(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
-	for i := 0; f.running() != nil && f.phase() != outage.Undone; i++ {
+	for i := 0; f.release() != nil && f.phase() != outage.RolledBack; i++ {
 		if f.step(); i > 1000 {
 			data, _ := json.Marshal(f.state)
 			return append(f.audit.Faults, "the way back has no end: "+string(data))
 		}
 	}
-	if r := f.running(); r != nil {
+	if r := f.release(); r != nil {
 		for _, target := range r.Targets {
 			if target.State == outage.Reached && f.servers[target.Name].label != target.From {
 				f.audit.Faults = append(f.audit.Faults, target.Name+" was forgotten on the way back: label "+f.servers[target.Name].label)
@@ -283,22 +283,22 @@
 }
 
 // Whatever happens, the rules hold.
-func TestRulesHold(t *testing.T) {
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		if faults := chaos(rt, ""); len(faults) > 0 {
+		if faults := randomOperations(rt, ""); len(faults) > 0 {
 			rt.Fatalf("%v", faults)
 		}
 	})
 }
 
 // Each decider that breaks a rule is found.
-func TestBrokenDecidersAreFound(t *testing.T) {
+func TestAuditorDetectsBrokenDeciders(t *testing.T) {
 	standin.Steady(t)
-	for _, broken := range []outage.Fault{outage.WaitsOn, outage.FreesLapsed, outage.CountsOwn, outage.NoHalt, outage.ForgetsOne, outage.TwoOwners} {
+	for _, broken := range []outage.Fault{outage.WaitsForever, outage.ExpiresPermits, outage.CountsReleasesOnly, outage.IgnoresHalt, outage.SkipsRollback, outage.ExceedsBudget} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			if found == 0 && len(chaos(rt, broken)) > 0 {
+			if found == 0 && len(randomOperations(rt, broken)) > 0 {
 				found++
 			}
 		})
@@ -310,11 +310,11 @@
 
 // The test of two versions keeps its level, and finds one that is worse.
 func TestSequentialTest(t *testing.T) {
-	h := outage.Model{}.Filled().Halt
+	h := outage.Model{}.WithDefaults().Halt
 	if h.Least == 0 || h.Level == 0 {
 		t.Fatal("no defaults")
 	}
-	f := newFleet(7, plain, "")
+	f := newFleet(7, testModel, "")
 	runs := map[float64]int{}
 	for _, rate := range []float64{0.02, 0.05, 0.2} {
 		for range 200 {
@@ -352,13 +352,13 @@
 
 // What a thousand routers' fleets hold is decided in time, and a state stays small.
 func BenchmarkNext(b *testing.B) {
-	v := outage.View{Model: outage.Model{Workers: 0.1, Routers: 0.1}, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: outage.Model{Workers: 0.1, Routers: 0.1}, Routers: map[string]outage.Registration{}}
 	for i := range 100 {
 		name := "r" + string(rune('0'+i/10)) + string(rune('0'+i%10))
-		v.Routers[name] = outage.Registered{Boot: "1", Label: "v1", Live: true}
-		r := outage.Report{Router: name, Boot: "1", Sees: map[string]outage.Sight{}, Rev: int64(i + 1)}
+		v.Routers[name] = outage.Registration{Boot: "1", Label: "v1", Live: true}
+		r := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}, Rev: int64(i + 1)}
 		for j := range 500 {
-			r.Sees[outage.ID("s", string(rune('0'+j/100))+string(rune('0'+j/10%10))+string(rune('0'+j%10)))] = outage.Sight{Site: string(rune('a' + j%10)), Boot: "1", Asked: true}
+			r.Observed[outage.ID("s", string(rune('0'+j/100))+string(rune('0'+j/10%10))+string(rune('0'+j%10)))] = outage.Observation{Site: string(rune('a' + j%10)), Boot: "1", Probed: true}
 		}
 		v.Reports = append(v.Reports, r)
 	}
@@ -371,16 +371,16 @@
 func FuzzState(f *testing.F) {
 	f.Add([]byte(`{"seq":1,"permits":{"server/s1":{"id":1,"stage":"clear"}},"release":{"name":"x","phase":"back","targets":[{"name":"s1"}]}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := read(data)
+		s := decodeState(data)
 		if s == nil {
 			return
 		}
-		v := outage.View{Model: plain, Last: s, Routers: map[string]outage.Registered{"d1": {Boot: "1", Live: true}},
-			Reports: []outage.Report{{Router: "d1", Boot: "1", Sees: map[string]outage.Sight{"s1": {Boot: "2", Asked: true}}}}}
+		v := outage.View{Model: testModel, Last: s, Routers: map[string]outage.Registration{"d1": {Boot: "1", Live: true}},
+			Reports: []outage.Report{{Router: "d1", Boot: "1", Observed: map[string]outage.Observation{"s1": {Boot: "2", Probed: true}}}}}
 		d := &outage.Decider{Me: "d1"}
 		for i := range 20 {
 			if next := d.Next(v, time.Duration(i)*time.Second); next != nil {
-				if !slices.IsSortedFunc(next.Past, func(a, b outage.Past) int { return int(a.Seq - b.Seq) }) && slices.IsSortedFunc(s.Past, func(a, b outage.Past) int { return int(a.Seq - b.Seq) }) && len(s.Past) == 0 {
+				if !slices.IsSortedFunc(next.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && slices.IsSortedFunc(s.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && len(s.EndedPermits) == 0 {
 					t.Fatal("ends out of order")
 				}
 				v.Last = next
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -29,15 +29,15 @@
 
 // The phases of a release.
 const (
-	Running Phase = "running"
-	Halted  Phase = "halted"
-	Back    Phase = "back"     // its targets are taken back to the labels they had
-	Done    Phase = "done"     // every target has its label, or is named with what holds it
-	Undone  Phase = "returned" // every target has its old label, or is named with what holds it
+	Running     Phase = "running"
+	Halted      Phase = "halted"
+	RollingBack Phase = "back"     // its targets are taken back to the labels they had
+	Done        Phase = "done"     // every target has its label, or is named with what holds it
+	RolledBack  Phase = "returned" // every target has its old label, or is named with what holds it
 )
 
-// Over tells whether nothing more is to be done.
-func (p Phase) Over() bool { return p == Done || p == Undone }
+// Finished tells whether nothing more is to be done.
+func (p Phase) Finished() bool { return p == Done || p == RolledBack }
 
 // Progress is how far a target has come.
 type Progress string
@@ -47,10 +47,10 @@
 	Waiting Progress = "waiting"
 	Out     Progress = "out" // under a permit
 	Reached Progress = "reached"
-	Held    Progress = "held" // something keeps it from its label
+	Blocked Progress = "held" // something keeps it from its label
 )
 
-func (p Progress) over() bool { return p == Reached || p == Held }
+func (p Progress) finished() bool { return p == Reached || p == Blocked }
 
 // Target is one thing of a release.
 type Target struct {
@@ -59,30 +59,30 @@
 	From  string   `json:"from,omitempty"` // its label before
 	State Progress `json:"state"`
 	Why   string   `json:"why,omitempty"`
-	Nth   int64    `json:"nth,omitempty"`  // in which order targets reached the label
+	Order int64    `json:"nth,omitempty"`  // in which order targets reached the label
 	Gone  bool     `json:"gone,omitempty"` // an operator said so: nothing is tried with it again
 }
 
 // Release is a release under way, or the last one.
 type Release struct {
 	Spec
-	Run      string   `json:"run"` // names this run of it
-	Phase    Phase    `json:"phase"`
-	Targets  []Target `json:"targets"`
-	Wave     int      `json:"wave"`       // counted from 0
-	Left     int      `json:"left"`       // targets that may still go out in this wave
-	PauseMs  float64  `json:"pause_ms"`   // since the last wave ended
-	Paused   bool     `json:"paused"`     // between two waves
-	Reached  int64    `json:"reached"`    // how many times a target reached the label
-	Looks    int      `json:"looks"`      // of the sequential test
-	Halts    int      `json:"halts"`      // how often it was halted
-	Why      string   `json:"why"`        // the reason of its phase
-	HaltSeq  int64    `json:"halt_seq"`   // of the state that halted it last
-	Before   Phase    `json:"before"`     // that a halt interrupted
-	LostAt   int      `json:"lost_sites"` // that were lost when it began, or was resumed
-	ByHand   bool     `json:"by_hand,omitempty"`
-	Evidence Counts   `json:"evidence,omitzero"` // that the last look was made on
-	Doubt    *Doubt   `json:"doubt,omitempty"`   // a halt by a version's counts that is not settled
+	Run        string         `json:"run"` // names this run of it
+	Phase      Phase          `json:"phase"`
+	Targets    []Target       `json:"targets"`
+	Wave       int            `json:"wave"`       // counted from 0
+	WaveLeft   int            `json:"left"`       // targets that may still go out in this wave
+	PauseMs    float64        `json:"pause_ms"`   // since the last wave ended
+	Paused     bool           `json:"paused"`     // between two waves
+	Reached    int64          `json:"reached"`    // how many times a target reached the label
+	Looks      int            `json:"looks"`      // of the sequential test
+	Halts      int            `json:"halts"`      // how often it was halted
+	Why        string         `json:"why"`        // the reason of its phase
+	HaltSeq    int64          `json:"halt_seq"`   // of the state that halted it last
+	HaltedFrom Phase          `json:"before"`     // that a halt interrupted
+	LostSites  int            `json:"lost_sites"` // that were lost when it began, or was resumed
+	ByHand     bool           `json:"by_hand,omitempty"`
+	Evidence   Counts         `json:"evidence,omitzero"` // that the last look was made on
+	Unsettled  *UnsettledHalt `json:"doubt,omitempty"`   // a halt by a version's counts that is not settled
 }
 
 // ReleaseError names a key of a release's file that can't hold.
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// wave is the size of a wave.
-func (r *Release) wave() int {
+// waveSize is the size of a waveSize.
+func (r *Release) waveSize() int {
 	if len(r.Waves) == 0 {
 		return min(r.Wave+1, 2)
 	}
@@ -133,7 +133,7 @@
 	if !v.Model.On() {
 		return nil, &RefusedError{spec.Name, "the policy has no [outage]", "add a budget to the policy and apply it"}
 	}
-	if r := v.Last.clone().Release; r != nil && !r.Phase.Over() {
+	if r := v.Last.clone().Release; r != nil && !r.Phase.Finished() {
 		return nil, &RefusedError{spec.Name, fmt.Sprintf("release %s (to %s) is %s and has not come to its end", r.Name, r.To, r.Phase),
 			"wait for it, or take it back: sumactl release back"}
 	}
@@ -147,7 +147,7 @@
 	named := map[string]bool{}
 	switch spec.Kind {
 	case Server:
-		seen, count := map[string]Sight{}, map[[2]string]int{}
+		seen, count := map[string]Observation{}, map[[2]string]int{}
 		for _, r := range v.Reports {
 			for id, s := range r.All {
 				if !v.Routers[r.Router].Live {
@@ -180,15 +180,15 @@
 	next := v.Last.clone()
 	next.Seq++
 	next.By, next.Why = by, "release "+spec.Name+" begins"
-	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running, Targets: arranged(targets, spec.Order, v.Kept), Paused: false,
-		LostAt: len(v.LostSites)}
-	next.Release.Left = next.Release.wave()
+	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running, Targets: sortTargets(targets, spec.Order, v.CachedTokens), Paused: false,
+		LostSites: len(v.LostSites)}
+	next.Release.WaveLeft = next.Release.waveSize()
 	return next, nil
 }
 
-// arranged orders targets: with spread those that hold least for others go first, and of equals the sites take turns, so that a
+// sortTargets orders targets: with spread those that hold least for others go first, and of equals the sites take turns, so that a
 // wave takes little from each.
-func arranged(list []Target, order string, kept map[string]float64) []Target {
+func sortTargets(list []Target, order string, kept map[string]float64) []Target {
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Name, b.Name)) })
 	switch order {
 	case "site":
@@ -230,7 +230,7 @@
 		return nil, nil
 	}
 	next, err := s.change("halt", by, func(r *Release) error {
-		if r.Phase.Over() {
+		if r.Phase.Finished() {
 			return &RefusedError{"halt", "release " + r.Name + " has come to its end", "nothing is to be done"}
 		}
 		r.halt(cmp.Or(why, "by hand"))
@@ -244,24 +244,24 @@
 }
 
 func (r *Release) halt(why string) {
-	r.Before, r.Phase, r.Why = r.Phase, Halted, why
+	r.HaltedFrom, r.Phase, r.Why = r.Phase, Halted, why
 	r.Halts++
 }
 
 // Resume has a halted release go on where it stopped: targets that were held are tried again, and what was counted
 // until now is not held against it any more.
 func (v View) Resume(by string) (*State, error) {
-	if v.Last != nil && v.Last.Release != nil && (v.Last.Release.Phase == Running || v.Last.Release.Phase == Back) {
+	if v.Last != nil && v.Last.Release != nil && (v.Last.Release.Phase == Running || v.Last.Release.Phase == RollingBack) {
 		return nil, nil
 	}
 	return v.Last.change("resume", by, func(r *Release) error {
 		if r.Phase != Halted {
 			return &RefusedError{"resume", "release " + r.Name + " is " + string(r.Phase) + ", not halted", "see 'sumactl release status'"}
 		}
-		r.Phase, r.Why, r.ByHand, r.Looks, r.LostAt = r.Before, "", false, 0, len(v.LostSites)
+		r.Phase, r.Why, r.ByHand, r.Looks, r.LostSites = r.HaltedFrom, "", false, 0, len(v.LostSites)
 		r.Run = r.Name + "-" + strconv.FormatInt(v.Last.Seq+1, 10)
 		for i := range r.Targets {
-			if r.Targets[i].State == Held && !r.Targets[i].Gone {
+			if r.Targets[i].State == Blocked && !r.Targets[i].Gone {
 				r.Targets[i].State, r.Targets[i].Why = Waiting, ""
 			}
 		}
@@ -269,21 +269,21 @@
 	})
 }
 
-// TakeBack returns what was released to the labels that it had, the newest first; what is on its way comes in first, with
+// RollBack returns what was released to the labels that it had, the newest first; what is on its way comes in first, with
 // whatever label it has by then.
 // Asked twice it is one way back: nil, nil.
-func (s *State) TakeBack(by string) (*State, error) {
-	if s != nil && s.Release != nil && (s.Release.Phase == Back || s.Release.Phase == Undone || s.Release.Phase == Halted && s.Release.Before == Back) {
+func (s *State) RollBack(by string) (*State, error) {
+	if s != nil && s.Release != nil && (s.Release.Phase == RollingBack || s.Release.Phase == RolledBack || s.Release.Phase == Halted && s.Release.HaltedFrom == RollingBack) {
 		return nil, nil
 	}
 	next, err := s.change("back", by, func(r *Release) error {
-		r.Phase, r.Why, r.Paused, r.Wave = Back, "taken back by "+by, false, 0
+		r.Phase, r.Why, r.Paused, r.Wave = RollingBack, "taken back by "+by, false, 0
 		var reached, rest []Target
 		for _, t := range r.Targets {
 			switch {
 			case t.Gone:
 				rest = append(rest, t)
-			case t.State == Reached || t.State == Held:
+			case t.State == Reached || t.State == Blocked:
 				t.State, t.Why = Waiting, ""
 				reached = append(reached, t)
 			case t.State == Out:
@@ -293,9 +293,9 @@
 				rest = append(rest, t)
 			}
 		}
-		slices.SortStableFunc(reached, func(a, b Target) int { return cmp.Compare(cmp.Or(b.Nth, 1<<62), cmp.Or(a.Nth, 1<<62)) })
+		slices.SortStableFunc(reached, func(a, b Target) int { return cmp.Compare(cmp.Or(b.Order, 1<<62), cmp.Or(a.Order, 1<<62)) })
 		r.Targets = append(reached, rest...)
-		r.Left = r.wave()
+		r.WaveLeft = r.waveSize()
 		return nil
 	})
 	if err != nil {
@@ -311,29 +311,29 @@
 	return next, nil
 }
 
-// strayed has targets that are called back, and are seen with another label than their old one, taken back again.
-func (w *work) strayed(r *Release) {
+// retryStrayed has targets that are called back, and are seen with another label than their old one, taken back again.
+func (w *draft) retryStrayed(r *Release) {
 	for i := range r.Targets {
 		t := &r.Targets[i]
 		thing := ID(r.Kind, t.Name)
-		if _, out := w.Permits[thing]; out || t.State != Reached || r.Phase != Back || w.broken == ForgetsOne {
+		if _, out := w.Permits[thing]; out || t.State != Reached || r.Phase != RollingBack || w.broken == SkipsRollback {
 			continue
 		}
-		s := w.f.servers[t.Name]
+		s := w.fleet.servers[t.Name]
 		label, sure := s.Label, s.agreed
 		if r.Kind == Router {
-			label, sure = w.Known[t.Name].Label, w.v.Routers[t.Name].Live
+			label, sure = w.Known[t.Name].Label, w.view.Routers[t.Name].Live
 		}
 		if sure && label != t.From {
 			t.State = Waiting
-			w.say("%s has label %q: it is to go back all the same", thing, label)
+			w.note("%s has label %q: it is to go back all the same", thing, label)
 		}
 	}
 }
 
-// want is the label that a target is to have now.
-func (r *Release) want(t Target) string {
-	if r.Phase == Back || r.Phase == Undone || r.Phase == Halted && r.Before == Back {
+// wantedLabel is the label that a target is to have now.
+func (r *Release) wantedLabel(t Target) string {
+	if r.Phase == RollingBack || r.Phase == RolledBack || r.Phase == Halted && r.HaltedFrom == RollingBack {
 		return t.From
 	}
 	return r.To
--- a/internal/decide/outage/reload.go
+++ b/internal/decide/outage/reload.go
@@ -8,8 +8,8 @@
 // Reload is a server that should come back with another label.
 type Reload struct{ Server, To string }
 
-// before orders wishes: an operator's first, as they came, then reloads by their turns.
-func (w Wish) before(o Wish) int {
+// compare orders wishes: an operator's first, as they came, then reloads by their turns.
+func (w PermitRequest) compare(o PermitRequest) int {
 	if (w.For == "") != (o.For == "") {
 		if w.For == "" {
 			return -1
@@ -17,36 +17,36 @@
 		return 1
 	}
 	if w.For != "" {
-		return cmp.Compare(w.Place, o.Place)
+		return cmp.Compare(w.Rank, o.Rank)
 	}
 	return cmp.Compare(w.Seq, o.Seq)
 }
 
-// Reloads has the wishes for reloads be those that are wanted now, in their order: who is wished out already, or out, is
+// RequestReloads has the wishes for reloads be those that are wanted now, in their order: who is wished out already, or out, is
 // not wished again, and who is not wanted any more is withdrawn. nil: they are as wanted.
-func (s *State) Reloads(wanted []Reload, by string) *State {
+func (s *State) RequestReloads(wanted []Reload, by string) *State {
 	next, news := s.clone(), false
 	next.Seq++
 	want := map[string]bool{}
 	for i, r := range wanted {
 		thing := ID(Server, r.Server)
 		want[thing] = true
-		w, is := next.Wishes[thing]
+		w, is := next.PermitRequests[thing]
 		if _, out := next.Permits[thing]; out || is && w.For == "" {
 			continue
 		}
-		if is && w.To == r.To && w.Place == i {
+		if is && w.To == r.To && w.Rank == i {
 			continue
 		}
 		if !is {
-			w = Wish{Seq: next.Seq, By: by, For: ForReload, Wait: "not looked at yet"}
+			w = PermitRequest{Seq: next.Seq, By: by, For: ForReload, WaitReason: "not looked at yet"}
 		}
-		w.To, w.Place = r.To, i
-		next.Wishes[thing], news = w, true
+		w.To, w.Rank = r.To, i
+		next.PermitRequests[thing], news = w, true
 	}
-	for thing, w := range next.Wishes {
+	for thing, w := range next.PermitRequests {
 		if w.For == ForReload && !want[thing] {
-			delete(next.Wishes, thing)
+			delete(next.PermitRequests, thing)
 			news = true
 		}
 	}
--- a/internal/decide/outage/room.go
+++ b/internal/decide/outage/room.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// Follow has the number of servers that may be out go with how much of the fleet is used, between two walls. Without Max
+// HeadroomLimit has the number of servers that may be out go with how much of the fleet is used, between two walls. Without Max
 // the number is Workers.
-type Follow struct {
+type HeadroomLimit struct {
 	// Min and Max are the walls: numbers from 1 on, or shares of all below 1. Min absent is one server; Zero lets the
 	// number fall to none.
 	Min  float64 `toml:"workers_min,omitzero"`
@@ -21,19 +21,19 @@
 	RiseMs float64 `toml:"rise_ms,omitzero"`
 }
 
-// Follows tells whether the number follows room.
-func (f Follow) Follows() bool { return f.Max > 0 }
+// FollowsHeadroom tells whether the number follows room.
+func (f HeadroomLimit) FollowsHeadroom() bool { return f.Max > 0 }
 
-func (f Follow) filled() Follow {
-	if f.Follows() {
+func (f HeadroomLimit) withDefaults() HeadroomLimit {
+	if f.FollowsHeadroom() {
 		f.Fill, f.RiseMs = cmp.Or(f.Fill, 0.85), cmp.Or(f.RiseMs, 300_000)
 	}
 	return f
 }
 
-func (f Follow) check() error {
-	if !f.Follows() {
-		if f != (Follow{}) {
+func (f HeadroomLimit) check() error {
+	if !f.FollowsHeadroom() {
+		if f != (HeadroomLimit{}) {
 			return &ModelError{"workers_max", f.Max, "must be set for the number to follow room"}
 		}
 		return nil
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// walls are between which numbers of n servers the budget lies.
-func (f Follow) walls(n int) (least, most int) {
+// bounds are between which numbers of n servers the budget lies.
+func (f HeadroomLimit) bounds(n int) (least, most int) {
 	most = limit(f.Max, n)
 	least = min(max(limit(f.Min, n), 1), most)
 	if f.Zero {
@@ -67,21 +67,21 @@
 	return least, most
 }
 
-// Room is the number that follows room, as agreed on.
-type Room struct {
-	Most int     `json:"most"`
-	Used float64 `json:"used"` // the part of the fullest role's servers that was used when this was written
+// Headroom is the number that follows room, as agreed on.
+type Headroom struct {
+	Limit       int     `json:"most"`
+	Utilization float64 `json:"used"` // the part of the fullest role's servers that was used when this was written
 	// Rising tells that there is room for more, RiseMs for how long by the deciders' clocks, Low for how many at least
 	// in that time.
-	Rising bool    `json:"rising,omitempty"`
-	RiseMs float64 `json:"rise_ms,omitempty"`
-	Low    int     `json:"low,omitempty"`
+	Rising      bool    `json:"rising,omitempty"`
+	RiseMs      float64 `json:"rise_ms,omitempty"`
+	LowestLimit int     `json:"low,omitempty"`
 }
 
-// used is the part that is used of what all servers of a role can take together, of the role that is fullest: what the
+// utilization is the part that is utilization of what all servers of a role can take together, of the role that is fullest: what the
 // reports say that routers have at its servers. Where that is more it is what routers have, also what waits for a server, of
 // what all servers can take: in_hand that is too high is seen by what waits.
-func (f facts) used(inHand float64) (most float64) {
+func (f fleetStatus) utilization(inHand float64) (most float64) {
 	can, has := map[string]float64{}, map[string]float64{}
 	open, all := 0, 0.0
 	for _, r := range f.fresh {
@@ -91,7 +91,7 @@
 		can[s.Role] += s.Weight * inHand
 		all += s.Weight * inHand
 		for _, r := range f.fresh {
-			seen, _ := r.Sight(id)
+			seen, _ := r.Observation(id)
 			has[s.Role] += float64(seen.Busy)
 		}
 	}
@@ -104,85 +104,85 @@
 	return most
 }
 
-// follow has the number fall at once with the room there is, and rise once there was room for more all the time.
-func (w *work) follow() {
-	f := w.m.Follow
-	if !f.Follows() {
-		w.Room = nil
+// updateHeadroom has the number fall at once with the room there is, and rise once there was room for more all the time.
+func (w *draft) updateHeadroom() {
+	f := w.model.HeadroomLimit
+	if !f.FollowsHeadroom() {
+		w.Headroom = nil
 		return
 	}
-	n := len(w.f.servers)
-	least, wall := f.walls(n)
-	used := w.f.used(f.InHand)
+	n := len(w.fleet.servers)
+	least, wall := f.bounds(n)
+	used := w.fleet.utilization(f.InHand)
 	want := min(max(int(float64(n)*(1-used/f.Fill)), least), wall)
-	if w.Room == nil {
-		w.Room = &Room{Most: least}
+	if w.Headroom == nil {
+		w.Headroom = &Headroom{Limit: least}
 	}
-	r := *w.Room
-	if len(w.f.fresh) < w.live() { // what those have in hand that do not report is not known
-		want = min(want, max(r.Most, least))
+	r := *w.Headroom
+	if len(w.fleet.fresh) < w.liveRouters() { // what those have in hand that do not report is not known
+		want = min(want, max(r.Limit, least))
 	}
 	switch {
-	case w.broken == OverWall:
+	case w.broken == IgnoresBounds:
 		want = int(float64(n) * (1 - used/f.Fill))
-	case w.broken == RisesOnce && want > r.Most:
-		r.Rising, r.RiseMs, r.Low = true, f.RiseMs, want
+	case w.broken == RisesAtOnce && want > r.Limit:
+		r.Rising, r.RiseMs, r.LowestLimit = true, f.RiseMs, want
 	}
 	switch {
-	case want < r.Most:
-		w.say("%d servers may be out, not %d: %.0f%% of the fullest role is used", want, r.Most, 100*used)
-		r = Room{Most: want}
-	case want == r.Most && r.Rising:
-		w.say("there is no room for more than %d servers out", r.Most)
-		r = Room{Most: r.Most}
-	case want > r.Most && !r.Rising:
-		w.say("there is room for %d servers out, %d may be", want, r.Most)
-		r.Rising, r.RiseMs, r.Low = true, 0, want
-	case want > r.Most && r.RiseMs >= f.RiseMs:
-		most := min(r.Low, want)
-		w.say("%d servers may be out, not %d: there was room for %.0f s", most, r.Most, r.RiseMs/1000)
-		r = Room{Most: most}
-	case want > r.Most && want < r.Low:
-		r.Low = want
-		w.say("there is room for %d servers out", want)
-	}
-	r.Used = used
-	w.Room = &r
+	case want < r.Limit:
+		w.note("%d servers may be out, not %d: %.0f%% of the fullest role is used", want, r.Limit, 100*used)
+		r = Headroom{Limit: want}
+	case want == r.Limit && r.Rising:
+		w.note("there is no room for more than %d servers out", r.Limit)
+		r = Headroom{Limit: r.Limit}
+	case want > r.Limit && !r.Rising:
+		w.note("there is room for %d servers out, %d may be", want, r.Limit)
+		r.Rising, r.RiseMs, r.LowestLimit = true, 0, want
+	case want > r.Limit && r.RiseMs >= f.RiseMs:
+		most := min(r.LowestLimit, want)
+		w.note("%d servers may be out, not %d: there was room for %.0f s", most, r.Limit, r.RiseMs/1000)
+		r = Headroom{Limit: most}
+	case want > r.Limit && want < r.LowestLimit:
+		r.LowestLimit = want
+		w.note("there is room for %d servers out", want)
+	}
+	r.Utilization = used
+	w.Headroom = &r
 }
 
-// bound is how many of all servers may be out, as the model words bounds.
-func (s *State) bound(m Model) float64 {
-	if s.Room != nil && m.Follows() {
-		return float64(s.Room.Most)
+// serverBound is how many of all servers may be out, as the model words bounds.
+func (s *State) serverBound(m Model) float64 {
+	if s.Headroom != nil && m.FollowsHeadroom() {
+		return float64(s.Headroom.Limit)
 	}
 	return m.Workers
 }
 
-// out counts what is out, by permit or without, of those that a test names.
-func (w *work) out(is func(k Kind, site, role string) bool) (n int) {
+// countMatching counts what is countMatching, by permit or without, of those that a test names.
+func (w *draft) countMatching(is func(k Kind, site, role string) bool) (n int) {
 	for thing, p := range w.Permits {
-		if k, _ := Split(thing); is(k, p.Site, p.Role) && (w.broken != CountsOwn || p.For != ByHand) {
+		if k, _ := Split(thing); is(k, p.Site, p.Role) && (w.broken != CountsReleasesOnly || p.For != ByHand) {
 			n++
 		}
 	}
 	for thing, l := range w.Lost {
-		if k, _ := Split(thing); is(k, l.Site, l.Role) && w.broken != CountsOwn {
+		if k, _ := Split(thing); is(k, l.Site, l.Role) && w.broken != CountsReleasesOnly {
 			n++
 		}
 	}
 	return n
 }
 
-// room looks at the number that follows room: it lies between the walls, and rises only after it was said to.
-func (a *Auditor) room(s, before *State, m Model) {
-	if s.Room == nil || !m.Follows() {
+// checkHeadroom looks at the number that follows checkHeadroom: it lies between the walls, and rises only after it was said to.
+func (a *Auditor) checkHeadroom(s, before *State, m Model) {
+	if s.Headroom == nil || !m.FollowsHeadroom() {
 		return
 	}
-	least, most := m.Follow.walls(s.Budget.Servers)
-	if s.Room.Most < least || s.Room.Most > most {
-		a.fault(s, "%d servers may be out, the walls are %d and %d", s.Room.Most, least, most)
+	least, most := m.HeadroomLimit.bounds(s.Budget.Servers)
+	if s.Headroom.Limit < least || s.Headroom.Limit > most {
+		a.report(s, "%d servers may be out, the walls are %d and %d", s.Headroom.Limit, least, most)
 	}
-	if was := before.Room; was != nil && s.Room.Most > was.Most && !was.Rising && before.Budget.Servers == s.Budget.Servers {
-		a.fault(s, "%d servers may be out after %d, and there was no time in which there was room", s.Room.Most, was.Most)
+	if was := before.Headroom; was != nil && s.Headroom.Limit > was.Limit && !was.Rising && before.Budget.Servers == s.Budget.Servers {
+		a.report(s, "%d servers may be out after %d, and there was no time in which there was room", s.Headroom.Limit, was.Limit)
 	}
 }
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -10,10 +10,10 @@
 	"sumacloft/internal/standin"
 )
 
-// moved draws what ten servers have in hand and how long that lasts, and says what breaks the rules: a number past
+// randomLoad draws what ten servers have in hand and how long that lasts, and says what breaks the rules: a number past
 // its walls, or above what there was room for at any look in the time before it rose. audited is what the auditor finds.
-func moved(rt *rapid.T, broken outage.Fault) (faults, audited []string) {
-	m := outage.Model{Routers: 1, ReportMs: 1000, Follow: outage.Follow{Min: 1, Max: 4, InHand: 10, Fill: 0.8, RiseMs: 20_000}}
+func randomLoad(rt *rapid.T, broken outage.Fault) (faults, audited []string) {
+	m := outage.Model{Routers: 1, ReportMs: 1000, HeadroomLimit: outage.HeadroomLimit{Min: 1, Max: 4, InHand: 10, Fill: 0.8, RiseMs: 20_000}}
 	audit := outage.Auditor{Model: func(int64) (outage.Model, bool) { return m, true }}
 	d := &outage.Decider{Me: "a", Broken: broken}
 	type look struct {
@@ -31,29 +31,29 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "seconds") {
 			now += time.Second
 			rev++
-			r := outage.Report{Router: "a", Boot: "1", Rev: rev, Sees: map[string]outage.Sight{}}
+			r := outage.Report{Router: "a", Boot: "1", Rev: rev, Observed: map[string]outage.Observation{}}
 			for i := range 10 {
-				r.Sees[string(rune('A'+i))] = outage.Sight{Boot: "1", Asked: true, Busy: busy}
+				r.Observed[string(rune('A'+i))] = outage.Observation{Boot: "1", Probed: true, Busy: busy}
 			}
 			fits := min(max(int(10*(1-float64(busy)/10/0.8)), 1), 4)
 			looks = append(looks, look{now, fits})
-			next := d.Next(outage.View{Model: m, Version: 1, Last: last, Reports: []outage.Report{r}, Routers: map[string]outage.Registered{"a": {Boot: "1", Live: true}}}, now)
+			next := d.Next(outage.View{Model: m, Version: 1, Last: last, Reports: []outage.Report{r}, Routers: map[string]outage.Registration{"a": {Boot: "1", Live: true}}}, now)
 			if next == nil {
 				continue
 			}
 			next.Rev = rev
-			most := next.Room.Most
+			most := next.Headroom.Limit
 			if most > fits {
 				faults = append(faults, "more than there is room for")
 			}
-			if last != nil && most > last.Room.Most {
+			if last != nil && most > last.Headroom.Limit {
 				for _, l := range looks {
 					if now-l.at <= 20*time.Second && l.fits < most {
 						faults = append(faults, "it rose over what there was room for a while ago")
 					}
 				}
 			}
-			audit.Take(next)
+			audit.Check(next)
 			last = next
 		}
 	}
@@ -61,17 +61,17 @@
 }
 
 // The number keeps between its walls, falls at once and rises after its time; what does not is found.
-func TestNumberFollowsRoom(t *testing.T) {
+func TestServerLimitFollowsHeadroom(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		if faults, audited := moved(rt, ""); len(faults)+len(audited) > 0 {
+		if faults, audited := randomLoad(rt, ""); len(faults)+len(audited) > 0 {
 			rt.Fatalf("%v %v", faults, audited)
 		}
 	})
-	for _, broken := range []outage.Fault{outage.RisesOnce, outage.OverWall} {
+	for _, broken := range []outage.Fault{outage.RisesAtOnce, outage.IgnoresBounds} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			if _, audited := moved(rt, broken); len(audited) > 0 {
+			if _, audited := randomLoad(rt, broken); len(audited) > 0 {
 				found++
 			}
 		})
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -13,13 +13,13 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// drawn is a life in which routers see servers differently: some are silent to some, listed by some, of another start or label
+// randomRun is a life in which routers see servers differently: some are silent to some, listed by some, of another start or label
 // to some, with equal numbers on both sides. Each decision on the way goes into a hash.
-func drawn(seed uint64, hash *xxhash.Digest) (states int) {
+func randomRun(seed uint64, hash *xxhash.Digest) (states int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	routers, servers := 2+rng.IntN(8), 4+rng.IntN(30)
 	m := outage.Model{Workers: []float64{0.2, 3, 0.5}[rng.IntN(3)], Routers: 1, WorkersSite: []float64{0, 1, 0.4}[rng.IntN(3)], WorkersRole: []float64{0, 2}[rng.IntN(2)],
-		PauseMs: 1000, WarmMs: 1000, ReturnMs: 8000, LostMs: 1000, Classes: []outage.Keep{{Name: "c", Part: 0.5 + rng.Float64()/2}}}
+		PauseMs: 1000, WarmMs: 1000, ReturnMs: 8000, LostMs: 1000, Classes: []outage.ClassFloor{{Name: "c", Part: 0.5 + rng.Float64()/2}}}
 	if rng.IntN(2) == 0 {
 		m.CopyWaitMs = 2000
 	}
@@ -32,7 +32,7 @@
 	deciders := map[string]*outage.Decider{}
 	rev := int64(0)
 	for now := time.Duration(0); now < 40*time.Second; now += 500 * time.Millisecond {
-		v := outage.View{Model: m, Version: 1, Last: last, Routers: map[string]outage.Registered{}, LostSites: map[string]bool{"c": rng.IntN(30) == 0}}
+		v := outage.View{Model: m, Version: 1, Last: last, Routers: map[string]outage.Registration{}, LostSites: map[string]bool{"c": rng.IntN(30) == 0}}
 		for i := range servers {
 			if downs[i] >= 0 && now-downs[i] > 3*time.Second {
 				boots[i], downs[i] = boots[i]+1, -1
@@ -43,34 +43,34 @@
 		if last != nil {
 			for thing, p := range last.Permits { // each by itself: their order is of no matter
 				var i int
-				if n, _ := fmt.Sscanf(thing, "server/s%d", &i); n == 1 && p.Stage == outage.Clear && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
+				if n, _ := fmt.Sscanf(thing, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
 					labels[i], downs[i] = p.To, now
 				}
 			}
 		}
 		for r := range routers {
 			name := fmt.Sprintf("d%d", r)
-			v.Routers[name] = outage.Registered{Boot: "1", Label: "v1", Live: rng.IntN(20) > 0}
-			one := outage.Report{Router: name, Boot: "1", Sees: map[string]outage.Sight{}, Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, Hosts: r < 3, Applied: 1000 - rng.Int64N(300)}
+			v.Routers[name] = outage.Registration{Boot: "1", Label: "v1", Live: rng.IntN(20) > 0}
+			one := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}, Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, StoreMember: r < 3, Applied: 1000 - rng.Int64N(300)}
 			if rev++; rng.IntN(10) == 0 {
 				rev--
 			}
 			one.Rev = rev
 			if last != nil {
-				one.Seen = last.Seq - int64(rng.IntN(10)/9)
+				one.StateSeq = last.Seq - int64(rng.IntN(10)/9)
 			}
 			for i := range servers {
 				if rng.IntN(12) == 0 {
 					continue
 				}
-				s := outage.Sight{Site: string(rune('a' + i%3)), Role: []string{"x", "y"}[i%2], Weight: weights[i], Boot: fmt.Sprint(boots[i]), Label: labels[i], Asked: rng.IntN(5) > 0, Drains: rng.IntN(9) == 0 && i%7 == 0}
+				s := outage.Observation{Site: string(rune('a' + i%3)), Role: []string{"x", "y"}[i%2], Weight: weights[i], Boot: fmt.Sprint(boots[i]), Label: labels[i], Probed: rng.IntN(5) > 0, Draining: rng.IntN(9) == 0 && i%7 == 0}
 				if downs[i] >= 0 && rng.IntN(8) > 0 {
 					s.SilentMs = float64((now-downs[i])/time.Millisecond) + 1
 				}
 				if rng.IntN(10) < 3 && i%4 == 0 {
 					s.Boot = fmt.Sprint(boots[i] + 1)
 				}
-				one.Sees[fmt.Sprintf("s%d", i)] = s
+				one.Observed[fmt.Sprintf("s%d", i)] = s
 			}
 			v.Reports = append(v.Reports, one)
 		}
@@ -94,7 +94,7 @@
 		}
 		switch {
 		case rng.IntN(20) == 0:
-			next, _ := last.Ask(outage.ID(outage.Server, fmt.Sprintf("s%d", rng.IntN(servers))), "op")
+			next, _ := last.Drain(outage.ID(outage.Server, fmt.Sprintf("s%d", rng.IntN(servers))), "op")
 			write(next)
 		case now == 5*time.Second:
 			next, _ := v.Start(outage.Spec{Name: "r", Kind: outage.Server, To: "v2", Waves: []float64{1, 0.3}}, "op")
@@ -117,14 +117,14 @@
 // Decisions are what they were, byte for byte: the step was made quicker under the hashes 603c92f26f2d8c7a (60 lives) and
 // 658905f248a7b820 (8), which changed when deciders began to count the time until they read what they had written. Who changes a
 // decision on purpose changes the hash with it.
-func TestDecisionsAreAsBefore(t *testing.T) {
+func TestDecisionHashesUnchanged(t *testing.T) {
 	want, lives := "509 states, ef87ff02aef8325d", uint64(8)
 	if os.Getenv("LAB_LONG") != "" {
 		want, lives = "4099 states, 704187f779cbc2ad", 60
 	}
 	hash, states := xxhash.New(), 0
 	for seed := range lives {
-		states += drawn(seed, hash)
+		states += randomRun(seed, hash)
 	}
 	if got := fmt.Sprintf("%d states, %x", states, hash.Sum64()); got != want {
 		t.Errorf("%s, want %s", got, want)
--- a/internal/decide/outage/search/rules.go
+++ b/internal/decide/outage/search/rules.go
@@ -7,19 +7,19 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// judge names the rules that a state breaks in the place of the one before it. The auditor's are those that hold of any
+// checkTransition names the rules that a state breaks in the place of the one before it. The auditor's are those that hold of any
 // history; here the truth is known besides.
-func judge(before, next *outage.State, w *world, by said) []string {
+func checkTransition(before, next *outage.State, w *world, by labels) []string {
 	a := outage.Auditor{Model: func(int64) (outage.Model, bool) { return model(w.lowered), true }} // in force as it is written
-	a.From(before)
-	a.Take(next)
+	a.StartFrom(before)
+	a.Check(next)
 	faults := a.Faults
-	for j, thing := range things {
+	for j, thing := range memberIDs {
 		p, out := next.Permits[thing]
 		was := before.Permits[thing]
 		// What was replaced already nobody stops for this permit.
-		if out && p.Stage == outage.Clear && p.Boot[0] == w.servers[j].boot && !p.Serve {
-			faults = append(faults, w.sent(thing)...)
+		if out && p.Stage == outage.Acknowledged && p.Boot[0] == w.servers[j].boot && !p.Serve {
+			faults = append(faults, w.sendersTo(thing)...)
 		}
 		if gone := was.ID != 0 && was.ID != p.ID; gone && !was.Serve && w.servers[j].boot == was.Boot[0] {
 			faults = append(faults, fmt.Sprintf("%s: permit %d ended, and it was never away", thing, was.ID))
@@ -29,30 +29,30 @@
 	if r == nil || before.Release == nil || r.Phase == before.Release.Phase {
 		return faults
 	}
-	if r.Phase == outage.Undone {
-		faults = append(faults, w.returned(by)...)
+	if r.Phase == outage.RolledBack {
+		faults = append(faults, w.checkRolledBack(by)...)
 	}
 	return faults
 }
 
-// sent names the routers that serve and send to a server that may be stopped.
-func (w *world) sent(thing string) (faults []string) {
+// sendersTo names the routers that serve and send to a server that may be stopped.
+func (w *world) sendersTo(thing string) (faults []string) {
 	for i, r := range w.routers {
-		if r.up && r.live && r.sends[thing[len(thing)-1]-'1'] {
+		if r.up && r.registered && r.sends[thing[len(thing)-1]-'1'] {
 			faults = append(faults, fmt.Sprintf("%s may be stopped and %s sends to it", thing, routerNames[i]))
 		}
 	}
 	return faults
 }
 
-// returned looks at the end of a way back: each target is at its old label, or named with what holds it. What started with
+// checkRolledBack looks at the end of a way back: each target is at its old label, or named with what holds it. What started with
 // another label so late that most routers had not reported it as the decision was made, nobody could know.
-func (w *world) returned(by said) (faults []string) {
+func (w *world) checkRolledBack(by labels) (faults []string) {
 	for _, t := range w.state.Release.Targets {
 		j := slices.Index(serverNames[:], t.Name)
 		s := w.servers[j]
 		switch {
-		case t.State == outage.Held && t.Why != "":
+		case t.State == outage.Blocked && t.Why != "":
 		case t.State != outage.Reached:
 			faults = append(faults, fmt.Sprintf("the way back is over and %s is %s", t.Name, t.State))
 		case s.label() != t.From && by[j] == s.label():
@@ -62,14 +62,14 @@
 	return faults
 }
 
-// most gives the labels that most of the registered routers that report have of servers.
-func (w *world) most() (out said) {
+// majorityLabels gives the labels that majorityLabels of the registered routers that report have of servers.
+func (w *world) majorityLabels() (out labels) {
 	for j := range out {
 		olds, news := 0, 0
 		for _, r := range w.routers {
 			switch {
-			case !r.live || r.report.boot != r.boot:
-			case r.report.sees[j].next:
+			case !r.registered || r.report.boot != r.boot:
+			case r.report.servers[j].newLabel:
 				news++
 			default:
 				olds++
@@ -84,46 +84,46 @@
 	return out
 }
 
-// ends tells whether a way back from here comes to its end once all is mended: routers and servers up, the deployer at work.
-func (w world) ends(broken Fault) (faults []string) {
+// checkRollback tells whether a way back from here comes to its end once all is mended: routers and servers up, the deployer at work.
+func (w world) checkRollback(broken Fault) (faults []string) {
 	for i := range w.routers {
 		r := &w.routers[i]
 		if !r.up {
 			r.boot++
 		}
-		r.up, r.stopped, r.live = true, false, true
+		r.up, r.paused, r.registered = true, false, true
 	}
-	w.pending, w.worse, w.left = [Deciders]pending{}, "", Bounds{Odd: 100}
-	if next, err := w.state.TakeBack("op"); err == nil && next != nil {
-		w.state, w.taken = next, true
+	w.pending, w.failingRun, w.remaining = [Deciders]pendingWrite{}, "", Bounds{WrongLabels: 100}
+	if next, err := w.state.RollBack("op"); err == nil && next != nil {
+		w.state, w.rolledBack = next, true
 	}
 	if next, err := w.view().Resume("op"); err == nil && next != nil {
 		w.state = next
 	}
-	for _, thing := range things { // nothing stays out by hand
+	for _, thing := range memberIDs { // nothing stays out by hand
 		if next := w.state.Serve(thing, "op"); next != nil {
 			w.state = next
 		}
 	}
 	for range 60 {
-		if w.state.Release.Phase == outage.Undone {
+		if w.state.Release.Phase == outage.RolledBack {
 			return nil // judged as it was written
 		}
-		for j, thing := range things {
+		for j, thing := range memberIDs {
 			p, out := w.state.Permits[thing]
 			s := &w.servers[j]
-			clear := out && p.Stage == outage.Clear && p.To != "" && p.Boot == string(s.boot)
+			clear := out && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == string(s.boot)
 			if clear {
-				*s = server{boot: s.boot + 1, up: true, next: p.To == "new"}
+				*s = server{boot: s.boot + 1, up: true, newLabel: p.To == "new"}
 			} else if !s.up {
 				s.up = true
 				s.boot++
 			}
 		}
 		for i := range w.routers {
-			w.happen(event{opReport, uint8(i)}, broken)
+			w.apply(event{opReport, uint8(i)}, broken)
 		}
-		w.happen(event{opReadAged, 0}, broken)
+		w.apply(event{opReadAged, 0}, broken)
 		if w.pending[0].next != nil {
 			faults = append(faults, w.write(0, broken)...)
 		}
--- a/internal/decide/outage/search/search.go
+++ b/internal/decide/outage/search/search.go
@@ -14,35 +14,35 @@
 	// Depth and States end a search early; 0: it goes to its end.
 	Depth  int `json:"most_depth,omitempty"`
 	States int `json:"most_states,omitempty"`
-	// Finish has a way back tried to its end from one state in so many; 0: from none.
-	Finish uint64 `json:"finish,omitempty"`
-	// Level is told of each depth that was searched.
-	Level func(Result) `json:"-"`
+	// RollbackEvery has a way back tried to its end from one state in so many; 0: from none.
+	RollbackEvery uint64 `json:"finish,omitempty"`
+	// OnLevel is told of each depth that was searched.
+	OnLevel func(Result) `json:"-"`
 }
 
 // Result is what was searched and found.
 type Result struct {
-	States int      `json:"states"` // that differ
-	Steps  int      `json:"steps"`  // that were taken
-	Depth  int      `json:"depth"`  // of the deepest state
-	Ways   int      `json:"ways"`   // ways back that were tried to their end
-	Whole  bool     `json:"whole"`  // there is no state that was not looked at
-	Faults []string `json:"faults,omitempty"`
-	Trace  Trace    `json:"-"` // to the first finding, the shortest there is
+	States    int      `json:"states"` // that differ
+	Steps     int      `json:"steps"`  // that were taken
+	Depth     int      `json:"depth"`  // of the deepest state
+	Rollbacks int      `json:"ways"`   // ways back that were tried to their end
+	Complete  bool     `json:"whole"`  // there is no state that was not looked at
+	Faults    []string `json:"faults,omitempty"`
+	Trace     Trace    `json:"-"` // to the first finding, the shortest there is
 }
 
 // node is how a state was come to.
 type node struct {
-	from int32
-	by   event
+	parent int32
+	event  event
 }
 
 // Run searches. It ends at the first finding.
 func (o Options) Run() Result {
-	w := first(o.Bounds)
-	key, buf := w.key(nil)
+	w := initialWorld(o.Bounds)
+	key, buf := w.hash(nil)
 	seen := map[uint64]struct{}{key: {}}
-	nodes := []node{{from: -1}}
+	nodes := []node{{parent: -1}}
 	type open struct {
 		world
 		at int32
@@ -51,8 +51,8 @@
 	out := Result{States: 1}
 	found := func(at int32, last Trace, faults []string) Result {
 		out.Faults = faults
-		for ; nodes[at].from >= 0; at = nodes[at].from {
-			out.Trace = append(Trace{nodes[at].by}, out.Trace...)
+		for ; nodes[at].parent >= 0; at = nodes[at].parent {
+			out.Trace = append(Trace{nodes[at].event}, out.Trace...)
 		}
 		out.Trace = append(out.Trace, last...)
 		return out
@@ -67,20 +67,20 @@
 			for _, e := range may {
 				one := at.world
 				out.Steps++
-				if faults := one.happen(e, o.Broken); len(faults) > 0 {
+				if faults := one.apply(e, o.Broken); len(faults) > 0 {
 					return found(at.at, Trace{e}, faults)
 				}
-				one.doomed(o.Broken)
-				key, buf = one.key(buf)
+				one.dropStaleWrites(o.Broken)
+				key, buf = one.hash(buf)
 				if _, is := seen[key]; is {
 					continue
 				}
 				seen[key] = struct{}{}
 				nodes = append(nodes, node{at.at, e})
 				n := int32(len(nodes) - 1)
-				if o.Finish > 0 && key%o.Finish == 0 {
-					out.Ways++
-					if faults := one.ends(o.Broken); len(faults) > 0 {
+				if o.RollbackEvery > 0 && key%o.RollbackEvery == 0 {
+					out.Rollbacks++
+					if faults := one.checkRollback(o.Broken); len(faults) > 0 {
 						return found(n, nil, append(faults, "once all is mended, on the way back"))
 					}
 				}
@@ -93,27 +93,27 @@
 		if level = next; len(level) > 0 {
 			out.Depth++
 		}
-		if o.Level != nil {
-			o.Level(out)
+		if o.OnLevel != nil {
+			o.OnLevel(out)
 		}
 	}
-	out.Whole = len(level) == 0
+	out.Complete = len(level) == 0
 	return out
 }
 
 // Replay has a trace happen again; it gives the states that were written, and the rules that the last of its events broke.
 func (o Options) Replay(t Trace) (states []*outage.State, faults []string) {
-	w := first(o.Bounds)
+	w := initialWorld(o.Bounds)
 	states = append(states, w.state)
 	for _, e := range t {
-		faults = w.happen(e, o.Broken)
+		faults = w.apply(e, o.Broken)
 		if w.state != states[len(states)-1] {
 			states = append(states, w.state)
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	if len(faults) == 0 && o.Finish > 0 {
-		faults = w.ends(o.Broken)
+	if len(faults) == 0 && o.RollbackEvery > 0 {
+		faults = w.checkRollback(o.Broken)
 	}
 	return states, faults
 }
@@ -122,53 +122,53 @@
 // that it takes, by leaving out one after the other.
 func (o Options) Walk(seed uint64, length int) (out Result) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := first(o.Bounds)
+	w := initialWorld(o.Bounds)
 	var may []event
 	for range length {
 		may = w.events(may)
 		e := may[rng.IntN(len(may))]
-		if e.op > opEnter && e.op != opTake && rng.IntN(4) > 0 { // what happens rarely is not to be over at once
+		if e.op > opRegister && e.op != opStopServer && rng.IntN(4) > 0 { // what happens rarely is not to be over at once
 			continue
 		}
 		out.Trace = append(out.Trace, e)
 		out.Steps++
-		if out.Faults = w.happen(e, o.Broken); len(out.Faults) > 0 {
-			out.Trace = o.shorter(out.Trace, false)
+		if out.Faults = w.apply(e, o.Broken); len(out.Faults) > 0 {
+			out.Trace = o.shrink(out.Trace, false)
 			return out
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	out.Ways++
-	if out.Faults = w.ends(o.Broken); len(out.Faults) > 0 {
+	out.Rollbacks++
+	if out.Faults = w.checkRollback(o.Broken); len(out.Faults) > 0 {
 		out.Faults = append(out.Faults, "once all is mended, on the way back")
-		out.Trace = o.shorter(out.Trace, true)
+		out.Trace = o.shrink(out.Trace, true)
 	}
 	return out
 }
 
-// shorter leaves out events as long as a rule is broken all the same.
-func (o Options) shorter(t Trace, mended bool) Trace {
+// shrink leaves out events as long as a rule is broken all the same.
+func (o Options) shrink(t Trace, mended bool) Trace {
 	for i := len(t) - 1; i >= 0; i-- {
 		less := slices.Delete(slices.Clone(t), i, i+1)
-		if o.possible(less, mended) {
+		if o.reproduces(less, mended) {
 			t = less
 		}
 	}
 	return t
 }
 
-// possible tells whether a trace's events may all happen, and the last of them breaks a rule, or the way back that follows once
+// reproduces tells whether a trace's events may all happen, and the last of them breaks a rule, or the way back that follows once
 // all is mended.
-func (o Options) possible(t Trace, mended bool) bool {
-	w := first(o.Bounds)
+func (o Options) reproduces(t Trace, mended bool) bool {
+	w := initialWorld(o.Bounds)
 	for i, e := range t {
 		if !slices.Contains(w.events(nil), e) {
 			return false
 		}
-		if faults := w.happen(e, o.Broken); len(faults) > 0 {
+		if faults := w.apply(e, o.Broken); len(faults) > 0 {
 			return !mended && i == len(t)-1
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	return mended && len(w.ends(o.Broken)) > 0
+	return mended && len(w.checkRollback(o.Broken)) > 0
 }
--- a/internal/decide/outage/search/search_test.go
+++ b/internal/decide/outage/search/search_test.go
@@ -13,11 +13,11 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// all is one of everything: its states have no end worth waiting for, so it is searched as far as a bound.
-var all = Bounds{Crashes: 1, Ends: 1, Stops: 1, Odd: 1, Worse: 1, Halts: 1, Resumes: 1, Backs: 2, Lowers: 1, Hands: 1}
+// allOnce is one of everything: its states have no end worth waiting for, so it is searched as far as a bound.
+var allOnce = Bounds{ServerCrashes: 1, RouterCrashes: 1, DeciderPauses: 1, WrongLabels: 1, Regressions: 1, Halts: 1, Resumes: 1, Rollbacks: 2, BudgetCuts: 1, DrainRequests: 1}
 
-// right searches the decider as it is; what is found fails the test with a line to play again.
-func right(t *testing.T, o Options) {
+// checkNoFaults searches the decider as it is; what is found fails the test with a line to play again.
+func checkNoFaults(t *testing.T, o Options) {
 	t.Helper()
 	start := time.Now()
 	r := o.Run()
@@ -30,26 +30,26 @@
 	if len(r.Faults) > 0 {
 		t.Errorf("%v\n%s", r.Faults, r.Trace)
 	}
-	if !r.Whole && r.States < o.States && r.Depth < o.Depth {
+	if !r.Complete && r.States < o.States && r.Depth < o.Depth {
 		t.Errorf("it ended early: %+v", r)
 	}
 }
 
-func TestNothingBreaksTheRules(t *testing.T) {
-	right(t, Options{Depth: 18, Finish: 64})
-	right(t, Options{Bounds: all, States: 3000, Finish: 64})
+func TestSearchFindsNoViolation(t *testing.T) {
+	checkNoFaults(t, Options{Depth: 18, RollbackEvery: 64})
+	checkNoFaults(t, Options{Bounds: allOnce, States: 3000, RollbackEvery: 64})
 }
 
 // Deeper than any search: walks of 300 steps with all that may happen, each by its seed.
-func TestWalks(t *testing.T) {
+func TestRandomWalks(t *testing.T) {
 	walks := 25
 	if os.Getenv("LAB_LONG") != "" {
 		walks = 50_000
 	}
-	steps, ways, b := 0, 0, Bounds{Crashes: 4, Ends: 3, Stops: 4, Odd: 2, Worse: 2, Halts: 2, Resumes: 3, Backs: 3, Lowers: 1, Hands: 3}
+	steps, ways, b := 0, 0, Bounds{ServerCrashes: 4, RouterCrashes: 3, DeciderPauses: 4, WrongLabels: 2, Regressions: 2, Halts: 2, Resumes: 3, Rollbacks: 3, BudgetCuts: 1, DrainRequests: 3}
 	for seed := range uint64(walks) {
 		r := Options{Bounds: b}.Walk(seed, 300)
-		if steps, ways = steps+r.Steps, ways+r.Ways; len(r.Faults) > 0 {
+		if steps, ways = steps+r.Steps, ways+r.Rollbacks; len(r.Faults) > 0 {
 			t.Fatalf("seed %d: %v\n%s", seed, r.Faults, r.Trace)
 		}
 	}
@@ -65,13 +65,13 @@
 	if n, err := strconv.Atoi(os.Getenv("STATES")); err == nil {
 		most = n
 	}
-	kinds := map[string]Bounds{"nothing": {}, "lowers": {Lowers: 1}, "halts": {Halts: 1, Resumes: 1}, "hands": {Hands: 1}, "backs": {Backs: 2}, "crashes": {Crashes: 1},
-		"odd": {Odd: 1}, "worse": {Worse: 1}, "stops": {Stops: 1}, "ends": {Ends: 1}, "crashes-backs": {Crashes: 1, Backs: 1}, "odd-backs": {Odd: 1, Backs: 1},
-		"worse-backs": {Worse: 1, Resumes: 1, Backs: 1}, "stops-ends": {Stops: 1, Ends: 1}, "hands-crashes": {Hands: 2, Crashes: 1}, "all": all}
+	kinds := map[string]Bounds{"nothing": {}, "lowers": {BudgetCuts: 1}, "halts": {Halts: 1, Resumes: 1}, "hands": {DrainRequests: 1}, "backs": {Rollbacks: 2}, "crashes": {ServerCrashes: 1},
+		"odd": {WrongLabels: 1}, "worse": {Regressions: 1}, "stops": {DeciderPauses: 1}, "ends": {RouterCrashes: 1}, "crashes-backs": {ServerCrashes: 1, Rollbacks: 1}, "odd-backs": {WrongLabels: 1, Rollbacks: 1},
+		"worse-backs": {Regressions: 1, Resumes: 1, Rollbacks: 1}, "stops-ends": {DeciderPauses: 1, RouterCrashes: 1}, "hands-crashes": {DrainRequests: 2, ServerCrashes: 1}, "all": allOnce}
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
 		b := kinds[name]
 		t.Run(name, func(t *testing.T) {
-			right(t, Options{Bounds: b, States: most, Finish: 256, Level: func(r Result) {
+			checkNoFaults(t, Options{Bounds: b, States: most, RollbackEvery: 256, OnLevel: func(r Result) {
 				line, _ := json.Marshal(r)
 				fmt.Fprintf(os.Stderr, "%s %s\n", name, line)
 			}})
@@ -80,13 +80,13 @@
 }
 
 // What breaks a rule on purpose is found, by the fewest steps there are, and found again when they are played.
-func TestBrokenOnesAreFound(t *testing.T) {
+func TestSearchDetectsFaults(t *testing.T) {
 	for _, c := range []struct {
 		broken Fault
 		bounds Bounds
-	}{{outage.FreesLapsed, Bounds{}}, {outage.CountsOwn, Bounds{Hands: 2}}, {outage.NoHalt, Bounds{Worse: 1}}, {outage.NoHalt, Bounds{Halts: 1}}, {outage.ForgetsOne, Bounds{Backs: 1}},
-		{outage.TwoOwners, Bounds{Hands: 2}}, {outage.StopsEarly, Bounds{}}, {outage.NoFence, Bounds{}}, {NoRevision, Bounds{}}, {NoRegistration, Bounds{Stops: 1}}, {NoPolicy, Bounds{Lowers: 1, Hands: 2}}} {
-		o := Options{Bounds: c.bounds, Broken: c.broken, States: 30_000, Finish: 1}
+	}{{outage.ExpiresPermits, Bounds{}}, {outage.CountsReleasesOnly, Bounds{DrainRequests: 2}}, {outage.IgnoresHalt, Bounds{Regressions: 1}}, {outage.IgnoresHalt, Bounds{Halts: 1}}, {outage.SkipsRollback, Bounds{Rollbacks: 1}},
+		{outage.ExceedsBudget, Bounds{DrainRequests: 2}}, {outage.SkipsAcknowledgement, Bounds{}}, {outage.NoFence, Bounds{}}, {NoRevision, Bounds{}}, {NoRegistration, Bounds{DeciderPauses: 1}}, {NoPolicy, Bounds{BudgetCuts: 1, DrainRequests: 2}}} {
+		o := Options{Bounds: c.bounds, Broken: c.broken, States: 30_000, RollbackEvery: 1}
 		r := o.Run()
 		if len(r.Faults) == 0 {
 			t.Errorf("%s was not found in %d states", c.broken, r.States)
--- a/internal/decide/outage/search/steps.go
+++ b/internal/decide/outage/search/steps.go
@@ -12,31 +12,31 @@
 type op uint8
 
 const (
-	opReport   op = iota // a router follows the state and reports what it sees
-	opRead               // a decider reads and decides
-	opReadAged           // after it has seen the state stand for a unit
-	opReadDeaf           // and believes none of the routers that are stopped or dead
-	opWrite              // what it decided goes to the store
-	opStop
-	opGo
-	opLapse // a registration ends
-	opEnter // a router registers, and reads what is out before it serves
-	opEnd   // a router dies
-	opCrash // a server dies
-	opTake  // the deployer stops a server that is clear
-	opOld   // a server starts with a label
-	opNew
-	opWorse // from now on routers see the new version fail
+	opReport      op = iota // a router follows the state and reports what it sees
+	opRead                  // a decider reads and decides
+	opReadAged              // after it has seen the state stand for a unit
+	opReadExpired           // and believes none of the routers that are stopped or dead
+	opWrite                 // what it decided goes to the store
+	opPause
+	opUnpause
+	opLapse       // a registration ends
+	opRegister    // a router registers, and reads what is out before it serves
+	opRouterCrash // a router dies
+	opServerCrash // a server dies
+	opStopServer  // the deployer stops a server that is clear
+	opStartOld    // a server starts with a label
+	opStartNew
+	opRegress // from now on routers see the new version fail
 	opHalt
 	opResume
-	opBack
-	opLower
-	opAsk // a server by hand
+	opRollBack
+	opCutBudget
+	opRequestPermit // a server by hand
 	opServe
-	ops
+	opCount
 )
 
-var words = [ops]string{"report", "read", "read-aged", "read-deaf", "write", "stop", "go", "lapse", "enter", "end", "crash", "take", "old", "new",
+var opNames = [opCount]string{"report", "read", "read-aged", "read-deaf", "write", "stop", "go", "lapse", "enter", "end", "crash", "take", "old", "new",
 	"worse", "halt", "resume", "back", "lower", "ask", "serve"}
 
 // event is an op with what it happens to.
@@ -47,12 +47,12 @@
 
 func (e event) String() string {
 	switch {
-	case e.op >= opWorse && e.op <= opLower:
-		return words[e.op]
-	case e.op >= opCrash:
-		return words[e.op] + " " + serverNames[e.at]
+	case e.op >= opRegress && e.op <= opCutBudget:
+		return opNames[e.op]
+	case e.op >= opServerCrash:
+		return opNames[e.op] + " " + serverNames[e.at]
 	}
-	return words[e.op] + " " + routerNames[e.at]
+	return opNames[e.op] + " " + routerNames[e.at]
 }
 
 // Trace is what happened, one thing after the other; its words can be played again.
@@ -80,8 +80,8 @@
 func ParseTrace(text string) (out Trace, err error) {
 	for word := range strings.SplitSeq(text, ", ") {
 		found := false
-		for o := range ops {
-			for at := range uint8(Size) {
+		for o := range opCount {
+			for at := range uint8(FleetSize) {
 				if e := (event{o, at}); !found && e.String() == word {
 					out, found = append(out, e), true
 				}
@@ -100,72 +100,72 @@
 	add := func(o op, at int) { out = append(out, event{o, uint8(at)}) }
 	halting := false // some report may be disbelieved
 	for _, r := range w.routers {
-		halting = halting || (r.stopped || !r.up) && r.live
+		halting = halting || (r.paused || !r.up) && r.registered
 	}
 	for i, r := range w.routers {
-		if r.up && !r.stopped && r.live {
+		if r.up && !r.paused && r.registered {
 			add(opReport, i)
 		}
-		if r.live && (r.stopped || !r.up) {
+		if r.registered && (r.paused || !r.up) {
 			add(opLapse, i)
 		}
-		if !r.live && !r.stopped {
-			add(opEnter, i)
+		if !r.registered && !r.paused {
+			add(opRegister, i)
 		}
-		if r.stopped {
-			add(opGo, i)
+		if r.paused {
+			add(opUnpause, i)
 		}
-		if r.up && w.left.Ends > 0 {
-			add(opEnd, i)
+		if r.up && w.remaining.RouterCrashes > 0 {
+			add(opRouterCrash, i)
 		}
-		if i >= Deciders || !r.up || r.stopped {
+		if i >= Deciders || !r.up || r.paused {
 			continue
 		}
-		if w.left.Stops > 0 {
-			add(opStop, i)
+		if w.remaining.DeciderPauses > 0 {
+			add(opPause, i)
 		}
 		if w.pending[i].next != nil {
 			add(opWrite, i)
-		} else if r.live {
+		} else if r.registered {
 			add(opRead, i)
 			add(opReadAged, i)
 			if halting {
-				add(opReadDeaf, i)
+				add(opReadExpired, i)
 			}
 		}
 	}
 	for j, s := range w.servers {
-		p, out := w.state.Permits[things[j]]
-		if s.up && w.left.Crashes > 0 {
-			add(opCrash, j)
+		p, out := w.state.Permits[memberIDs[j]]
+		if s.up && w.remaining.ServerCrashes > 0 {
+			add(opServerCrash, j)
 		}
-		if s.up && out && p.Stage == outage.Clear && p.To != "" && p.Boot == string(s.boot) {
-			add(opTake, j)
+		if s.up && out && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == string(s.boot) {
+			add(opStopServer, j)
 		}
 		if !s.up {
 			label := s.label()
-			if out && p.To != "" && p.Stage == outage.Clear {
+			if out && p.To != "" && p.Stage == outage.Acknowledged {
 				label = p.To
 			}
-			odd := out && p.To != "" && w.left.Odd > 0
+			odd := out && p.To != "" && w.remaining.WrongLabels > 0
 			if label == "old" || odd {
-				add(opOld, j)
+				add(opStartOld, j)
 			}
 			if label == "new" || odd {
-				add(opNew, j)
+				add(opStartNew, j)
 			}
 		}
-		if w.left.Hands > 0 {
-			add(opAsk, j)
+		if w.remaining.DrainRequests > 0 {
+			add(opRequestPermit, j)
 		}
-		if _, wished := w.state.Wishes[things[j]]; wished || out && p.For == outage.ByHand && !p.Serve {
+		if _, wished := w.state.PermitRequests[memberIDs[j]]; wished || out && p.For == outage.ByHand && !p.Serve {
 			add(opServe, j)
 		}
 	}
 	for _, one := range [...]struct {
 		op  op
 		may bool
-	}{{opWorse, w.left.Worse > 0 && w.worse != w.run()}, {opHalt, w.left.Halts > 0}, {opResume, w.left.Resumes > 0}, {opBack, w.left.Backs > 0}, {opLower, w.left.Lowers > 0}} {
+	}{{opRegress, w.remaining.Regressions > 0 && w.failingRun != w.run()}, {opHalt, w.remaining.Halts > 0}, {opResume, w.remaining.Resumes > 0}, {opRollBack, w.remaining.Rollbacks > 0}, {opCutBudget, w.remaining.BudgetCuts > 0}} {
 		if one.may {
 			add(one.op, 0)
 		}
@@ -173,114 +173,114 @@
 	return out
 }
 
-// follow has a router go by the state that stands.
-func (w *world) follow(i int) {
+// adoptState has a router go by the state that stands.
+func (w *world) adoptState(i int) {
 	r := &w.routers[i]
-	r.follows = w.state.Seq
-	for j, thing := range things {
+	r.stateSeq = w.state.Seq
+	for j, thing := range memberIDs {
 		p, out := w.state.Permits[thing]
 		r.sends[j] = !out || p.Stage == outage.Returning
 	}
 }
 
-// order writes what an operator asked for, if anything.
-func (w *world) order(next *outage.State, err error) []string {
+// applyOrder writes what an operator asked for, if anything.
+func (w *world) applyOrder(next *outage.State, err error) []string {
 	if err != nil || next == nil { // refused, or nothing to be done
 		return nil
 	}
-	return w.put(next, w.most())
+	return w.store(next, w.majorityLabels())
 }
 
-// put has a state take the place of the one in the store; by is what it was made on.
-func (w *world) put(next *outage.State, by said) []string {
+// store has a state take the place of the one in the store; by is what it was made on.
+func (w *world) store(next *outage.State, by labels) []string {
 	before := w.state
 	w.state = next
 	w.rev++
-	return judge(before, next, w, by)
+	return checkTransition(before, next, w, by)
 }
 
-// happen has an event happen; it gives the rules that were broken by it.
-func (w *world) happen(e event, broken Fault) []string {
+// apply has an event apply; it gives the rules that were broken by it.
+func (w *world) apply(e event, broken Fault) []string {
 	r, s := &w.routers[e.at], &w.servers[e.at]
 	switch e.op {
 	case opReport:
-		w.follow(int(e.at))
-		r.report = report{boot: r.boot, seen: r.follows, sees: w.servers}
-		if rel := w.state.Release; rel != nil && rel.Phase == outage.Running && w.worse == rel.Run {
-			r.report.worse = rel.Run
+		w.adoptState(int(e.at))
+		r.report = routerReport{boot: r.boot, stateSeq: r.stateSeq, servers: w.servers}
+		if rel := w.state.Release; rel != nil && rel.Phase == outage.Running && w.failingRun == rel.Run {
+			r.report.failingRun = rel.Run
 		}
-	case opRead, opReadAged, opReadDeaf:
-		w.follow(int(e.at))
-		next := w.read(int(e.at), e.op == opReadAged, e.op == opReadDeaf, broken)
-		w.pending[e.at] = pending{next, w.rev, w.lowered, w.most()}
+	case opRead, opReadAged, opReadExpired:
+		w.adoptState(int(e.at))
+		next := w.decide(int(e.at), e.op == opReadAged, e.op == opReadExpired, broken)
+		w.pending[e.at] = pendingWrite{next, w.rev, w.lowered, w.majorityLabels()}
 		if next == nil {
-			w.pending[e.at] = pending{}
+			w.pending[e.at] = pendingWrite{}
 		}
 	case opWrite:
 		return w.write(int(e.at), broken)
-	case opStop:
-		w.left.Stops--
-		r.stopped = true
-	case opGo:
-		r.stopped = false
+	case opPause:
+		w.remaining.DeciderPauses--
+		r.paused = true
+	case opUnpause:
+		r.paused = false
 	case opLapse:
-		r.live = false
-	case opEnter:
+		r.registered = false
+	case opRegister:
 		if !r.up {
 			r.up = true
 			r.boot++
 			if e.at < Deciders {
-				w.pending[e.at] = pending{}
+				w.pending[e.at] = pendingWrite{}
 			}
 		}
-		r.live = true
-		w.follow(int(e.at))
-	case opEnd:
-		w.left.Ends--
-		r.up, r.stopped = false, false
+		r.registered = true
+		w.adoptState(int(e.at))
+	case opRouterCrash:
+		w.remaining.RouterCrashes--
+		r.up, r.paused = false, false
 		if e.at < Deciders {
-			w.pending[e.at] = pending{}
+			w.pending[e.at] = pendingWrite{}
 		}
-	case opCrash:
-		w.left.Crashes--
+	case opServerCrash:
+		w.remaining.ServerCrashes--
 		s.up = false
-	case opTake:
+	case opStopServer:
 		s.up = false
-	case opOld, opNew:
-		if p, out := w.state.Permits[things[e.at]]; out && p.To != "" && p.To != [...]string{"old", "new"}[e.op-opOld] {
-			w.left.Odd--
+	case opStartOld, opStartNew:
+		if p, out := w.state.Permits[memberIDs[e.at]]; out && p.To != "" && p.To != [...]string{"old", "new"}[e.op-opStartOld] {
+			w.remaining.WrongLabels--
 		}
-		s.up, s.next = true, e.op == opNew
+		s.up, s.newLabel = true, e.op == opStartNew
 		s.boot++
-	case opWorse:
-		w.left.Worse--
-		w.worse = w.run()
+	case opRegress:
+		w.remaining.Regressions--
+		w.failingRun = w.run()
 	case opHalt:
-		w.left.Halts--
-		return w.order(w.state.Halt("op", ""))
+		w.remaining.Halts--
+		return w.applyOrder(w.state.Halt("op", ""))
 	case opResume:
-		w.left.Resumes--
-		return w.order(w.view().Resume("op"))
-	case opBack:
-		w.left.Backs--
-		next, err := w.state.TakeBack("op")
-		if next != nil && err == nil && w.taken {
+		w.remaining.Resumes--
+		return w.applyOrder(w.view().Resume("op"))
+	case opRollBack:
+		w.remaining.Rollbacks--
+		next, err := w.state.RollBack("op")
+		if next != nil && err == nil && w.rolledBack {
 			return []string{"a second back is another way back"}
 		}
-		w.taken = w.taken || next != nil && err == nil
-		return w.order(next, err)
-	case opLower:
-		w.left.Lowers--
+		w.rolledBack = w.rolledBack || next != nil && err == nil
+		return w.applyOrder(next, err)
+	case opCutBudget:
+		w.remaining.BudgetCuts--
 		w.lowered = true
-	case opAsk:
-		w.left.Hands--
-		next, permitted := w.state.Ask(things[e.at], "op")
+	case opRequestPermit:
+		w.remaining.DrainRequests--
+		next, permitted := w.state.Drain(memberIDs[e.at], "op")
 		if permitted {
-			return w.sent(things[e.at])
+			return w.sendersTo(memberIDs[e.at])
 		}
-		return w.order(next, nil)
+		return w.applyOrder(next, nil)
 	case opServe:
-		return w.order(w.state.Serve(things[e.at], "op"), nil)
+		return w.applyOrder(w.state.Serve(memberIDs[e.at], "op"), nil)
 	}
 	return nil
 }
@@ -288,33 +288,33 @@
 // write is the carrier's: it compares what the decision was made on, and that its maker is registered.
 func (w *world) write(i int, broken Fault) []string {
 	p, r := w.pending[i], w.routers[i]
-	w.pending[i] = pending{}
-	holds := map[Fault]bool{NoRevision: p.from == w.rev, NoRegistration: r.live, NoPolicy: p.lowered == w.lowered}
+	w.pending[i] = pendingWrite{}
+	holds := map[Fault]bool{NoRevision: p.readRev == w.rev, NoRegistration: r.registered, NoPolicy: p.lowered == w.lowered}
 	for rule, held := range holds {
 		if !held && broken != rule && (broken != outage.NoFence || rule == NoPolicy) {
 			return nil
 		}
 	}
 	var faults []string
-	if !r.live {
+	if !r.registered {
 		faults = append(faults, "a router wrote whose registration has ended")
 	}
-	faults = append(faults, w.put(p.next, p.said)...)
-	w.follow(i)
+	faults = append(faults, w.store(p.next, p.labels)...)
+	w.adoptState(i)
 	return faults
 }
 
-// first is a fleet in which all know each other, with a release that has just begun.
-func first(b Bounds) world {
-	w := world{left: b}
-	for i := range Size {
+// initialWorld is a fleet in which all know each other, with a release that has just begun.
+func initialWorld(b Bounds) world {
+	w := world{remaining: b}
+	for i := range FleetSize {
 		w.servers[i] = server{boot: '1', up: true}
-		w.routers[i] = router{up: true, live: true, boot: '1', report: report{boot: '1'}}
+		w.routers[i] = router{up: true, registered: true, boot: '1', report: routerReport{boot: '1'}}
 	}
 	for i := range w.routers {
-		w.routers[i].report.sees = w.servers
+		w.routers[i].report.servers = w.servers
 	}
-	w.state = w.read(0, false, false, "")
+	w.state = w.decide(0, false, false, "")
 	next, err := w.view().Start(outage.Spec{Name: "up", Kind: outage.Server, To: "new", Order: "name", Waves: []float64{1, 2}}, "op")
 	if err != nil {
 		panic(err) // the spec is this program's own
@@ -322,18 +322,18 @@
 	w.state = next
 	w.rev = 2
 	for i := range w.routers {
-		w.follow(i)
-		w.routers[i].report.seen = next.Seq
+		w.adoptState(i)
+		w.routers[i].report.stateSeq = next.Seq
 	}
 	return w
 }
 
-// doomed forgets decisions that can't be written any more: to write them changes nothing.
-func (w *world) doomed(broken Fault) {
+// dropStaleWrites forgets decisions that can't be written any more: to write them changes nothing.
+func (w *world) dropStaleWrites(broken Fault) {
 	compares := !slices.Contains([]Fault{NoRevision, outage.NoFence}, broken)
 	for i := range w.pending {
-		if p := w.pending[i]; p.next != nil && compares && p.from != w.rev {
-			w.pending[i] = pending{}
+		if p := w.pending[i]; p.next != nil && compares && p.readRev != w.rev {
+			w.pending[i] = pendingWrite{}
 		}
 	}
 }
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -16,10 +16,10 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// Size of the fleet: routers and servers, and how many of the routers decide.
+// FleetSize of the fleet: routers and servers, and how many of the routers decide.
 const (
-	Size     = 3
-	Deciders = 2
+	FleetSize = 3
+	Deciders  = 2
 )
 
 // Fault is a rule that the carrier of the decider breaks on purpose; those of the decider are its own.
@@ -34,24 +34,24 @@
 
 // Bounds say how often each thing may happen in one life, so that there is an end of states.
 type Bounds struct {
-	Crashes int8 `json:"crashes"` // deaths of a server; it may return at any time, or never
-	Ends    int8 `json:"ends"`    // deaths of a router; likewise
-	Stops   int8 `json:"stops"`   // stops of a decider, with its registration lost meanwhile or not
-	Odd     int8 `json:"odd"`     // returns under a permit with another label than the permit's
-	Worse   int8 `json:"worse"`   // times that the new version is seen to fail
-	Halts   int8 `json:"halts"`   // by an operator
-	Resumes int8 `json:"resumes"`
-	Backs   int8 `json:"backs"`
-	Lowers  int8 `json:"lowers"` // of the budget from two servers to one
-	Hands   int8 `json:"hands"`  // wishes by hand, each of which may be taken back
+	ServerCrashes int8 `json:"crashes"` // deaths of a server; it may return at any time, or never
+	RouterCrashes int8 `json:"ends"`    // deaths of a router; likewise
+	DeciderPauses int8 `json:"stops"`   // stops of a decider, with its registration lost meanwhile or not
+	WrongLabels   int8 `json:"odd"`     // returns under a permit with another label than the permit's
+	Regressions   int8 `json:"worse"`   // times that the new version is seen to fail
+	Halts         int8 `json:"halts"`   // by an operator
+	Resumes       int8 `json:"resumes"`
+	Rollbacks     int8 `json:"backs"`
+	BudgetCuts    int8 `json:"lowers"` // of the budget from two servers to one
+	DrainRequests int8 `json:"hands"`  // wishes by hand, each of which may be taken back
 }
 
-const unit = 1000.0 // ms
+const timeUnit = 1000.0 // ms
 
 // model is the policy's; lowered, its budget is less.
 func model(lowered bool) outage.Model {
-	m := outage.Model{Workers: 2, Routers: 1, PauseMs: unit, LostMs: unit, WarmMs: unit, ReturnMs: 2 * unit, ReportMs: 500,
-		Halt: outage.Halt{OverMs: unit, Least: 20}}
+	m := outage.Model{Workers: 2, Routers: 1, PauseMs: timeUnit, LostMs: timeUnit, WarmMs: timeUnit, ReturnMs: 2 * timeUnit, ReportMs: 500,
+		Halt: outage.Halt{OverMs: timeUnit, Least: 20}}
 	if lowered {
 		m.Workers = 1
 	}
@@ -60,126 +60,126 @@
 
 // server is what is true of a server, or what a router's report says of it.
 type server struct {
-	boot byte // '1' and on
-	next bool // it has the new label
-	up   bool
+	boot     byte // '1' and on
+	newLabel bool // it has the new label
+	up       bool
 }
 
 func (s server) label() string {
-	if s.next {
+	if s.newLabel {
 		return "new"
 	}
 	return "old"
 }
 
-type report struct {
-	boot  byte // 0: none was written
-	seen  int64
-	sees  [Size]server
-	worse string // the run for which it counted that the new version fails
+type routerReport struct {
+	boot       byte // 0: none was written
+	stateSeq   int64
+	servers    [FleetSize]server
+	failingRun string // the run for which it counted that the new version fails
 }
 
 type router struct {
-	up, stopped bool
-	live        bool // its registration stands
-	boot        byte
-	follows     int64      // number of the state that it goes by
-	sends       [Size]bool // by that state, to which servers
-	report      report
+	up, paused bool
+	registered bool // its registration stands
+	boot       byte
+	stateSeq   int64           // number of the state that it goes by
+	sends      [FleetSize]bool // by that state, to which servers
+	report     routerReport
 }
 
-// pending is a decision that was made and not yet written.
-type pending struct {
+// pendingWrite is a decision that was made and not yet written.
+type pendingWrite struct {
 	next    *outage.State
-	from    int64 // revision that was read
+	readRev int64 // revision that was read
 	lowered bool  // the budget that was read
-	said    said
+	labels  labels
 }
 
-// said are the labels that most routers reported of servers: "", "old" or "new".
-type said [Size]string
+// labels are the labels that most routers reported of servers: "", "old" or "new".
+type labels [FleetSize]string
 
 // world is one state of the whole: what is true, what the store has, and what deciders are about to write.
 type world struct {
-	state   *outage.State // never changed, only replaced
-	rev     int64
-	lowered bool
-	servers [Size]server
-	routers [Size]router
-	pending [Deciders]pending
-	worse   string // the run in which the new version fails
-	taken   bool   // back was asked for and done
-	left    Bounds
+	state      *outage.State // never changed, only replaced
+	rev        int64
+	lowered    bool
+	servers    [FleetSize]server
+	routers    [FleetSize]router
+	pending    [Deciders]pendingWrite
+	failingRun string // the run in which the new version fails
+	rolledBack bool   // back was asked for and done
+	remaining  Bounds
 }
 
 var (
-	serverNames = [Size]string{"s1", "s2", "s3"}
-	routerNames = [Size]string{"r1", "r2", "r3"}
-	things      = [Size]string{"server/s1", "server/s2", "server/s3"}
+	serverNames = [FleetSize]string{"s1", "s2", "s3"}
+	routerNames = [FleetSize]string{"r1", "r2", "r3"}
+	memberIDs   = [FleetSize]string{"server/s1", "server/s2", "server/s3"}
 )
 
-// bad are counts that any look halts at.
-var bad = outage.Counts{Old: outage.Tally{N: 1000}, New: outage.Tally{N: 20, Failed: 20}}
+// failingCounts are counts that any look halts at.
+var failingCounts = outage.Counts{Old: outage.Tally{N: 1000}, New: outage.Tally{N: 20, Failed: 20}}
 
 // view is what a reading of the store gives.
 func (w *world) view() outage.View {
-	v := outage.View{Model: model(w.lowered), Version: 1, Last: w.state, Routers: make(map[string]outage.Registered, Size)}
+	v := outage.View{Model: model(w.lowered), Version: 1, Last: w.state, Routers: make(map[string]outage.Registration, FleetSize)}
 	if w.lowered {
 		v.Version = 2
 	}
 	for i, r := range w.routers {
-		if r.live {
-			v.Routers[routerNames[i]] = outage.Registered{Boot: string(r.boot), Label: "p", Live: true}
+		if r.registered {
+			v.Routers[routerNames[i]] = outage.Registration{Boot: string(r.boot), Label: "p", Live: true}
 		}
 		if r.report.boot == 0 {
 			continue
 		}
-		one := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), Seen: r.report.seen, Sees: make(map[string]outage.Sight, Size), Rev: 1}
-		for j, s := range r.report.sees {
-			sight := outage.Sight{Boot: string(s.boot), Label: s.label(), Asked: true}
+		one := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq, Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
+		for j, s := range r.report.servers {
+			sight := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
-				sight.SilentMs = unit
+				sight.SilentMs = timeUnit
 			}
-			one.Sees[serverNames[j]] = sight
+			one.Observed[serverNames[j]] = sight
 		}
-		if r.report.worse != "" {
-			one.Release, one.Counts = r.report.worse, bad
+		if r.report.failingRun != "" {
+			one.Release, one.Counts = r.report.failingRun, failingCounts
 		}
 		v.Reports = append(v.Reports, one)
 	}
 	return v
 }
 
-// read has a router make a decision: aged, the state has stood for a unit; deaf, the reports of stopped routers are not
+// decide has a router make a decision: aged, the state has stood for a unit; deaf, the reports of stopped routers are not
 // believed any more.
-func (w *world) read(i int, aged, deaf bool, broken Fault) *outage.State {
+func (w *world) decide(i int, aged, deaf bool, broken Fault) *outage.State {
 	d := outage.Decider{Me: routerNames[i], Broken: broken}
 	made := d.Step(w.view(), outage.Ages{
 		State: func() time.Duration {
 			if aged {
-				return unit * time.Millisecond
+				return timeUnit * time.Millisecond
 			}
 			return 0
 		},
 		Report: func(name string, _ int64) time.Duration {
-			if r := w.routers[name[1]-'1']; deaf && (r.stopped || !r.up) {
+			if r := w.routers[name[1]-'1']; deaf && (r.paused || !r.up) {
 				return time.Hour
 			}
 			return 0
 		}})
-	if !made.Most {
+	if !made.Quorum {
 		return nil
 	}
 	return made.Next
 }
 
-// key is a hash of all that what follows depends on. Numbers that only grow (states, permits, starts) go in by how they
+// hash is a hash of all that what follows depends on. Numbers that only grow (states, permits, starts) go in by how they
 // compare; times by how they stand to the model's bounds; what is only said, not at all.
-func (w *world) key(buf []byte) (uint64, []byte) {
+func (w *world) hash(buf []byte) (uint64, []byte) {
 	b := buf[:0]
-	b = flags(b, w.lowered, w.taken, w.worse != "" && w.run() == w.worse)
-	l := w.left
-	b = append(b, byte(l.Crashes), byte(l.Ends), byte(l.Stops), byte(l.Odd), byte(l.Worse), byte(l.Halts), byte(l.Resumes), byte(l.Backs), byte(l.Lowers), byte(l.Hands))
+	b = appendFlags(b, w.lowered, w.rolledBack, w.failingRun != "" && w.run() == w.failingRun)
+	l := w.remaining
+	b = append(b, byte(l.ServerCrashes), byte(l.RouterCrashes), byte(l.DeciderPauses), byte(l.WrongLabels), byte(l.Regressions), byte(l.Halts), byte(l.Resumes), byte(l.Rollbacks), byte(l.BudgetCuts), byte(l.DrainRequests))
 	for j := range w.servers {
 		var names [16]byte
 		n := byte(0)
@@ -190,28 +190,28 @@
 			}
 			return names[c&15]
 		}
-		one := func(s server) { b = flags(append(b, boot(s.boot)), s.next, s.up) }
+		one := func(s server) { b = appendFlags(append(b, boot(s.boot)), s.newLabel, s.up) }
 		one(w.servers[j])
 		for _, r := range w.routers {
 			if r.report.boot != 0 {
-				one(r.report.sees[j])
+				one(r.report.servers[j])
 			}
 		}
 		for _, s := range w.states() {
-			if p, is := s.Permits[things[j]]; is {
+			if p, is := s.Permits[memberIDs[j]]; is {
 				b = append(b, boot(p.Boot[0]))
 			}
 		}
 	}
 	for i, r := range w.routers {
-		b = flags(b, r.up, r.stopped, r.live, r.report.boot != 0, r.report.boot == r.boot, r.report.worse != "" && r.report.worse == w.run(), r.sends[0], r.sends[1], r.sends[2],
+		b = appendFlags(b, r.up, r.paused, r.registered, r.report.boot != 0, r.report.boot == r.boot, r.report.failingRun != "" && r.report.failingRun == w.run(), r.sends[0], r.sends[1], r.sends[2],
 			w.state.Known[routerNames[i]].Boot == string(r.boot))
 	}
-	b = w.keyOf(b, w.state)
+	b = w.appendState(b, w.state)
 	for _, p := range w.pending {
-		if b = flags(b, p.next != nil, p.from == w.rev, p.lowered); p.next != nil {
-			b = w.keyOf(b, p.next)
-			for _, label := range p.said {
+		if b = appendFlags(b, p.next != nil, p.readRev == w.rev, p.lowered); p.next != nil {
+			b = w.appendState(b, p.next)
+			for _, label := range p.labels {
 				b = append(append(b, label...), 0)
 			}
 		}
@@ -237,7 +237,7 @@
 	return w.state.Release.Run
 }
 
-func flags(b []byte, list ...bool) []byte {
+func appendFlags(b []byte, list ...bool) []byte {
 	out := uint16(0)
 	for i, f := range list {
 		if f {
@@ -248,14 +248,14 @@
 }
 
 // units is a time by how many units it has, up to a most.
-func units(ms float64, most int) byte { return byte(min(int(ms/unit), most)) }
+func units(ms float64, most int) byte { return byte(min(int(ms/timeUnit), most)) }
 
-// keyOf adds what follows depends on of one state.
-func (w *world) keyOf(b []byte, s *outage.State) []byte {
+// appendState adds what follows depends on of one state.
+func (w *world) appendState(b []byte, s *outage.State) []byte {
 	text := func(t string) { b = append(append(b, t...), 0) }
-	for i, thing := range things {
+	for i, thing := range memberIDs {
 		p, out := s.Permits[thing]
-		b = flags(b, out, p.Serve)
+		b = appendFlags(b, out, p.Serve)
 		if out {
 			text(string(p.Stage))
 			text(p.To)
@@ -263,28 +263,28 @@
 			text(p.For)
 			b = append(b, units(p.OutMs, 3), units(p.BackMs, 1))
 			for _, r := range w.routers {
-				b = flags(b, r.report.seen >= p.Seq)
+				b = appendFlags(b, r.report.stateSeq >= p.Seq)
 			}
 		}
-		wish, is := s.Wishes[thing]
-		if b = flags(b, is); is {
+		wish, is := s.PermitRequests[thing]
+		if b = appendFlags(b, is); is {
 			b = binary.AppendVarint(b, s.Seq-wish.Seq)
-			text(wish.Wait)
+			text(wish.WaitReason)
 		}
 		text(s.Lost[thing].Why)
 		text(s.Lost["router/"+routerNames[i]].Why)
 		_, known := s.Known[routerNames[i]]
-		b = flags(b, known)
+		b = appendFlags(b, known)
 	}
 	g := s.Budget
-	b = append(flags(b, s.Over), units(s.OverMs, 2), byte(g.Servers), byte(g.Routers), byte(g.ServersMost), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
+	b = append(appendFlags(b, s.OverBudget), units(s.OverBudgetMs, 2), byte(g.Servers), byte(g.Routers), byte(g.ServersLimit), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
 	r := s.Release
 	if r == nil {
 		return b
 	}
 	text(string(r.Phase))
-	text(string(r.Before))
-	b = append(flags(b, r.Paused, r.ByHand), units(r.PauseMs, 1), byte(min(r.Wave, len(r.Waves)-1)), byte(r.Left), byte(r.Looks))
+	text(string(r.HaltedFrom))
+	b = append(appendFlags(b, r.Paused, r.ByHand), units(r.PauseMs, 1), byte(min(r.Wave, len(r.Waves)-1)), byte(r.WaveLeft), byte(r.Looks))
 	for _, t := range r.Targets {
 		text(t.Name)
 		text(t.From)
@@ -292,11 +292,11 @@
 		text(t.Why)
 		nth := byte(0)
 		for _, o := range r.Targets {
-			if o.Nth < t.Nth {
+			if o.Order < t.Order {
 				nth++
 			}
 		}
-		b = flags(append(b, nth), t.Gone, t.Nth != 0)
+		b = appendFlags(append(b, nth), t.Gone, t.Order != 0)
 	}
 	return b
 }
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -33,30 +33,30 @@
 // State is what a fleet has agreed on about outages. It stands in the store under one key. Times are in milliseconds and
 // only ever added to by what a decider saw pass.
 type State struct {
-	Format  int    `json:"format"`
-	Seq     int64  `json:"seq"`
-	Version int64  `json:"version"` // of the policy whose model it was made by
-	By      string `json:"by"`
-	Why     string `json:"why,omitempty"` // what changed with this state
-	Next    int64  `json:"next"`          // number of the next permit
+	Format       int    `json:"format"`
+	Seq          int64  `json:"seq"`
+	Version      int64  `json:"version"` // of the policy whose model it was made by
+	By           string `json:"by"`
+	Why          string `json:"why,omitempty"` // what changed with this state
+	LastPermitID int64  `json:"next"`          // number of the next permit
 
-	Permits map[string]Permit `json:"permits,omitempty"` // by thing
-	Wishes  map[string]Wish   `json:"wishes,omitempty"`  // by thing
-	Lost    map[string]Loss   `json:"lost,omitempty"`    // by thing: what is out without a permit
-	Known   map[string]Known  `json:"known,omitempty"`   // routers by name
-	Past    []Past            `json:"past,omitempty"`    // permits that ended, the newest last
+	Permits        map[string]Permit        `json:"permits,omitempty"` // by thing
+	PermitRequests map[string]PermitRequest `json:"wishes,omitempty"`  // by thing
+	Lost           map[string]Loss          `json:"lost,omitempty"`    // by thing: what is out without a permit
+	Known          map[string]KnownRouter   `json:"known,omitempty"`   // routers by name
+	EndedPermits   []EndedPermit            `json:"past,omitempty"`    // permits that ended, the newest last
 	// Leaving have their turn, by thing, and wait for copies of what they hold.
 	Leaving map[string]Leaving `json:"leaving,omitempty"`
 	Release *Release           `json:"release,omitempty"` // the last one
-	// Room is the budget of servers, where it follows room.
-	Room *Room `json:"room,omitempty"`
+	// Headroom is the budget of servers, where it follows room.
+	Headroom *Headroom `json:"room,omitempty"`
 	// Hindsight counts halts by what became of their versions.
 	Hindsight Hindsight `json:"hindsight,omitzero"`
 	// Budget is what was counted for this state, for those who check it.
 	Budget Budget `json:"budget"`
-	// OverMs is how long losses alone have used up the budget.
-	OverMs float64 `json:"over_ms,omitempty"`
-	Over   bool    `json:"over,omitempty"`
+	// OverBudgetMs is how long losses alone have used up the budget.
+	OverBudgetMs float64 `json:"over_ms,omitempty"`
+	OverBudget   bool    `json:"over,omitempty"`
 	turn.Later
 	Rev int64 `json:"-"`
 }
@@ -66,9 +66,9 @@
 
 // The stages of a permit.
 const (
-	Given     Stage = "given"     // routers are told: nothing new goes there
-	Clear     Stage = "clear"     // every router that is alive has said so: it may be stopped
-	Returning Stage = "returning" // it is seen back, and gets warm
+	Granted      Stage = "given"     // routers are told: nothing new goes there
+	Acknowledged Stage = "clear"     // every router that is alive has said so: it may be stopped
+	Returning    Stage = "returning" // it is seen back, and gets warm
 )
 
 // Permit lets one thing be out of service.
@@ -88,16 +88,16 @@
 	BackMs float64 `json:"back_ms"` // since it was seen back
 }
 
-// Wish is an operator's wish to take something out by hand.
-type Wish struct {
-	Seq  int64  `json:"seq"` // wishes are met in their order
-	By   string `json:"by,omitempty"`
-	Wait string `json:"wait,omitempty"` // why not yet
+// PermitRequest is an operator's wish to take something out by hand.
+type PermitRequest struct {
+	Seq        int64  `json:"seq"` // wishes are met in their order
+	By         string `json:"by,omitempty"`
+	WaitReason string `json:"wait,omitempty"` // why not yet
 	// For and To are what its permit is to be for, where that is not an operator's hand, and the label to come back with;
 	// Place its turn among those of its kind.
-	For   string `json:"for,omitempty"`
-	To    string `json:"to,omitempty"`
-	Place int    `json:"place,omitempty"`
+	For  string `json:"for,omitempty"`
+	To   string `json:"to,omitempty"`
+	Rank int    `json:"place,omitempty"`
 }
 
 // Loss is something that is out without a permit.
@@ -107,48 +107,48 @@
 	Role string `json:"role,omitempty"`
 }
 
-// Known is a router that the fleet counts with until it is declared gone.
-type Known struct {
-	Boot  string `json:"boot"`
-	Label string `json:"label,omitempty"`
-	Site  string `json:"site,omitempty"`
-	Hosts bool   `json:"hosts,omitempty"` // a member of the store
+// KnownRouter is a router that the fleet counts with until it is declared gone.
+type KnownRouter struct {
+	Boot        string `json:"boot"`
+	Label       string `json:"label,omitempty"`
+	Site        string `json:"site,omitempty"`
+	StoreMember bool   `json:"hosts,omitempty"` // a member of the store
 }
 
-// Past is a permit that has ended.
-type Past struct {
-	ID    int64  `json:"id"`
-	Thing string `json:"thing"`
-	For   string `json:"for"`
-	End   string `json:"end"` // back, served or gone
-	Label string `json:"label,omitempty"`
-	Seq   int64  `json:"seq"` // of the state that ended it
+// EndedPermit is a permit that has ended.
+type EndedPermit struct {
+	ID     int64  `json:"id"`
+	Member string `json:"thing"`
+	For    string `json:"for"`
+	End    string `json:"end"` // back, served or gone
+	Label  string `json:"label,omitempty"`
+	Seq    int64  `json:"seq"` // of the state that ended it
 }
 
-// keptPast is how many ended permits a state keeps.
-const keptPast = 64
+// maxEndedPermits is how many ended permits a state keeps.
+const maxEndedPermits = 64
 
 // Budget is what was counted.
 type Budget struct {
-	Servers      int `json:"servers"`       // all that there are
-	ServersMost  int `json:"servers_most"`  // that may be out
-	ServersOut   int `json:"servers_out"`   // permits and losses
-	Routers      int `json:"routers"`       // all that are known
-	RoutersMost  int `json:"routers_most"`  //
-	RoutersOut   int `json:"routers_out"`   //
-	ServersLost  int `json:"servers_lost"`  // of ServersOut, without a permit
-	RoutersLost  int `json:"routers_lost"`  //
-	ServersGiven int `json:"servers_given"` // of ServersOut, permits that are not yet seen back
+	Servers        int `json:"servers"`       // all that there are
+	ServersLimit   int `json:"servers_most"`  // that may be out
+	ServersOut     int `json:"servers_out"`   // permits and losses
+	Routers        int `json:"routers"`       // all that are known
+	RoutersLimit   int `json:"routers_most"`  //
+	RoutersOut     int `json:"routers_out"`   //
+	ServersLost    int `json:"servers_lost"`  // of ServersOut, without a permit
+	RoutersLost    int `json:"routers_lost"`  //
+	ServersGranted int `json:"servers_given"` // of ServersOut, permits that are not yet seen back
 }
 
 // clone is a copy that shares nothing that is changed.
 func (s *State) clone() *State {
 	if s == nil {
-		return &State{Format: Format, Permits: map[string]Permit{}, Wishes: map[string]Wish{}, Lost: map[string]Loss{}, Known: map[string]Known{}, Leaving: map[string]Leaving{}}
+		return &State{Format: Format, Permits: map[string]Permit{}, PermitRequests: map[string]PermitRequest{}, Lost: map[string]Loss{}, Known: map[string]KnownRouter{}, Leaving: map[string]Leaving{}}
 	}
 	out := *s
-	out.Permits, out.Wishes, out.Lost, out.Known = copied(s.Permits), copied(s.Wishes), copied(s.Lost), copied(s.Known)
-	out.Past, out.Leaving = slices.Clone(s.Past), copied(s.Leaving)
+	out.Permits, out.PermitRequests, out.Lost, out.Known = cloneOrEmpty(s.Permits), cloneOrEmpty(s.PermitRequests), cloneOrEmpty(s.Lost), cloneOrEmpty(s.Known)
+	out.EndedPermits, out.Leaving = slices.Clone(s.EndedPermits), cloneOrEmpty(s.Leaving)
 	if s.Release != nil {
 		r := *s.Release
 		r.Targets = slices.Clone(r.Targets)
@@ -157,20 +157,20 @@
 	return &out
 }
 
-func copied[V any](m map[string]V) map[string]V {
+func cloneOrEmpty[V any](m map[string]V) map[string]V {
 	if m == nil {
 		return map[string]V{}
 	}
 	return maps.Clone(m)
 }
 
-// ended notes the end of a permit.
-func (s *State) ended(thing, how, label string) {
+// endPermit notes the end of a permit.
+func (s *State) endPermit(thing, how, label string) {
 	p := s.Permits[thing]
 	delete(s.Permits, thing)
-	s.Past = append(s.Past, Past{ID: p.ID, Thing: thing, For: p.For, End: how, Label: label, Seq: s.Seq})
-	if len(s.Past) > keptPast {
-		s.Past = slices.Clone(s.Past[len(s.Past)-keptPast:])
+	s.EndedPermits = append(s.EndedPermits, EndedPermit{ID: p.ID, Member: thing, For: p.For, End: how, Label: label, Seq: s.Seq})
+	if len(s.EndedPermits) > maxEndedPermits {
+		s.EndedPermits = slices.Clone(s.EndedPermits[len(s.EndedPermits)-maxEndedPermits:])
 	}
 }
 
@@ -186,27 +186,27 @@
 // Advice says what an operator can do.
 func (e *RefusedError) Advice() string { return e.Do }
 
-// Ask notes an operator's wish to take a server out, or gives what is there: asked twice it is one wish. permitted tells
+// Drain notes an operator's wish to take a server out, or gives what is there: asked twice it is one wish. permitted tells
 // that it is out, or may be taken out now; what returns just now is neither: it is asked for once its permit has ended.
-func (s *State) Ask(thing, by string) (next *State, permitted bool) {
-	if p, is := s.get(thing); is && p.Stage == Clear && !p.Serve {
+func (s *State) Drain(thing, by string) (next *State, permitted bool) {
+	if p, is := s.permit(thing); is && p.Stage == Acknowledged && !p.Serve {
 		return nil, true
 	} else if is {
 		return nil, false
 	}
 	if s != nil {
-		if _, is := s.Wishes[thing]; is {
+		if _, is := s.PermitRequests[thing]; is {
 			return nil, false
 		}
 	}
 	next = s.clone()
 	next.Seq++
 	next.By, next.Why = by, thing+" is wished out"
-	next.Wishes[thing] = Wish{Seq: next.Seq, By: by, Wait: "not looked at yet"}
+	next.PermitRequests[thing] = PermitRequest{Seq: next.Seq, By: by, WaitReason: "not looked at yet"}
 	return next, false
 }
 
-func (s *State) get(thing string) (Permit, bool) {
+func (s *State) permit(thing string) (Permit, bool) {
 	if s == nil {
 		return Permit{}, false
 	}
@@ -219,7 +219,7 @@
 	if s == nil {
 		return nil
 	}
-	_, wished := s.Wishes[thing]
+	_, wished := s.PermitRequests[thing]
 	p, out := s.Permits[thing]
 	if !wished && (!out || p.Serve || p.For != ByHand) {
 		return nil
@@ -227,7 +227,7 @@
 	next := s.clone()
 	next.Seq++
 	next.By, next.Why = by, thing+" is to serve again"
-	delete(next.Wishes, thing)
+	delete(next.PermitRequests, thing)
 	delete(next.Leaving, thing)
 	if out && p.For == ByHand {
 		p.Serve = true
@@ -239,36 +239,36 @@
 // ByHand is what a permit is for that no release asked for.
 const ByHand = "hand"
 
-// Gone declares that a thing will not come back: its permit ends, and it is not counted any more. The caller answers
+// DeclareGone declares that a thing will not come back: its permit ends, and it is not counted any more. The caller answers
 // for its being down. nil: nothing is known of it.
-func (s *State) Gone(thing, by string) *State {
+func (s *State) DeclareGone(thing, by string) *State {
 	if s == nil {
 		return nil
 	}
 	next := s.clone()
 	next.Seq++
 	next.By, next.Why = by, thing+" is declared gone"
-	_, wished := next.Wishes[thing]
+	_, wished := next.PermitRequests[thing]
 	_, out := next.Permits[thing]
 	_, lost := next.Lost[thing]
 	kind, name := Split(thing)
-	known := kind == Router && next.Known[name] != Known{}
+	known := kind == Router && next.Known[name] != KnownRouter{}
 	if !wished && !out && !lost && !known {
 		return nil
 	}
-	delete(next.Wishes, thing)
+	delete(next.PermitRequests, thing)
 	delete(next.Leaving, thing)
 	delete(next.Lost, thing)
 	if kind == Router {
 		delete(next.Known, name)
 	}
 	if out {
-		next.ended(thing, "gone", "")
+		next.endPermit(thing, "gone", "")
 	}
 	if r := next.Release; r != nil {
 		for i := range r.Targets {
 			if t := &r.Targets[i]; ID(r.Kind, t.Name) == thing {
-				t.State, t.Why, t.Gone = Held, "declared gone", true
+				t.State, t.Why, t.Gone = Blocked, "declared gone", true
 			}
 		}
 	}
@@ -276,9 +276,9 @@
 }
 
 // Router gives what is known of a router.
-func (s *State) Router(name string) (Known, bool) {
+func (s *State) Router(name string) (KnownRouter, bool) {
 	if s == nil {
-		return Known{}, false
+		return KnownRouter{}, false
 	}
 	k, is := s.Known[name]
 	return k, is
