--- a/internal/fleet/outage/agent.go
+++ b/internal/fleet/outage/agent.go
@@ -165,7 +165,7 @@
 func (a *Agent) apply() {
 	a.mu.Lock()
 	mine := int64(0)
-	run, sides, kinds, worse := "", map[string]outage.Side(nil), map[string]string(nil), a.model.Filled().Halt.Worse
+	run, sides, kinds, worse := "", map[string]outage.Cohort(nil), map[string]string(nil), a.model.WithDefaults().Halt.Worse
 	if s := a.state; s != nil && a.model.On() {
 		if p, out := s.Permits[outage.ID(outage.Router, a.o.Name)]; out && p.Stage != outage.Returning && p.Boot == a.o.Boot {
 			mine = p.ID
@@ -173,7 +173,7 @@
 		if s.Release != nil {
 			var labels map[string]string
 			labels, kinds = a.labels(s.Release)
-			run, sides = s.Sides(labels)
+			run, sides = s.Cohorts(labels)
 		}
 	}
 	was := a.ducked
@@ -207,7 +207,7 @@
 		Period: func() (time.Duration, bool) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			m := a.model.Filled()
+			m := a.model.WithDefaults()
 			return time.Duration(m.ReportMs) * time.Millisecond, m.On()
 		},
 		Tick: func(ctx context.Context, since, period time.Duration) {
@@ -230,16 +230,16 @@
 func (a *Agent) follows() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.model.Follows() && a.o.Busy != nil && a.o.Open != nil
+	return a.model.FollowsHeadroom() && a.o.Busy != nil && a.o.Open != nil
 }
 
 // report writes what this router sees.
 func (a *Agent) report(ctx context.Context, since, period time.Duration) {
 	ctx, done := context.WithTimeout(ctx, patience(period))
 	defer done()
-	r := outage.Report{Router: a.o.Name, Boot: a.o.Boot, Sees: map[string]outage.Sight{}, Stopped: since > 3*period, Copies: a.o.Copies != nil && a.o.Copies()}
+	r := outage.Report{Router: a.o.Name, Boot: a.o.Boot, Observed: map[string]outage.Observation{}, Stopped: since > 3*period, Copies: a.o.Copies != nil && a.o.Copies()}
 	if a.o.Applied != nil {
-		r.Hosts, r.Applied = true, a.o.Applied()
+		r.StoreMember, r.Applied = true, a.o.Applied()
 	}
 	var busy map[string]int
 	var silent map[string]float64
@@ -250,14 +250,14 @@
 	}
 	a.mu.Lock()
 	if a.state != nil {
-		r.Seen = a.state.Seq
+		r.StateSeq = a.state.Seq
 	}
 	if a.ducked != 0 && a.duck.Empty != nil && a.duck.Empty() {
-		r.Empty = a.ducked
+		r.DrainedPermit = a.ducked
 	}
 	for _, w := range a.o.Roster.Workers() {
-		r.Sees[w.Name] = outage.Sight{Site: a.o.Roster.Site(w), Role: w.Role, Weight: w.Weight, Drains: w.Availability != brain.Ready, Label: w.Label,
-			Boot: strconv.FormatInt(int64(w.StartedAt/time.Millisecond), 10), SilentMs: silent[w.Name], Asked: asked[w.Name], Busy: busy[w.Name]}
+		r.Observed[w.Name] = outage.Observation{Site: a.o.Roster.Site(w), Role: w.Role, Weight: w.Weight, Draining: w.Availability != brain.Ready, Label: w.Label,
+			Boot: strconv.FormatInt(int64(w.StartedAt/time.Millisecond), 10), SilentMs: silent[w.Name], Probed: asked[w.Name], Busy: busy[w.Name]}
 	}
 	a.mu.Unlock()
 	if err := a.store.Say(ctx, a.o.Name, r); ctx.Err() == nil {
@@ -332,8 +332,8 @@
 		return
 	}
 	next.Rev = rev
-	a.o.Log.WithFields(logrus.Fields{"seq": next.Seq, "why": next.Why, "servers_out": next.Budget.ServersOut, "servers_most": next.Budget.ServersMost,
-		"routers_out": next.Budget.RoutersOut, "routers_most": next.Budget.RoutersMost, "permits": slices.Sorted(maps.Keys(next.Permits))}).Info("outage: decided")
+	a.o.Log.WithFields(logrus.Fields{"seq": next.Seq, "why": next.Why, "servers_out": next.Budget.ServersOut, "servers_most": next.Budget.ServersLimit,
+		"routers_out": next.Budget.RoutersOut, "routers_most": next.Budget.RoutersLimit, "permits": slices.Sorted(maps.Keys(next.Permits))}).Info("outage: decided")
 	a.mu.Lock()
 	a.state, a.since = next, a.now()
 	a.mu.Unlock()
--- a/internal/fleet/outage/agent_test.go
+++ b/internal/fleet/outage/agent_test.go
@@ -40,7 +40,7 @@
 		t.Helper()
 		s := &outage.State{Format: outage.Format, Seq: seq, Permits: map[string]outage.Permit{}}
 		for i, name := range names {
-			s.Permits[outage.ID(outage.Server, name)] = outage.Permit{ID: int64(i), For: outage.ByHand, Stage: outage.Clear}
+			s.Permits[outage.ID(outage.Server, name)] = outage.Permit{ID: int64(i), For: outage.ByHand, Stage: outage.Acknowledged}
 		}
 		if rev, err = NewStore(client).Move(t.Context(), rev, s, nil); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/outage/format_test.go
+++ b/internal/fleet/outage/format_test.go
@@ -22,7 +22,7 @@
 	}
 	decided := func(v outage.View) bool {
 		v.Model = outage.Model{Workers: 1, Routers: 1}
-		v.Routers = map[string]outage.Registered{"d1": {Boot: "b", Live: true}}
+		v.Routers = map[string]outage.Registration{"d1": {Boot: "b", Live: true}}
 		d := outage.Decider{Me: "d1"}
 		return d.Next(v, 0) != nil || d.Next(v, time.Minute) != nil
 	}
--- a/internal/fleet/outage/leaving_test.go
+++ b/internal/fleet/outage/leaving_test.go
@@ -86,7 +86,7 @@
 	})
 	time.Sleep(500 * time.Millisecond) // ten reports, in which each opening is used six times
 	if _, err := out.store.Change(t.Context(), outage.Model{Workers: 2}, func(v outage.View) (*outage.State, error) {
-		next, _ := v.Last.Ask("server/s1", "op")
+		next, _ := v.Last.Drain("server/s1", "op")
 		return next, nil
 	}); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/outage/meter.go
+++ b/internal/fleet/outage/meter.go
@@ -21,18 +21,18 @@
 }
 
 // count has what comes from now on counted for a run of a release; another run begins anew.
-func (m *meter) count(run string, sides map[string]outage.Side, kinds map[string]string, worse float64) {
+func (m *meter) count(run string, sides map[string]outage.Cohort, kinds map[string]string, worse float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counts.Count(run, sides, kinds, worse)
+	m.counts.Configure(run, sides, kinds, worse)
 }
 
 // tried counts an attempt.
 func (m *meter) tried(a Attempt) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.saw(a.Server, a.Heard)
-	m.counts.Tried(a)
+	m.saw(a.Server, a.Answered)
+	m.counts.Record(a)
 }
 
 // saw notes a sign of life, or that one did not come; the lock is held.
@@ -49,14 +49,14 @@
 func (m *meter) class(name string, refused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counts.Class(name, refused)
+	m.counts.RecordClass(name, refused)
 }
 
 // cut gives what was counted, for a report.
 func (m *meter) cut() (run string, c outage.Counts, silentMs map[string]float64, asked map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	run, c = m.counts.Cut()
+	run, c = m.counts.Snapshot()
 	silentMs = map[string]float64{}
 	for id, since := range m.silent {
 		silentMs[id] = max(float64(m.now()-since)/float64(time.Millisecond), 1)
--- a/internal/fleet/outage/probe.go
+++ b/internal/fleet/outage/probe.go
@@ -24,7 +24,7 @@
 			if !a.model.On() {
 				return 0
 			}
-			return time.Duration(a.model.Filled().ReportMs/2) * time.Millisecond
+			return time.Duration(a.model.WithDefaults().ReportMs/2) * time.Millisecond
 		},
 		Pick: func(list []core.Worker) []core.Worker {
 			if n := len(list); n > probed {
--- a/internal/fleet/outage/records.go
+++ b/internal/fleet/outage/records.go
@@ -47,9 +47,9 @@
 	if err != nil {
 		return v, all, err
 	}
-	v.Routers = map[string]outage.Registered{}
+	v.Routers = map[string]outage.Registration{}
 	for name, r := range live.Routers {
-		v.Routers[name] = outage.Registered{Boot: r.Boot, Label: r.Label, Live: r.Lease != 0, Keeps: r.OnLapse == rollout.Keep}
+		v.Routers[name] = outage.Registration{Boot: r.Boot, Label: r.Label, Live: r.Lease != 0, ServesWithoutLease: r.OnLapse == rollout.Keep}
 	}
 	if live.Current != nil {
 		v.Version = live.Current.Version
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	v.Kept, v.Copied = reuse.Held(others[2]), reuse.Emptied(others[2])
+	v.CachedTokens, v.CopiesDone = reuse.Held(others[2]), reuse.Emptied(others[2])
 	return v, all, nil
 }
 
--- a/internal/fleet/outage/reload.go
+++ b/internal/fleet/outage/reload.go
@@ -15,14 +15,14 @@
 	a.mu.Lock()
 	s, on := a.state, a.model.On()
 	a.mu.Unlock()
-	if !on || s == nil || s.Reloads(wanted, a.o.Name) == nil {
+	if !on || s == nil || s.RequestReloads(wanted, a.o.Name) == nil {
 		return nil
 	}
 	v, all, err := a.store.View(ctx)
 	if err != nil || !all.Writable() || v.Last == nil {
 		return err
 	}
-	next := v.Last.Reloads(wanted, a.o.Name)
+	next := v.Last.RequestReloads(wanted, a.o.Name)
 	if next == nil {
 		return nil
 	}
--- a/internal/lab/copyrun.go
+++ b/internal/lab/copyrun.go
@@ -179,7 +179,7 @@
 				r.Ctl(r.ctx, r.memberDesks(), "serve", name)
 			}
 		}
-		return len(s.Permits) == 0 && len(s.Wishes) == 0
+		return len(s.Permits) == 0 && len(s.PermitRequests) == 0
 	})
 }
 
--- a/internal/lab/deployer.go
+++ b/internal/lab/deployer.go
@@ -46,7 +46,7 @@
 		}
 		mu.Lock()
 		for thing, p := range s.Permits {
-			if busy[thing] || p.Stage != outage.Clear || p.For == outage.ByHand || began[thing] == p.ID && f.runs(thing) || f.beyond(thing) {
+			if busy[thing] || p.Stage != outage.Acknowledged || p.For == outage.ByHand || began[thing] == p.ID && f.runs(thing) || f.beyond(thing) {
 				continue
 			}
 			busy[thing] = true
@@ -111,7 +111,7 @@
 		return outage.Permit{}, false
 	}
 	p, out := s.Permits[thing]
-	return p, out && p.ID == permit && p.Stage == outage.Clear
+	return p, out && p.ID == permit && p.Stage == outage.Acknowledged
 }
 
 // watched is for how long the deployer looks whether something new comes to a server that it is about to stop.
--- a/internal/lab/joint.go
+++ b/internal/lab/joint.go
@@ -225,7 +225,7 @@
 			if err := ctl("back"); err != nil {
 				return err
 			}
-			return d.over(outage.Undone)
+			return d.over(outage.RolledBack)
 		}},
 		{"evening", d.rest},
 	})
--- a/internal/lab/jointfleet.go
+++ b/internal/lab/jointfleet.go
@@ -150,7 +150,7 @@
 	}
 	rep.Permits, rep.Ended, rep.Halts, rep.Lost = audit.Permits, audit.Ended, audit.Halts, audit.Lost
 	if s := t.f.State(ctx); s != nil {
-		for _, p := range s.Past {
+		for _, p := range s.EndedPermits {
 			if p.For == outage.ForReload {
 				rep.Tuning.Reloads++ // of the last permits that are remembered
 			}
--- a/internal/lab/mixed.go
+++ b/internal/lab/mixed.go
@@ -182,7 +182,7 @@
 	before := m.State(m.ctx)
 	time.Sleep(2 * time.Second) // ten of the deciders' periods
 	after := m.State(m.ctx)
-	if m.rep.Stuck = before != nil && after != nil && before.Rev == after.Rev && !after.Release.Phase.Over(); !m.rep.Stuck {
+	if m.rep.Stuck = before != nil && after != nil && before.Rev == after.Rev && !after.Release.Phase.Finished(); !m.rep.Stuck {
 		m.fault("the old version alone went on: %+v", after)
 	}
 	d := m.Daemons[0]
@@ -287,7 +287,7 @@
 		return fmt.Errorf("serve, %s: %d %s", when, code, out)
 	}
 	if err := m.see("the drain is over, "+when, func(s *outage.State) bool {
-		return len(s.Permits) == 0 && len(s.Wishes) == 0
+		return len(s.Permits) == 0 && len(s.PermitRequests) == 0
 	}); err != nil {
 		return err
 	}
--- a/internal/lab/outage.go
+++ b/internal/lab/outage.go
@@ -178,10 +178,10 @@
 		return out, nil
 	}
 	for _, r := range v.Reports {
-		if !r.Hosts { // its list is its file's, which knows no labels
+		if !r.StoreMember { // its list is its file's, which knows no labels
 			continue
 		}
-		for id, s := range r.Sees {
+		for id, s := range r.Observed {
 			out[id] = s.Label
 		}
 	}
@@ -209,7 +209,7 @@
 		s := &outage.State{}
 		err := json.Unmarshal(value, s)
 		if err == nil {
-			a.Take(s)
+			a.Check(s)
 		}
 		return err
 	})
--- a/internal/lab/outage_test.go
+++ b/internal/lab/outage_test.go
@@ -58,7 +58,7 @@
 			"release server v2;await permit;stop decider;await other;continue all;await permit;kill leader;start all;await permit;split;wait 900;heal;await permit;budget 1;await over", 0, 0},
 		// It waits for evidence: with waves 300 ms apart most requests of a new version come when few old servers are left beside it, and
 		// whether that is enough to halt is a matter of chance. Here none but the canary may go out: once there, and once back.
-		{"a bad version is halted and taken back, asked twice, its decider dying in between", outage.Undone, 2, false,
+		{"a bad version is halted and taken back, asked twice, its decider dying in between", outage.RolledBack, 2, false,
 			"with seen 160;with load 150;release server bad;await halted;back;kill decider;back;start all", 1, 2},
 		{"two drains by hand at two endpoints at once; halt, resume and a drain in the same instant", outage.Done, 12, true,
 			"drains s1 s2;serve all;drains s1 s4;serve all;release server v2;await permit;clash;await permit;clash;await over", whatever, 0},
@@ -82,7 +82,7 @@
 			"release server v2;await permit;shatter;await dark;heal;await light;await over", 0, 0},
 		{"links cut one way for long", outage.Done, 9, true,
 			"release server v2;await permit;deaf d6;await dark d6;heal;await light d6;mute d2;await dark d2;heal;await light d2;await over", 0, 0},
-		{"a version that fails one request in twenty", outage.Undone, 2, true,
+		{"a version that fails one request in twenty", outage.RolledBack, 2, true,
 			"with seen 320;with load 150;release server bad20;await halted;back", 1, 0},
 		{"a good version in a bad hour", outage.Done, 9, true,
 			"with load 150;release server v2;await permit;sick 0.05;await over", 0, 0},
--- a/internal/lab/outrun.go
+++ b/internal/lab/outrun.go
@@ -170,13 +170,13 @@
 				r.Ctl(r.ctx, r.memberDesks(), "serve", name)
 			}
 		}
-		for thing := range s.Wishes {
+		for thing := range s.PermitRequests {
 			_, name := outage.Split(thing)
 			r.Ctl(r.ctx, r.memberDesks(), "serve", name)
 		}
 		if s.Release.Phase == outage.Halted {
 			what := "back"
-			if s.Release.Before == outage.Back { // halted on its way back
+			if s.Release.HaltedFrom == outage.RollingBack { // halted on its way back
 				what = "resume"
 			}
 			if code, out := r.Ctl(r.ctx, r.memberDesks(), "release", what); code != 0 {
@@ -184,7 +184,7 @@
 			}
 			return false
 		}
-		return s.Release.Phase.Over() && len(s.Permits) == 0
+		return s.Release.Phase.Finished() && len(s.Permits) == 0
 	}); err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 		wrong = ""
 		for _, t := range s.Release.Targets {
 			want := s.Release.To
-			if s.Release.Phase == outage.Undone {
+			if s.Release.Phase == outage.RolledBack {
 				want = t.From
 			}
 			if what := judge(t, want, have[t.Name], s.Release.Phase); what != "" {
--- a/internal/lab/outsteps.go
+++ b/internal/lab/outsteps.go
@@ -221,14 +221,14 @@
 		return nil
 	}
 	return r.see(what+" "+which, func(s *outage.State) bool {
-		over := s.Release != nil && s.Release.Phase.Over()
+		over := s.Release != nil && s.Release.Phase.Finished()
 		halted := s.Release != nil && s.Release.Phase == outage.Halted
 		_, gone := s.Lost[outage.ID(outage.Router, which)]
 		switch what {
 		case "permit":
 			return over || len(s.Permits) > 0 || halted
 		case "halted":
-			return over || halted || s.Release != nil && s.Release.Phase == outage.Back
+			return over || halted || s.Release != nil && s.Release.Phase == outage.RollingBack
 		case "over":
 			return over
 		case "other":
--- a/internal/lab/tunrun.go
+++ b/internal/lab/tunrun.go
@@ -107,7 +107,7 @@
 	}
 	rep.Permits, rep.Replaced, rep.Most = audit.Permits, f.replaced, f.most
 	if st := f.State(ctx); st != nil {
-		for _, p := range st.Past {
+		for _, p := range st.EndedPermits {
 			if p.For == outage.ForReload {
 				rep.Reloads++
 			}
@@ -363,7 +363,7 @@
 			return s.Part == 0
 		case "reloaded":
 			st := r.State(r.ctx)
-			return st != nil && slices.ContainsFunc(st.Past, func(p outage.Past) bool { return p.For == outage.ForReload && p.End == "back" })
+			return st != nil && slices.ContainsFunc(st.EndedPermits, func(p outage.EndedPermit) bool { return p.For == outage.ForReload && p.End == "back" })
 		case "bound":
 			return s.Part == 0 && strings.Contains(s.Said, "past the bound")
 		case "part":
--- a/internal/world/fleet/cost.go
+++ b/internal/world/fleet/cost.go
@@ -101,7 +101,7 @@
 // OutageCost measures the loop on outages.
 func OutageCost(s Size, seed uint64) Cost {
 	v := Outages(s, seed)
-	c := Cost{Loop: "outages", Size: s, PeriodMs: v.Model.Filled().ReportMs, State: written(fleetoutage.StateKey, v.Last, fence(fleetoutage.StateKey, s.router(0))...)}
+	c := Cost{Loop: "outages", Size: s, PeriodMs: v.Model.WithDefaults().ReportMs, State: written(fleetoutage.StateKey, v.Last, fence(fleetoutage.StateKey, s.router(0))...)}
 	for _, r := range v.Reports {
 		c.Report += float64(written(fleetoutage.Root+"reports/"+r.Router, r)) / float64(s.Routers)
 	}
--- a/internal/world/fleet/draw.go
+++ b/internal/world/fleet/draw.go
@@ -46,24 +46,24 @@
 }
 
 // sight is what a router sees of the i-th server when nothing is the matter.
-func (s Size) sight(i int) outage.Sight {
-	return outage.Sight{Site: s.region(i), Role: "chat", Weight: 1, Boot: strconv.Itoa(1_764_600_000_000 + 1013*i), Label: "v41", Asked: true}
+func (s Size) sight(i int) outage.Observation {
+	return outage.Observation{Site: s.region(i), Role: "chat", Weight: 1, Boot: strconv.Itoa(1_764_600_000_000 + 1013*i), Label: "v41", Probed: true}
 }
 
 // Outages draws what a decider on outages has to read: of each router a report of its own on all servers, of which one in two
 // hundred is silent to it at times, a router in twenty has not heard of the newest state, and a release runs.
 func Outages(s Size, seed uint64) outage.View {
 	rng := rand.New(rand.NewPCG(seed, 21))
-	v := outage.View{Model: outage.Model{Workers: 0.03, Routers: 0.02, WorkersSite: 0.1, Classes: []outage.Keep{{Name: "chat", Part: 0.9}}, PauseMs: 5000}, Version: 7,
-		Routers: map[string]outage.Registered{}}
-	sees := map[string]outage.Sight{}
+	v := outage.View{Model: outage.Model{Workers: 0.03, Routers: 0.02, WorkersSite: 0.1, Classes: []outage.ClassFloor{{Name: "chat", Part: 0.9}}, PauseMs: 5000}, Version: 7,
+		Routers: map[string]outage.Registration{}}
+	sees := map[string]outage.Observation{}
 	for i := range s.Servers {
 		sees[s.server(i)] = s.sight(i)
 	}
 	for i := range s.Routers {
 		name := s.router(i)
-		v.Routers[name] = outage.Registered{Boot: "boot-" + name, Label: "v41", Live: true}
-		v.Reports = append(v.Reports, outage.Report{Router: name, Boot: "boot-" + name, Sees: maps.Clone(sees), Rev: int64(i + 1)})
+		v.Routers[name] = outage.Registration{Boot: "boot-" + name, Label: "v41", Live: true}
+		v.Reports = append(v.Reports, outage.Report{Router: name, Boot: "boot-" + name, Observed: maps.Clone(sees), Rev: int64(i + 1)})
 	}
 	d := outage.Decider{Me: s.first("outage")}
 	step := func() {
@@ -82,19 +82,19 @@
 	step()
 	for i := range v.Reports {
 		r := &v.Reports[i]
-		r.Seen, r.Release = v.Last.Seq, v.Last.Release.Run
+		r.StateSeq, r.Release = v.Last.Seq, v.Last.Release.Run
 		if rng.IntN(20) == 0 {
-			r.Seen--
+			r.StateSeq--
 		}
 		r.Counts = outage.Counts{Old: outage.Tally{N: 40_000 + rng.Int64N(1000), Failed: 17, Late: 31}, New: outage.Tally{N: 5}, Asked: map[string]int64{"chat": 41_000}, Refused: map[string]int64{"chat": 3}}
 		for k := 7; k < 13; k++ {
-			r.Counts.Old.First[k] = 1000 + rng.Int64N(9000)
+			r.Counts.Old.FirstToken[k] = 1000 + rng.Int64N(9000)
 		}
 		for range s.Servers / 200 {
 			k := rng.IntN(s.Servers)
-			one := r.Sees[s.server(k)]
+			one := r.Observed[s.server(k)]
 			one.SilentMs = float64(20 + rng.IntN(400))
-			r.Sees[s.server(k)] = one
+			r.Observed[s.server(k)] = one
 		}
 	}
 	return v
--- a/internal/world/fleet/release.go
+++ b/internal/world/fleet/release.go
@@ -61,7 +61,7 @@
 	})
 	some(set.Drains, func(k int) func(*world) {
 		return func(w *world) {
-			if next, _ := w.state.Ask(outage.ID(outage.Server, set.server(k%set.Servers)), "operator"); next != nil {
+			if next, _ := w.state.Drain(outage.ID(outage.Server, set.server(k%set.Servers)), "operator"); next != nil {
 				w.write(next)
 			}
 		}
@@ -74,7 +74,7 @@
 			w.at(w.now+30*time.Second, func(w *world) {
 				w.boots[i]++
 				boot := fmt.Sprint(w.boots[i])
-				w.routers[set.router(i)] = outage.Registered{Boot: boot, Label: "v7", Live: true}
+				w.routers[set.router(i)] = outage.Registration{Boot: boot, Label: "v7", Live: true}
 				w.reports[i].Boot, w.reports[i].Release, w.reports[i].Counts = boot, "", outage.Counts{}
 				w.dirty = true
 			})
@@ -125,11 +125,11 @@
 		return
 	}
 	v := w.view()
-	v.Kept = map[string]float64{}
+	v.CachedTokens = map[string]float64{}
 	chance := rand.New(rand.NewPCG(w.set.Seed, 43))
 	for i := range w.servers {
-		if v.Kept[w.servers[i].name] = math.Exp(w.servers[i].kept); w.set.Policy == Chance {
-			v.Kept[w.servers[i].name] = chance.Float64()
+		if v.CachedTokens[w.servers[i].name] = math.Exp(w.servers[i].kept); w.set.Policy == Chance {
+			v.CachedTokens[w.servers[i].name] = chance.Float64()
 		}
 	}
 	to := good
@@ -168,7 +168,7 @@
 		}
 		s := &w.servers[i]
 		w.take(i)
-		if p.Stage != outage.Clear || w.acted[p.ID] {
+		if p.Stage != outage.Acknowledged || w.acted[p.ID] {
 			continue
 		}
 		w.acted[p.ID] = true
@@ -187,12 +187,12 @@
 		w.day.Halted += (w.now - w.halted).Seconds()
 		next, err := w.view().Resume("operator")
 		if r.To == bad {
-			next, err = w.state.TakeBack("operator")
+			next, err = w.state.RollBack("operator")
 		}
 		if w.halted = 0; err == nil && next != nil {
 			w.write(next)
 		}
-	case r.Phase == outage.Undone && w.begun == 0 && w.halted == 0:
+	case r.Phase == outage.RolledBack && w.begun == 0 && w.halted == 0:
 		w.halted = w.now
 		w.at(w.now+10*time.Minute, func(w *world) { w.halted = 0; w.begin() })
 	case r.Phase == outage.Done && !w.ended && r.To == good:
@@ -261,7 +261,7 @@
 	for w.now < most && (set.For != 0 || !w.ended) {
 		w.now += Tick
 		r := w.state.Release
-		idle := !w.dirty && len(w.state.Permits) == 0 && len(w.state.Wishes) == 0 && !w.state.Over && (r == nil || r.Phase.Over() || r.Phase == outage.Halted)
+		idle := !w.dirty && len(w.state.Permits) == 0 && len(w.state.PermitRequests) == 0 && !w.state.OverBudget && (r == nil || r.Phase.Finished() || r.Phase == outage.Halted)
 		if w.serve(); !idle {
 			w.decide()
 		}
@@ -276,7 +276,7 @@
 		}
 		w.seen, follows = follows, w.state.Seq
 		for i := range w.reports {
-			w.reports[i].Seen = w.seen
+			w.reports[i].StateSeq = w.seen
 		}
 	}
 	for i := range w.servers {
--- a/internal/world/fleet/release_test.go
+++ b/internal/world/fleet/release_test.go
@@ -39,7 +39,7 @@
 
 // Deciders that break a rule are found by the auditor on such a day.
 func TestBrokenDecidersAreFound(t *testing.T) {
-	for _, broken := range []outage.Fault{outage.TwoOwners, outage.FreesLapsed} {
+	for _, broken := range []outage.Fault{outage.ExceedsBudget, outage.ExpiresPermits} {
 		set := Release(1, Size{Routers: 12, Servers: 100, Regions: 5}, Rolling, 0.9)
 		set.Broken = broken
 		if d := Run(set); len(d.Faults) == 0 {
--- a/internal/world/fleet/world.go
+++ b/internal/world/fleet/world.go
@@ -81,12 +81,12 @@
 	now     time.Duration
 	servers []server
 	byName  map[string]int
-	table   map[string]outage.Sight
+	table   map[string]outage.Observation
 	recent  []int // servers that went down lately
 	serving []float64
 	gone    int // servers that are down or are given nothing new
 	model   outage.Model
-	routers map[string]outage.Registered
+	routers map[string]outage.Registration
 	reports []outage.Report
 	boots   []int
 	state   *outage.State
@@ -114,7 +114,7 @@
 }
 
 func newWorld(set Settings) *world {
-	w := &world{set: set, byName: map[string]int{}, table: map[string]outage.Sight{}, serving: make([]float64, set.Regions), routers: map[string]outage.Registered{},
+	w := &world{set: set, byName: map[string]int{}, table: map[string]outage.Observation{}, serving: make([]float64, set.Regions), routers: map[string]outage.Registration{},
 		boots: make([]int, set.Routers), counts: map[string]*outage.Counts{}, acted: map[int64]bool{}, rng: rand.New(rand.NewPCG(set.Seed, 41)), lost: map[int]bool{}, dirty: true}
 	w.model = outage.Model{Workers: 0.03, WorkersSite: 0.1, Routers: 0.02, ReportMs: float64(Tick / time.Millisecond), PauseMs: 5000, LostMs: 1500, WarmMs: 5000, ReturnMs: 120_000}
 	w.audit.Model = func(int64) (outage.Model, bool) { return w.model, true }
@@ -127,7 +127,7 @@
 	}
 	for i := range set.Routers {
 		name := set.router(i)
-		w.routers[name] = outage.Registered{Boot: "0", Label: "v7", Live: true}
+		w.routers[name] = outage.Registration{Boot: "0", Label: "v7", Live: true}
 		w.reports = append(w.reports, outage.Report{Router: name, Boot: "0", Table: w.table})
 	}
 	w.decide()
@@ -138,7 +138,7 @@
 // show has the routers see a server as it is.
 func (w *world) show(i int) {
 	s := &w.servers[i]
-	one := outage.Sight{Site: w.set.region(s.region), Role: "chat", Weight: 1, Boot: fmt.Sprint(s.boot), Label: s.label, Asked: true}
+	one := outage.Observation{Site: w.set.region(s.region), Role: "chat", Weight: 1, Boot: fmt.Sprint(s.boot), Label: s.label, Probed: true}
 	if !s.up {
 		one.SilentMs = min(float64((w.now-s.downAt)/time.Millisecond)+1, 10*w.model.LostMs)
 	}
@@ -294,8 +294,8 @@
 		}
 		failed := math.Round(max(served*part+math.Sqrt(served*part)*w.rng.NormFloat64(), 0))
 		t.N, t.Failed = t.N+int64(served), t.Failed+int64(min(failed, served))
-		t.First[9] += int64(served / 2)
-		t.First[10] += int64(served) - int64(served/2)
+		t.FirstToken[9] += int64(served / 2)
+		t.FirstToken[10] += int64(served) - int64(served/2)
 	}
 	w.reports[0].Release, w.reports[0].Counts = r.Run, *c
 }
@@ -313,7 +313,7 @@
 	}
 	w.rev++
 	next.Rev, w.state, w.dirty = w.rev, next, true
-	w.audit.Take(next)
+	w.audit.Check(next)
 }
 
 // measured is of how many states one is encoded, for its size.
--- a/internal/world/halting/day.go
+++ b/internal/world/halting/day.go
@@ -191,9 +191,9 @@
 			kinds[s.name] = fmt.Sprint(s.slow)
 		}
 	}
-	run, sides := r.state.Sides(labels)
+	run, sides := r.state.Cohorts(labels)
 	for i := range r.meters {
-		r.meters[i].Count(run, sides, kinds, 1.5)
+		r.meters[i].Configure(run, sides, kinds, 1.5)
 	}
 	failing, load := r.hour()
 	var open []int
@@ -219,8 +219,8 @@
 			rate += r.Extra
 			first *= r.Slower
 		}
-		a := outage.Attempt{Server: s.name, Heard: true, InTime: first < 3000, Failed: r.rng.Float64() < rate, First: time.Duration(first * float64(time.Millisecond))}
-		r.meters[router].Tried(a)
+		a := outage.Attempt{Server: s.name, Answered: true, InTime: first < 3000, Failed: r.rng.Float64() < rate, FirstToken: time.Duration(first * float64(time.Millisecond))}
+		r.meters[router].Record(a)
 		r.out.Requests++
 		if s.fresh {
 			r.out.Served++
--- a/internal/world/halting/fleet.go
+++ b/internal/world/halting/fleet.go
@@ -10,21 +10,21 @@
 
 // view is what the routers report, at once and with what they counted.
 func (r *day) view() outage.View {
-	v := outage.View{Model: r.model, Version: 1, Last: r.state, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: r.model, Version: 1, Last: r.state, Routers: map[string]outage.Registration{}}
 	for i := range r.meters {
 		name := fmt.Sprintf("r%d", i+1)
-		v.Routers[name] = outage.Registered{Boot: "1", Live: true}
-		one := outage.Report{Router: name, Boot: "1", Sees: map[string]outage.Sight{}}
-		one.Release, one.Counts = r.meters[i].Cut()
+		v.Routers[name] = outage.Registration{Boot: "1", Live: true}
+		one := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}}
+		one.Release, one.Counts = r.meters[i].Snapshot()
 		if r.state != nil {
-			one.Seen = r.state.Seq
+			one.StateSeq = r.state.Seq
 		}
 		for _, s := range r.servers {
-			sight := outage.Sight{Boot: fmt.Sprint(s.boot), Label: s.label(), Asked: true}
+			sight := outage.Observation{Boot: fmt.Sprint(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
 				sight.SilentMs = float64((r.now - s.downs) / time.Millisecond)
 			}
-			one.Sees[s.name] = sight
+			one.Observed[s.name] = sight
 		}
 		v.Reports = append(v.Reports, one)
 	}
@@ -60,7 +60,7 @@
 		s := &r.servers[i]
 		p, out := r.state.Permits[outage.ID(outage.Server, s.name)]
 		switch {
-		case !out || p.Stage != outage.Clear:
+		case !out || p.Stage != outage.Acknowledged:
 		case s.up && p.Boot == fmt.Sprint(s.boot):
 			s.up, s.downs = false, r.now
 		case !s.up && r.now-s.downs >= down:
@@ -73,7 +73,7 @@
 func (r *day) threshold() {
 	var c outage.Counts
 	for i := range r.meters {
-		_, one := r.meters[i].Cut()
+		_, one := r.meters[i].Snapshot()
 		c.Add(one)
 	}
 	r.past = append(r.past, c)
--- a/internal/world/release/day.go
+++ b/internal/world/release/day.go
@@ -95,7 +95,7 @@
 		if next := d.decider.Next(d.view(), d.now); next != nil {
 			d.write(next)
 		}
-		if begun && d.state.Release.Phase.Over() {
+		if begun && d.state.Release.Phase.Finished() {
 			d.Done = d.now - before
 		}
 	}
@@ -180,7 +180,7 @@
 func (d *day) deploy() {
 	for i := range d.servers {
 		s := &d.servers[i]
-		if p, out := d.permit(i); out && p.Stage == outage.Clear && p.To != "" && s.boot == p.Boot && d.now >= s.down {
+		if p, out := d.permit(i); out && p.Stage == outage.Acknowledged && p.To != "" && s.boot == p.Boot && d.now >= s.down {
 			h := rand.New(rand.NewPCG(d.Seed, uint64(i)+100))
 			s.down = d.now + 30*time.Second + time.Duration((2+2*h.Float64())*float64(time.Minute))
 			s.cold = s.down + 90*time.Second
@@ -190,7 +190,7 @@
 }
 
 func (d *day) view() outage.View {
-	v := outage.View{Model: d.Model, Version: 1, Last: d.state, Routers: map[string]outage.Registered{}}
+	v := outage.View{Model: d.Model, Version: 1, Last: d.state, Routers: map[string]outage.Registration{}}
 	up := 0
 	for i, s := range d.servers {
 		if _, out := d.permit(i); !out && d.now >= s.down {
@@ -199,12 +199,12 @@
 	}
 	for n, router := range []string{"a", "b"} {
 		d.rev++
-		r := outage.Report{Router: router, Boot: "1", Rev: d.rev, Open: int(d.running+d.waiting) / 2, Sees: map[string]outage.Sight{}}
+		r := outage.Report{Router: router, Boot: "1", Rev: d.rev, Open: int(d.running+d.waiting) / 2, Observed: map[string]outage.Observation{}}
 		if d.state != nil {
-			r.Seen = d.state.Seq
+			r.StateSeq = d.state.Seq
 		}
 		for i, s := range d.servers {
-			sight := outage.Sight{Site: string(rune('a' + i%3)), Role: "chat", Boot: s.boot, Label: s.label, Asked: true}
+			sight := outage.Observation{Site: string(rune('a' + i%3)), Role: "chat", Boot: s.boot, Label: s.label, Probed: true}
 			if d.now < s.down {
 				sight.SilentMs = 10_000
 			} else if _, out := d.permit(i); !out {
@@ -213,10 +213,10 @@
 					sight.Busy = int(d.running/float64(max(up, 1))+float64(1-i%2)) / 2
 				}
 			}
-			r.Sees[name(i)] = sight
+			r.Observed[name(i)] = sight
 		}
 		v.Reports = append(v.Reports, r)
-		v.Routers[router] = outage.Registered{Boot: "1", Label: "v1", Live: true}
+		v.Routers[router] = outage.Registration{Boot: "1", Label: "v1", Live: true}
 	}
 	return v
 }
@@ -225,6 +225,6 @@
 	d.rev++
 	next.Rev = d.rev
 	d.state = next
-	d.audit.Take(next)
+	d.audit.Check(next)
 	d.Most = max(d.Most, next.Budget.ServersOut)
 }
--- a/internal/world/release/day_test.go
+++ b/internal/world/release/day_test.go
@@ -14,7 +14,7 @@
 func budget(n, places, fill float64) outage.Model {
 	m := outage.Model{Workers: n, ReportMs: 5000, PauseMs: 5000, LostMs: 5000, WarmMs: 90_000, ReturnMs: 1_800_000, WorkersSite: 20, WorkersRole: Servers, Halt: outage.Halt{OverMs: 3_600_000}}
 	if n == 0 {
-		m.Follow = outage.Follow{Min: 3, Max: 15, InHand: places, Fill: fill}
+		m.HeadroomLimit = outage.HeadroomLimit{Min: 3, Max: 15, InHand: places, Fill: fill}
 	}
 	return m
 }
--- a/internal/world/reuse/release.go
+++ b/internal/world/reuse/release.go
@@ -70,7 +70,7 @@
 	decider  *outage.Decider
 	out      *outage.State
 	outAudit outage.Auditor
-	waits    outage.Waits
+	waits    outage.CopyWaits
 	rev      int64
 	day      Released
 }
@@ -81,7 +81,7 @@
 	r := &release{set: set, at: map[decide.Key]*host{}, of: map[int64]decide.Copy{}, copier: &decide.Decider{Me: "r", Broken: set.Broken}, decider: &outage.Decider{Me: "r"}, model: set.Model}
 	r.budget = outage.Model{Workers: 1, ReportMs: 500, WarmMs: 5000, PauseMs: 5000, CopyWaitMs: float64(set.Wait / time.Millisecond)}
 	r.outAudit.Model = func(int64) (outage.Model, bool) { return r.budget, true }
-	r.waits.Most = r.budget.CopyWaitMs + 500
+	r.waits.LimitMs = r.budget.CopyWaitMs + 500
 	r.audit.Regions = map[string]string{}
 	for a := range Regions {
 		r.near[a] = map[decide.Key]decide.Copy{}
@@ -283,23 +283,23 @@
 
 // decide has the decider of outages step, and the deployer follow its permits.
 func (r *release) decide() {
-	r.waits.Passed(float64(r.now / time.Millisecond))
-	v := outage.View{Model: r.budget, Version: 1, Last: r.out, Routers: map[string]outage.Registered{"r": {Boot: "1", Label: "v1", Live: true}}}
+	r.waits.Advance(float64(r.now / time.Millisecond))
+	v := outage.View{Model: r.budget, Version: 1, Last: r.out, Routers: map[string]outage.Registration{"r": {Boot: "1", Label: "v1", Live: true}}}
 	r.rev++
-	report := outage.Report{Router: "r", Boot: "1", Rev: r.rev, Copies: true, Sees: map[string]outage.Sight{}}
+	report := outage.Report{Router: "r", Boot: "1", Rev: r.rev, Copies: true, Observed: map[string]outage.Observation{}}
 	if r.out != nil {
-		report.Seen = r.out.Seq
+		report.StateSeq = r.out.Seq
 	}
 	for _, h := range r.hosts {
-		one := outage.Sight{Site: name(h.region), Role: "chat", Label: h.label, Boot: fmt.Sprint(h.boots), Asked: true}
+		one := outage.Observation{Site: name(h.region), Role: "chat", Label: h.label, Boot: fmt.Sprint(h.boots), Probed: true}
 		if !h.up {
 			one.SilentMs = float64((r.now - h.downAt) / time.Millisecond)
 		}
-		report.Sees[h.name] = one
+		report.Observed[h.name] = one
 	}
 	v.Reports = []outage.Report{report}
 	if r.state != nil {
-		v.Copied = r.state.Emptied()
+		v.CopiesDone = r.state.Emptied()
 	}
 	next := r.decider.Next(v, r.now+time.Hour)
 	if next == nil && r.set.Begins > 0 && r.now == r.set.Begins {
@@ -308,8 +308,8 @@
 	if next != nil {
 		r.rev++
 		next.Rev, r.out = r.rev, next
-		r.outAudit.Take(next)
-		r.waits.Took(next, float64(r.now/time.Millisecond))
+		r.outAudit.Check(next)
+		r.waits.Check(next, float64(r.now/time.Millisecond))
 	}
 	if r.out == nil {
 		return
@@ -320,7 +320,7 @@
 	for _, h := range r.hosts {
 		p, out := r.out.Permits[outage.ID(outage.Server, h.name)]
 		switch {
-		case !out || p.Stage != outage.Clear:
+		case !out || p.Stage != outage.Acknowledged:
 		case h.up && fmt.Sprint(h.boots) == p.Boot:
 			h.up, h.downAt, h.mem = false, r.now, newMemory(r.set.Memory/r.set.Servers)
 		case !h.up && r.now-h.downAt >= r.set.Down:
