--- a/internal/decide/outage/audit.go
+++ b/internal/decide/outage/audit.go
@@ -49,13 +49,13 @@
 		a.report(s, "follows seq %d: a state was written over another", before.Seq)
 	}
 	fresh, sites := map[Kind]bool{}, map[string]bool{}
-	for _, thing := range slices.Sorted(maps.Keys(s.Permits)) {
-		p := s.Permits[thing]
-		was, stood := before.Permits[thing]
-		if stood && was.ID == p.ID {
+	for _, member := range slices.Sorted(maps.Keys(s.Permits)) {
+		p := s.Permits[member]
+		was, existed := before.Permits[member]
+		if existed && was.ID == p.ID {
 			continue
 		}
-		kind, _ := Split(thing)
+		kind, _ := Split(member)
 		fresh[kind] = true
 		if kind == Server && p.Site != "" {
 			sites[p.Site] = true
@@ -65,22 +65,22 @@
 			a.report(s, "permit %d was given before", p.ID)
 		}
 		a.granted[p.ID] = true
-		if stood && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == was.ID }) {
-			a.report(s, "%s: permit %d stands in the place of %d, which has not ended", thing, p.ID, was.ID)
+		if existed && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == was.ID }) {
+			a.report(s, "%s: permit %d stands in the place of %d, which has not ended", member, p.ID, was.ID)
 		}
 		if s.Release != nil && s.Release.Phase == Halted {
-			a.report(s, "%s: permit %d was given while release %s is halted", thing, p.ID, s.Release.Name)
+			a.report(s, "%s: permit %d was given while release %s is halted", member, p.ID, s.Release.Name)
 		}
 		if p.For != ByHand && p.For != ForReload && (s.Release == nil || s.Release.Name != p.For) {
-			a.report(s, "%s: permit %d is for %s, which does not run", thing, p.ID, p.For)
+			a.report(s, "%s: permit %d is for %s, which does not run", member, p.ID, p.For)
 		}
 	}
 	a.checkBudget(s, before, fresh, sites)
 	a.checkCopyWaits(s)
 	a.checkEnded(s, before)
 	a.checkHindsight(s, before)
-	for thing := range s.Lost {
-		if _, was := before.Lost[thing]; !was {
+	for member := range s.Lost {
+		if _, was := before.Lost[member]; !was {
 			a.Lost++
 		}
 	}
@@ -94,13 +94,13 @@
 // let out.
 func (a *Auditor) checkCopyWaits(s *State) {
 	m, known := a.Model(s.Version)
-	for _, thing := range slices.Sorted(maps.Keys(s.Leaving)) {
-		_, out := s.Permits[thing]
-		switch l := s.Leaving[thing]; {
+	for _, member := range slices.Sorted(maps.Keys(s.Leaving)) {
+		_, out := s.Permits[member]
+		switch l := s.Leaving[member]; {
 		case out:
-			a.report(s, "%s waits for copies and has a permit", thing)
+			a.report(s, "%s waits for copies and has a permit", member)
 		case known && l.WaitMs >= m.CopyWaitMs && m.CopyWaitMs > 0:
-			a.report(s, "%s has waited for copies for %.0f ms, %.0f at most", thing, l.WaitMs, m.CopyWaitMs)
+			a.report(s, "%s has waited for copies for %.0f ms, %.0f at most", member, l.WaitMs, m.CopyWaitMs)
 		}
 	}
 }
@@ -114,22 +114,22 @@
 	m = m.WithDefaults()
 	a.checkHeadroom(s, before, m)
 	out, site := map[Kind]int{}, map[string]int{}
-	add := func(thing, at string) {
-		kind, _ := Split(thing)
+	add := func(member, siteName string) {
+		kind, _ := Split(member)
 		out[kind]++
 		if kind == Server {
-			site[at]++
+			site[siteName]++
 		}
 	}
-	for thing, p := range s.Permits {
-		add(thing, p.Site)
+	for member, p := range s.Permits {
+		add(member, p.Site)
 	}
-	for thing, l := range s.Lost {
-		if _, both := s.Permits[thing]; both {
-			a.report(s, "%s is counted as a loss beside its permit", thing)
+	for member, l := range s.Lost {
+		if _, both := s.Permits[member]; both {
+			a.report(s, "%s is counted as a loss beside its permit", member)
 			continue
 		}
-		add(thing, l.Site)
+		add(member, l.Site)
 	}
 	if most := limit(s.serverBound(m), s.Budget.Servers); fresh[Server] && out[Server] > most {
 		a.report(s, "a permit was given with %d servers out, %d may be", out[Server], most)
@@ -137,9 +137,9 @@
 	if most := limit(m.Routers, s.Budget.Routers); fresh[Router] && out[Router] > most {
 		a.report(s, "a permit was given with %d routers out, %d may be", out[Router], most)
 	}
-	for _, at := range slices.Sorted(maps.Keys(sites)) {
-		if m.WorkersSite >= 1 && site[at] > int(m.WorkersSite) {
-			a.report(s, "a permit was given with %d servers of site %s out, %g may be", site[at], at, m.WorkersSite)
+	for _, name := range slices.Sorted(maps.Keys(sites)) {
+		if m.WorkersSite >= 1 && site[name] > int(m.WorkersSite) {
+			a.report(s, "a permit was given with %d servers of site %s out, %g may be", site[name], name, m.WorkersSite)
 		}
 	}
 }
@@ -156,18 +156,18 @@
 			}
 		}
 	}
-	for thing, p := range before.Permits {
-		if now, stands := s.Permits[thing]; stands && now.ID == p.ID {
+	for member, p := range before.Permits {
+		if now, stands := s.Permits[member]; stands && now.ID == p.ID {
 			continue
 		}
-		end, is := newly[p.ID]
+		end, ok := newly[p.ID]
 		switch {
-		case !is:
-			a.report(s, "%s: permit %d is gone without an end", thing, p.ID)
+		case !ok:
+			a.report(s, "%s: permit %d is gone without an end", member, p.ID)
 		case end.End == "back" && p.Stage != Returning && p.Stage != Acknowledged:
-			a.report(s, "%s: permit %d ended at stage %s: it was not seen back", thing, p.ID, p.Stage)
+			a.report(s, "%s: permit %d ended at stage %s: it was not seen back", member, p.ID, p.Stage)
 		case end.End == "back" && p.Stage == Acknowledged:
-			a.report(s, "%s: permit %d ended without a time in which it was seen back", thing, p.ID)
+			a.report(s, "%s: permit %d ended without a time in which it was seen back", member, p.ID)
 		}
 	}
 }
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -61,25 +61,25 @@
 	if v.Last != nil {
 		rev = v.Last.Rev
 	}
-	state := func() time.Duration {
-		stood := d.ages.For(stateRecord, rev, now)
+	age := func() time.Duration {
+		passed := d.ages.For(stateRecord, rev, now)
 		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // it stood from before it was read
-			stood = max(stood, now-d.written.at)
+			passed = max(passed, now-d.written.at)
 		}
-		return stood
+		return passed
 	}
-	made := d.Step(v, Ages{State: state,
+	result := d.Step(v, Ages{State: age,
 		Report: func(router string, rev int64) time.Duration { return d.ages.For(router, rev, now) }})
 	switch {
-	case made.Next == nil:
+	case result.Next == nil:
 		d.due.Over()
 		return nil
-	case !made.Quorum || !d.due.Now(turn.Rank("outage", d.Me, made.routers), turnDelay, now):
+	case !result.Quorum || !d.due.Now(turn.Rank("outage", d.Me, result.routers), turnDelay, now):
 		return nil
 	}
 	d.due.Over()
-	d.written.seq, d.written.at = made.Next.Seq, now
-	return made.Next
+	d.written.seq, d.written.at = result.Next.Seq, now
+	return result.Next
 }
 
 // Ages tell for how long the state and a router's report have stood as they are, as far as a decider saw; never longer than the truth.
@@ -103,20 +103,20 @@
 	next.Format, next.Version, next.By = Format, v.Version, d.Me
 	next.Wrote()
 	next.addElapsed(milliseconds(ages.State()))
-	w := &draft{State: next, view: v, model: m, fleet: f, broken: d.Broken, self: d.Me, copyWaiters: map[string]bool{}}
-	w.Seq++
-	w.updateRouters()
-	w.updateLosses()
-	w.updatePermits()
-	w.updateHeadroom()
-	w.updateBudget()
-	w.updateRelease()
-	w.updateHindsight()
-	w.grantPermits()
-	w.dropStaleLeaving()
-	out := Step{Quorum: 2*len(f.fresh) > w.liveRouters(), routers: f.routers}
-	if len(w.log) > 0 || v.Last == nil || w.budgetChanged(v.Last.Budget) {
-		next.Why = strings.Join(w.log, "; ")
+	dr := &draft{State: next, view: v, model: m, fleet: f, broken: d.Broken, self: d.Me, copyWaiters: map[string]bool{}}
+	dr.Seq++
+	dr.updateRouters()
+	dr.updateLosses()
+	dr.updatePermits()
+	dr.updateHeadroom()
+	dr.updateBudget()
+	dr.updateRelease()
+	dr.updateHindsight()
+	dr.grantPermits()
+	dr.dropStaleLeaving()
+	out := Step{Quorum: 2*len(f.fresh) > dr.liveRouters(), routers: f.routers}
+	if len(dr.log) > 0 || v.Last == nil || dr.budgetChanged(v.Last.Budget) {
+		next.Why = strings.Join(dr.log, "; ")
 		out.Next = next
 	}
 	return out
@@ -124,19 +124,19 @@
 
 // addElapsed adds to all times what has passed since the state was written, as far as was seen.
 func (s *State) addElapsed(passed float64) {
-	for thing, p := range s.Permits {
+	for member, p := range s.Permits {
 		p.OutMs += passed
 		if p.Stage == Returning {
 			p.BackMs += passed
 		}
-		s.Permits[thing] = p
+		s.Permits[member] = p
 	}
 	if s.OverBudget {
 		s.OverBudgetMs += passed
 	}
-	for thing, l := range s.Leaving {
+	for member, l := range s.Leaving {
 		l.WaitMs += passed
-		s.Leaving[thing] = l
+		s.Leaving[member] = l
 	}
 	if r := s.Release; r != nil && r.Paused {
 		r.PauseMs += passed
@@ -164,70 +164,70 @@
 	oldestCache *int64
 }
 
-func (w *draft) note(format string, args ...any) { w.log = append(w.log, fmt.Sprintf(format, args...)) }
+func (d *draft) note(format string, args ...any) { d.log = append(d.log, fmt.Sprintf(format, args...)) }
 
 // updateRouters keeps who is known: a router that was ever registered is counted with until it is declared gone.
-func (w *draft) updateRouters() {
-	for _, name := range slices.Sorted(maps.Keys(w.view.Routers)) {
-		r := w.view.Routers[name]
+func (d *draft) updateRouters() {
+	for _, name := range slices.Sorted(maps.Keys(d.view.Routers)) {
+		r := d.view.Routers[name]
 		if !r.Live {
 			continue
 		}
-		report := w.fleet.reported[name]
-		one := KnownRouter{Boot: r.Boot, Label: r.Label, Site: w.Known[name].Site, StoreMember: w.Known[name].StoreMember}
+		report := d.fleet.reported[name]
+		router := KnownRouter{Boot: r.Boot, Label: r.Label, Site: d.Known[name].Site, StoreMember: d.Known[name].StoreMember}
 		if report.Boot == r.Boot {
-			one.StoreMember = report.StoreMember
+			router.StoreMember = report.StoreMember
 		}
-		if w.Known[name] != one {
-			w.Known[name] = one
-			w.note("router %s runs as %s, label %q", name, one.Boot, one.Label)
+		if d.Known[name] != router {
+			d.Known[name] = router
+			d.note("router %s runs as %s, label %q", name, router.Boot, router.Label)
 		}
 	}
 }
 
 // updateLosses agrees on what is out without a permit.
-func (w *draft) updateLosses() {
+func (d *draft) updateLosses() {
 	lost := map[string]Loss{}
-	for id, s := range w.fleet.servers {
-		thing, one := ID(Server, id), Loss{Site: s.Site, Role: s.Role}
+	for id, s := range d.fleet.servers {
+		member, loss := ID(Server, id), Loss{Site: s.Site, Role: s.Role}
 		switch {
-		case w.view.LostSites[s.Site]:
-			one.Why = "lost site"
+		case d.view.LostSites[s.Site]:
+			loss.Why = "lost site"
 		case s.draining:
-			one.Why = "drained"
-		case s.silent || w.Lost[thing].Why == "silent" && !s.answering:
-			one.Why = "silent"
+			loss.Why = "drained"
+		case s.silent || d.Lost[member].Why == "silent" && !s.answering:
+			loss.Why = "silent"
 		default:
 			continue
 		}
-		if _, out := w.Permits[thing]; !out {
-			lost[thing] = one
+		if _, out := d.Permits[member]; !out {
+			lost[member] = loss
 		}
 	}
-	for name, k := range w.Known {
-		thing := ID(Router, name)
-		if _, out := w.Permits[thing]; !out && !w.view.Routers[name].Live {
-			lost[thing] = Loss{Why: "ended", Site: k.Site}
+	for name, k := range d.Known {
+		member := ID(Router, name)
+		if _, out := d.Permits[member]; !out && !d.view.Routers[name].Live {
+			lost[member] = Loss{Why: "ended", Site: k.Site}
 		}
 	}
-	for _, thing := range slices.Sorted(maps.Keys(lost)) {
-		if was, is := w.Lost[thing]; !is || was.Why != lost[thing].Why {
-			w.note("%s is lost: %s", thing, lost[thing].Why)
+	for _, member := range slices.Sorted(maps.Keys(lost)) {
+		if was, ok := d.Lost[member]; !ok || was.Why != lost[member].Why {
+			d.note("%s is lost: %s", member, lost[member].Why)
 		}
 	}
-	for _, thing := range slices.Sorted(maps.Keys(w.Lost)) {
-		if _, is := lost[thing]; !is {
-			if _, out := w.Permits[thing]; !out {
-				w.note("%s is seen back", thing)
+	for _, member := range slices.Sorted(maps.Keys(d.Lost)) {
+		if _, ok := lost[member]; !ok {
+			if _, out := d.Permits[member]; !out {
+				d.note("%s is seen back", member)
 			}
 		}
 	}
-	w.Lost = lost
+	d.Lost = lost
 }
 
 // liveRouters is how many routers are registered: less than half of them decide nothing.
-func (w *draft) liveRouters() (n int) {
-	for _, r := range w.view.Routers {
+func (d *draft) liveRouters() (n int) {
+	for _, r := range d.view.Routers {
 		if r.Live {
 			n++
 		}
@@ -236,46 +236,46 @@
 }
 
 // acknowledged tells whether every router that is alive follows a state from a number on.
-func (w *draft) acknowledged(seq int64) bool { return w.oldestSeq() >= seq }
+func (d *draft) acknowledged(seq int64) bool { return d.oldestSeq() >= seq }
 
 // updatePermits moves updatePermits on by what is seen of their things.
-func (w *draft) updatePermits() {
-	for _, thing := range slices.Sorted(maps.Keys(w.Permits)) {
-		p, was := w.Permits[thing], w.Permits[thing].Stage
-		kind, name := Split(thing)
-		boot, label, answers, there := "", "", false, false
+func (d *draft) updatePermits() {
+	for _, member := range slices.Sorted(maps.Keys(d.Permits)) {
+		p, oldStage := d.Permits[member], d.Permits[member].Stage
+		kind, name := Split(member)
+		boot, label, answers, present := "", "", false, false
 		if kind == Server {
 			var s serverStatus
-			if s, there = w.fleet.servers[name]; there {
+			if s, present = d.fleet.servers[name]; present {
 				boot, label, answers = s.Boot, s.Label, s.answering && !s.silent && s.agreed
 			}
 		} else {
-			r, report := w.view.Routers[name], w.fleet.reported[name]
-			if there = r.Live; there {
-				boot, label, answers = r.Boot, r.Label, slices.Contains(w.fleet.routers, name) && report.Boot == r.Boot
+			r, report := d.view.Routers[name], d.fleet.reported[name]
+			if present = r.Live; present {
+				boot, label, answers = r.Boot, r.Label, slices.Contains(d.fleet.routers, name) && report.Boot == r.Boot
 			}
 		}
 		switch p.Stage {
 		case Granted:
-			empty := kind != Router || w.fleet.reported[name].DrainedPermit == p.ID || !w.view.Routers[name].Live
-			if w.acknowledged(p.Seq) && empty || w.broken == SkipsAcknowledgement {
+			empty := kind != Router || d.fleet.reported[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
+			if d.acknowledged(p.Seq) && empty || d.broken == SkipsAcknowledgement {
 				p.Stage = Acknowledged
 			}
 		}
-		back := there && answers && (boot != p.Boot || p.Serve)
+		returned := present && answers && (boot != p.Boot || p.Serve)
 		switch {
-		case p.Stage == Acknowledged && back:
+		case p.Stage == Acknowledged && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Granted && p.Serve && back:
+		case p.Stage == Granted && p.Serve && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Returning && !back: // routers send to it by now: they are told anew
-			p.Stage, p.Seq = Granted, w.Seq
+		case p.Stage == Returning && !returned: // routers send to it by now: they are told anew
+			p.Stage, p.Seq = Granted, d.Seq
 		}
-		w.Permits[thing] = p
-		if p.Stage != was {
-			w.note("%s is %s (permit %d)", thing, p.Stage, p.ID)
+		d.Permits[member] = p
+		if p.Stage != oldStage {
+			d.note("%s is %s (permit %d)", member, p.Stage, p.ID)
 		}
-		warm := w.model.WarmMs
+		warm := d.model.WarmMs
 		if p.Serve && boot == p.Boot { // it never stopped
 			warm = 0
 		}
@@ -284,30 +284,30 @@
 			if p.Serve && boot == p.Boot {
 				end = "served"
 			}
-			w.endPermit(thing, end, label)
-			w.note("%s is back with label %q, its permit %d has ended", thing, label, p.ID)
-			w.targetReturned(thing, label)
-		} else if w.broken == ExpiresPermits && p.Stage == Acknowledged && p.OutMs > w.model.LostMs {
-			w.endPermit(thing, "back", label)
-			w.note("%s: its permit lapsed", thing)
-			w.targetReturned(thing, p.To)
+			d.endPermit(member, end, label)
+			d.note("%s is back with label %q, its permit %d has ended", member, label, p.ID)
+			d.targetReturned(member, label)
+		} else if d.broken == ExpiresPermits && p.Stage == Acknowledged && p.OutMs > d.model.LostMs {
+			d.endPermit(member, "back", label)
+			d.note("%s: its permit lapsed", member)
+			d.targetReturned(member, p.To)
 		}
 	}
 }
 
 // updateBudget counts what is out against the budget.
-func (w *draft) updateBudget() {
-	b := Budget{Servers: len(w.fleet.servers), Routers: len(w.Known)}
-	b.ServersLimit, b.RoutersLimit = limit(w.serverBound(w.model), b.Servers), limit(w.model.Routers, b.Routers)
-	for thing := range w.Lost {
-		if k, _ := Split(thing); k == Server {
+func (d *draft) updateBudget() {
+	b := Budget{Servers: len(d.fleet.servers), Routers: len(d.Known)}
+	b.ServersLimit, b.RoutersLimit = limit(d.serverBound(d.model), b.Servers), limit(d.model.Routers, b.Routers)
+	for member := range d.Lost {
+		if k, _ := Split(member); k == Server {
 			b.ServersLost++
 		} else {
 			b.RoutersLost++
 		}
 	}
-	for thing, p := range w.Permits {
-		k, _ := Split(thing)
+	for member, p := range d.Permits {
+		k, _ := Split(member)
 		if k == Server {
 			b.ServersOut++
 			if p.Stage != Returning {
@@ -319,72 +319,72 @@
 	}
 	b.ServersOut += b.ServersLost
 	b.RoutersOut += b.RoutersLost
-	w.Budget = b
+	d.Budget = b
 	over := b.ServersLimit > 0 && b.ServersLost >= b.ServersLimit || b.RoutersLimit > 0 && b.RoutersLost >= b.RoutersLimit
-	if over != w.OverBudget {
-		w.OverBudget, w.OverBudgetMs = over, 0
+	if over != d.OverBudget {
+		d.OverBudget, d.OverBudgetMs = over, 0
 		if over {
-			w.note("losses alone use up the budget")
+			d.note("losses alone use up the budget")
 		} else {
-			w.note("losses leave room in the budget again")
+			d.note("losses leave room in the budget again")
 		}
 	}
 }
 
 // budgetChanged tells whether what was budgetChanged differs in what is worth writing by itself.
-func (w *draft) budgetChanged(was Budget) bool {
-	return was.ServersOut != w.Budget.ServersOut || was.RoutersOut != w.Budget.RoutersOut || was.ServersLimit != w.Budget.ServersLimit || was.RoutersLimit != w.Budget.RoutersLimit
+func (d *draft) budgetChanged(previous Budget) bool {
+	return previous.ServersOut != d.Budget.ServersOut || previous.RoutersOut != d.Budget.RoutersOut || previous.ServersLimit != d.Budget.ServersLimit || previous.RoutersLimit != d.Budget.RoutersLimit
 }
 
 // blockReason tells why one more thing may not be taken out; "": it may.
-func (w *draft) blockReason(thing, site, role string) string {
-	kind, _ := Split(thing)
+func (d *draft) blockReason(member, site, role string) string {
+	kind, _ := Split(member)
 	extra := 0
-	if l, lost := w.Lost[thing]; lost { // it counts already, and a permit for it changes nothing but who brings it back
+	if l, lost := d.Lost[member]; lost { // it counts already, and a permit for it changes nothing but who brings it back
 		if l.Why == "lost site" {
 			return "its site is lost"
 		}
 		extra = 1
 	}
-	if w.broken == ExceedsBudget {
+	if d.broken == ExceedsBudget {
 		extra++
 	}
-	away := w.outOfService()
+	outNow := d.outOfService()
 	if kind == Router {
 		switch {
-		case w.Budget.RoutersLimit == 0:
+		case d.Budget.RoutersLimit == 0:
 			return "the policy lets no router out"
-		case away.routers >= w.Budget.RoutersLimit+extra:
-			return fmt.Sprintf("%d of %d routers are out, %d may be", away.routers, w.Budget.Routers, w.Budget.RoutersLimit)
+		case outNow.routers >= d.Budget.RoutersLimit+extra:
+			return fmt.Sprintf("%d of %d routers are out, %d may be", outNow.routers, d.Budget.Routers, d.Budget.RoutersLimit)
 		}
-		if w.Known[memberName(thing)].StoreMember && w.fleet.storeLag != "" {
-			return w.fleet.storeLag
+		if d.Known[memberName(member)].StoreMember && d.fleet.storeLag != "" {
+			return d.fleet.storeLag
 		}
 		return ""
 	}
-	if w.totals == nil {
-		w.totals = w.fleet.totals()
+	if d.totals == nil {
+		d.totals = d.fleet.totals()
 	}
 	for _, b := range [...]struct {
 		what, of string
 		bound    float64
 		all, out int
-		is       func(k Kind, s, r string) bool
+		match    func(k Kind, s, r string) bool
 	}{
-		{"servers", "", w.serverBound(w.model), w.Budget.Servers, away.servers, func(k Kind, _, _ string) bool { return k == Server }},
-		{"servers of site ", site, w.model.WorkersSite, w.totals.site[site], away.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
-		{"servers of role ", role, w.model.WorkersRole, w.totals.role[role], away.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
+		{"servers", "", d.serverBound(d.model), d.Budget.Servers, outNow.servers, func(k Kind, _, _ string) bool { return k == Server }},
+		{"servers of site ", site, d.model.WorkersSite, d.totals.site[site], outNow.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
+		{"servers of role ", role, d.model.WorkersRole, d.totals.role[role], outNow.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
 	} {
-		if out, most := b.out+w.reservedCount(thing, b.is), limit(b.bound, b.all); out >= most+extra {
+		if out, most := b.out+d.reservedCount(member, b.match), limit(b.bound, b.all); out >= most+extra {
 			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.what+b.of, most)
 		}
 	}
-	all, left := w.totals.weight, w.totals.weight-away.weight-w.reservedWeight(thing)
-	_, out := w.Permits[thing]
-	if _, lost := w.Lost[thing]; !out && !lost {
-		left -= w.fleet.servers[memberName(thing)].Weight
+	all, left := d.totals.weight, d.totals.weight-outNow.weight-d.reservedWeight(member)
+	_, out := d.Permits[member]
+	if _, lost := d.Lost[member]; !out && !lost {
+		left -= d.fleet.servers[memberName(member)].Weight
 	}
-	for _, k := range w.model.Classes {
+	for _, k := range d.model.Classes {
 		if left < k.Part*all {
 			return fmt.Sprintf("class %s would have %.0f%% of the servers' weight, %.0f%% must stay", k.Name, 100*left/all, 100*k.Part)
 		}
@@ -392,4 +392,4 @@
 	return ""
 }
 
-func memberName(thing string) string { _, n := Split(thing); return n }
+func memberName(member string) string { _, n := Split(member); return n }
--- a/internal/decide/outage/evidence_test.go
+++ b/internal/decide/outage/evidence_test.go
@@ -14,7 +14,7 @@
 		phase  outage.Phase
 		seen   int64 // by three routers each
 		paused float64
-		begins bool
+		starts bool
 		says   string
 	}{
 		{"too few", outage.Running, 9, 1000, false, ""},
@@ -37,9 +37,9 @@
 			v.Reports[i].Release, v.Reports[i].Counts = "up-1", outage.Counts{Old: outage.Tally{N: 500}, New: outage.Tally{N: c.seen}}
 		}
 		next := stepAfterTwoSeconds(v) // the state has stood for 2 s, the pause is 1 s
-		begins := next != nil && !next.Release.Paused
-		if begins != c.begins || begins && !strings.Contains(next.Why, c.says) {
-			t.Errorf("%s: begins %v, %+v", c.name, begins, next)
+		starts := next != nil && !next.Release.Paused
+		if starts != c.starts || starts && !strings.Contains(next.Why, c.says) {
+			t.Errorf("%s: begins %v, %+v", c.name, starts, next)
 		}
 	}
 }
--- a/internal/decide/outage/facts.go
+++ b/internal/decide/outage/facts.go
@@ -36,22 +36,22 @@
 
 // Observation gives what a router sees of a server.
 func (r Report) Observation(id string) (Observation, bool) {
-	s, is := r.Observed[id]
-	if !is && len(r.Table) > 0 && !slices.Contains(r.Absent, id) {
-		s, is = r.Table[id]
+	s, ok := r.Observed[id]
+	if !ok && len(r.Table) > 0 && !slices.Contains(r.Absent, id) {
+		s, ok = r.Table[id]
 	}
-	return s, is
+	return s, ok
 }
 
 // All gives all servers that a router sees.
 func (r Report) All(yield func(string, Observation) bool) {
-	for id, s := range r.Observed {
-		if !yield(id, s) {
+	for id, o := range r.Observed {
+		if !yield(id, o) {
 			return
 		}
 	}
-	for id, s := range r.Table {
-		if _, own := r.Observed[id]; !own && !slices.Contains(r.Absent, id) && !yield(id, s) {
+	for id, o := range r.Table {
+		if _, own := r.Observed[id]; !own && !slices.Contains(r.Absent, id) && !yield(id, o) {
 			return
 		}
 	}
@@ -136,11 +136,11 @@
 		if 2*t.listed <= len(f.fresh) && len(f.fresh) > 1 { // most do not have it in their lists: it was taken off
 			continue
 		}
-		said := t.majority()
-		s, _ := f.fresh[said.last].Observation(id)
-		one := serverStatus{Observation: s, agreed: 2*said.reports > t.listed, draining: 2*t.draining > t.listed, answering: t.probed > 0 && 2*t.answering > t.probed, silent: t.probed > 0 && 2*t.silent > t.probed}
-		one.Weight = cmp.Or(one.Weight, 1)
-		f.servers[id] = one
+		process := t.majority()
+		o, _ := f.fresh[process.last].Observation(id)
+		status := serverStatus{Observation: o, agreed: 2*process.reports > t.listed, draining: 2*t.draining > t.listed, answering: t.probed > 0 && 2*t.answering > t.probed, silent: t.probed > 0 && 2*t.silent > t.probed}
+		status.Weight = cmp.Or(status.Weight, 1)
+		f.servers[id] = status
 	}
 	f.storeLag = v.storeLag(m, f)
 	return f
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -181,9 +181,9 @@
 
 // deploy stops what is clear and starts it with the label that its permit names, some time later.
 func (f *fleet) deploy() {
-	for _, thing := range slices.Sorted(maps.Keys(f.state.Permits)) {
-		p := f.state.Permits[thing]
-		kind, name := outage.Split(thing)
+	for _, member := range slices.Sorted(maps.Keys(f.state.Permits)) {
+		p := f.state.Permits[member]
+		kind, name := outage.Split(member)
 		if p.Stage != outage.Acknowledged || p.To == "" {
 			continue
 		}
@@ -222,17 +222,17 @@
 }
 
 // applyOrder has an operator change the state; it tells what was refused.
-func (f *fleet) applyOrder(how func(v outage.View) (*outage.State, error)) error {
-	next, err := how(f.view())
+func (f *fleet) applyOrder(change func(v outage.View) (*outage.State, error)) error {
+	next, err := change(f.view())
 	if next != nil && err == nil {
 		f.write(next)
 	}
 	return err
 }
 
-func (f *fleet) waitUntil(t *testing.T, what string, within time.Duration, is func() bool) {
+func (f *fleet) waitUntil(t *testing.T, what string, within time.Duration, condition func() bool) {
 	t.Helper()
-	for end := f.now + within; !is(); f.step() {
+	for end := f.now + within; !condition(); f.step() {
 		if f.now > end {
 			data, _ := json.MarshalIndent(f.state, "", " ")
 			t.Fatalf("%s: not within %v\n%s", what, within, data)
--- a/internal/decide/outage/give.go
+++ b/internal/decide/outage/give.go
@@ -8,22 +8,22 @@
 )
 
 // grant gives a grant; what it is of is known to be there.
-func (w *draft) grant(thing, why, to string) {
-	kind, n := Split(thing)
-	w.LastPermitID++
-	p := Permit{ID: w.LastPermitID, For: why, Stage: Granted, Seq: w.Seq, To: to}
+func (d *draft) grant(member, purpose, to string) {
+	kind, n := Split(member)
+	d.LastPermitID++
+	p := Permit{ID: d.LastPermitID, For: purpose, Stage: Granted, Seq: d.Seq, To: to}
 	if kind == Server {
-		s := w.fleet.servers[n]
+		s := d.fleet.servers[n]
 		p.Boot, p.Label, p.Site, p.Role = s.Boot, s.Label, s.Site, s.Role
 	} else {
-		k := w.Known[n]
+		k := d.Known[n]
 		p.Boot, p.Label, p.Site = k.Boot, k.Label, k.Site
 	}
-	w.Permits[thing] = p
-	delete(w.Lost, thing)
-	w.outCache = nil
-	w.note("%s may go out (permit %d for %s)", thing, p.ID, why)
-	w.updateBudget()
+	d.Permits[member] = p
+	delete(d.Lost, member)
+	d.outCache = nil
+	d.note("%s may go out (permit %d for %s)", member, p.ID, purpose)
+	d.updateBudget()
 }
 
 // reasonNoMajority is why nothing is done with a server whose list is behind at some routers: what one of them says of its start or
@@ -31,94 +31,94 @@
 const reasonNoMajority = "most routers do not yet have the same start and label of it"
 
 // grantPermits gives permits: to wishes by hand first, in their order, then to the release, to reloads with what is left.
-func (w *draft) grantPermits() {
-	halted := w.Release != nil && w.Release.Phase == Halted && w.broken != IgnoresHalt
-	things := slices.SortedFunc(maps.Keys(w.PermitRequests), func(a, b string) int { return w.PermitRequests[a].compare(w.PermitRequests[b]) })
-	meet := func(thing string) {
-		wish := w.PermitRequests[thing]
-		kind, n := Split(thing)
-		s, there := w.fleet.servers[n]
+func (d *draft) grantPermits() {
+	halted := d.Release != nil && d.Release.Phase == Halted && d.broken != IgnoresHalt
+	pending := slices.SortedFunc(maps.Keys(d.PermitRequests), func(a, b string) int { return d.PermitRequests[a].compare(d.PermitRequests[b]) })
+	grantOrWait := func(member string) {
+		request := d.PermitRequests[member]
+		kind, n := Split(member)
+		s, present := d.fleet.servers[n]
 		if kind == Router {
-			_, there = w.Known[n]
+			_, present = d.Known[n]
 		}
-		_, out := w.Permits[thing]
-		wait := ""
+		_, out := d.Permits[member]
+		reason := ""
 		switch {
 		case out:
-			delete(w.PermitRequests, thing)
+			delete(d.PermitRequests, member)
 			return
-		case wish.For == ForReload && s.agreed && s.Label == wish.To:
-			delete(w.PermitRequests, thing)
-			w.note("%s has label %q already", thing, wish.To)
+		case request.For == ForReload && s.agreed && s.Label == request.To:
+			delete(d.PermitRequests, member)
+			d.note("%s has label %q already", member, request.To)
 			return
 		case halted:
-			wait = "release " + w.Release.Name + " is halted: " + w.Release.Why
-		case !there:
-			wait = "most routers do not have it in their lists"
+			reason = "release " + d.Release.Name + " is halted: " + d.Release.Why
+		case !present:
+			reason = "most routers do not have it in their lists"
 		case kind == Server && !s.agreed:
-			wait = reasonNoMajority
+			reason = reasonNoMajority
 		default:
-			wait = w.blockReason(thing, s.Site, s.Role)
+			reason = d.blockReason(member, s.Site, s.Role)
 		}
-		if wait == "" && !w.readyForPermit(thing) {
-			wait = reasonCopying
+		if reason == "" && !d.readyForPermit(member) {
+			reason = reasonCopying
 		}
-		if wait == "" {
-			delete(w.PermitRequests, thing)
-			w.grant(thing, cmp.Or(wish.For, ByHand), wish.To)
+		if reason == "" {
+			delete(d.PermitRequests, member)
+			d.grant(member, cmp.Or(request.For, ByHand), request.To)
 			return
 		}
-		if wish.WaitReason != wait {
-			wish.WaitReason = wait
-			w.PermitRequests[thing] = wish
-			w.note("%s waits: %s", thing, wait)
+		if request.WaitReason != reason {
+			request.WaitReason = reason
+			d.PermitRequests[member] = request
+			d.note("%s waits: %s", member, reason)
 		}
 	}
-	hand := 0
-	for hand < len(things) && w.PermitRequests[things[hand]].For == "" {
-		hand++
+	manual := 0
+	for manual < len(pending) && d.PermitRequests[pending[manual]].For == "" {
+		manual++
 	}
-	for _, thing := range things[:hand] {
-		meet(thing)
+	for _, member := range pending[:manual] {
+		grantOrWait(member)
 	}
-	if r := w.Release; r != nil && (r.Phase == Running || r.Phase == RollingBack || r.Phase == Halted && w.broken == IgnoresHalt) {
-		w.runWave(r)
+	if r := d.Release; r != nil && (r.Phase == Running || r.Phase == RollingBack || r.Phase == Halted && d.broken == IgnoresHalt) {
+		d.runWave(r)
 	}
-	for _, thing := range things[hand:] {
-		meet(thing)
+	for _, member := range pending[manual:] {
+		grantOrWait(member)
 	}
 }
 
 // evidenceShortfall tells whether too little was seen of the new version for the next wave, and how much; "" if it was enough.
-func (w *draft) evidenceShortfall(r *Release) string {
-	if w.model.Halt.Seen <= 0 || r.Phase != Running || r.Kind != Server {
+func (d *draft) evidenceShortfall(r *Release) string {
+	if d.model.Halt.Seen <= 0 || r.Phase != Running || r.Kind != Server {
 		return ""
 	}
-	if c, _ := w.counts(r); c.New.N < w.model.Halt.Seen {
-		return fmt.Sprintf("%d of %d requests of the new version were seen", c.New.N, w.model.Halt.Seen)
+	if c, _ := d.counts(r); c.New.N < d.model.Halt.Seen {
+		return fmt.Sprintf("%d of %d requests of the new version were seen", c.New.N, d.model.Halt.Seen)
 	}
 	return ""
 }
 
 // runWave lets targets of the runWave out while there is room.
-func (w *draft) runWave(r *Release) {
+func (d *draft) runWave(r *Release) {
 	if r.Paused {
-		if r.PauseMs < w.model.PauseMs {
+		if r.PauseMs < d.model.PauseMs {
 			return
 		}
-		if few := w.evidenceShortfall(r); few != "" {
-			if r.PauseMs < w.model.PauseMs+w.model.Halt.SeenMs {
+		if shortfall := d.evidenceShortfall(r); shortfall != "" {
+			if r.PauseMs < d.model.PauseMs+d.model.Halt.SeenMs {
 				return
 			}
-			w.note("%s, and release %s has waited for more long enough", few, r.Name)
+			d.note("%s, and release %s has waited for more long enough", shortfall, r.Name)
 		}
 		r.Paused, r.PauseMs = false, 0
 		r.Wave++
 		r.WaveLeft = r.waveSize()
-		w.note("wave %d of release %s begins", r.Wave+1, r.Name)
+		d.note("wave %d of release %s begins", r.Wave+1, r.Name)
 	}
 	waiting := 0 // that have their turn in this wave
-	for _, i := range w.targetOrder(r) {
+	for _, i := range d.targetOrder(r) {
 		t := &r.Targets[i]
 		if r.WaveLeft == waiting {
 			break
@@ -126,62 +126,62 @@
 		if t.State != Waiting {
 			continue
 		}
-		thing := ID(r.Kind, t.Name)
-		if p, out := w.Permits[thing]; out { // by hand: what brings it back may as well bring the label
+		member := ID(r.Kind, t.Name)
+		if p, out := d.Permits[member]; out { // by hand: what brings it back may as well bring the label
 			if !p.Serve && p.Stage != Returning {
 				p.For, p.To, p.OutMs = r.Name, r.wantedLabel(*t), 0
-				w.Permits[thing] = p
+				d.Permits[member] = p
 				t.State, t.Why = Out, ""
 				r.WaveLeft--
-				w.note("%s is out already, and goes along with release %s", thing, r.Name)
+				d.note("%s is out already, and goes along with release %s", member, r.Name)
 			}
 			continue
 		}
 		why := ""
 		if r.Kind == Server {
-			s, there := w.fleet.servers[t.Name]
-			if !there {
+			s, present := d.fleet.servers[t.Name]
+			if !present {
 				why = "most routers do not have it in their lists"
 			} else if !s.agreed {
 				why = reasonNoMajority
 			} else if s.Label == r.wantedLabel(*t) {
 				t.State = Reached
-				w.note("%s has label %q already", thing, s.Label)
+				d.note("%s has label %q already", member, s.Label)
 				continue
 			} else {
-				why = w.blockReason(thing, s.Site, s.Role)
+				why = d.blockReason(member, s.Site, s.Role)
 			}
-		} else if w.Known[t.Name].Label == r.wantedLabel(*t) && w.view.Routers[t.Name].Live {
+		} else if d.Known[t.Name].Label == r.wantedLabel(*t) && d.view.Routers[t.Name].Live {
 			t.State = Reached
-			w.note("%s has label %q already", thing, r.wantedLabel(*t))
+			d.note("%s has label %q already", member, r.wantedLabel(*t))
 			continue
 		} else {
-			why = w.blockReason(thing, w.Known[t.Name].Site, "")
+			why = d.blockReason(member, d.Known[t.Name].Site, "")
 		}
-		if why == "" && !w.readyForPermit(thing) {
+		if why == "" && !d.readyForPermit(member) {
 			why = reasonCopying
 			waiting++
 		}
 		if why == "" {
 			t.State, t.Why = Out, ""
 			r.WaveLeft--
-			w.grant(thing, r.Name, r.wantedLabel(*t))
+			d.grant(member, r.Name, r.wantedLabel(*t))
 		} else if t.Why != why {
 			t.Why = why
-			w.note("%s waits: %s", thing, why)
+			d.note("%s waits: %s", member, why)
 		}
 	}
 }
 
 // targetReturned notes for the release that a thing's permit has ended with a label.
-func (w *draft) targetReturned(thing, label string) {
-	r := w.Release
+func (d *draft) targetReturned(member, label string) {
+	r := d.Release
 	if r == nil {
 		return
 	}
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		if ID(r.Kind, t.Name) != thing || t.State != Out {
+		if ID(r.Kind, t.Name) != member || t.State != Out {
 			continue
 		}
 		switch want := r.wantedLabel(*t); {
@@ -191,53 +191,53 @@
 		case r.Phase == RollingBack || r.HaltedFrom == RollingBack && r.Phase == Halted: // it was on its way when the way back began
 			r.Reached++
 			t.State, t.Why, t.Order = Waiting, "", r.Reached
-			if len(r.Targets) > 1 && w.broken == SkipsRollback {
+			if len(r.Targets) > 1 && d.broken == SkipsRollback {
 				t.State = Reached
 			}
 		default:
 			t.State, t.Why = Blocked, fmt.Sprintf("came back with label %q, not %q", label, want)
-			w.haltRelease(thing + " " + t.Why)
+			d.haltRelease(member + " " + t.Why)
 		}
 	}
 }
 
-func (w *draft) haltRelease(why string) {
-	r := w.Release
+func (d *draft) haltRelease(why string) {
+	r := d.Release
 	if r == nil || r.Phase != Running {
 		return
 	}
 	r.halt(why)
-	r.HaltSeq = w.Seq
-	w.note("release %s is halted: %s", r.Name, why)
+	r.HaltSeq = d.Seq
+	d.note("release %s is halted: %s", r.Name, why)
 }
 
 // updateRelease looks at the updateRelease: whether it must be halted, whether a wave or all of it is over.
-func (w *draft) updateRelease() {
-	r := w.Release
+func (d *draft) updateRelease() {
+	r := d.Release
 	if r == nil || r.Phase.Finished() {
 		return
 	}
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		thing := ID(r.Kind, t.Name)
-		p, out := w.Permits[thing]
-		if t.State == Out && out && p.Stage != Returning && p.OutMs > w.model.ReturnMs && t.Why == "" {
+		member := ID(r.Kind, t.Name)
+		p, out := d.Permits[member]
+		if t.State == Out && out && p.Stage != Returning && p.OutMs > d.model.ReturnMs && t.Why == "" {
 			t.Why = fmt.Sprintf("has not come back for %.0f s", p.OutMs/1000)
-			w.note("%s %s", thing, t.Why)
+			d.note("%s %s", member, t.Why)
 			if r.Phase == RollingBack {
 				t.State = Blocked
 			}
-			w.haltRelease(thing + " " + t.Why)
+			d.haltRelease(member + " " + t.Why)
 		}
 	}
-	w.checkEvidence(r)
-	if r.Phase == Halted && w.broken != IgnoresHalt {
+	d.checkEvidence(r)
+	if r.Phase == Halted && d.broken != IgnoresHalt {
 		return
 	}
-	w.retryStrayed(r)
+	d.retryStrayed(r)
 	open, waiting := 0, 0
 	for i, t := range r.Targets {
-		if w.broken == SkipsRollback && r.Phase == RollingBack && i == 0 && t.State == Waiting {
+		if d.broken == SkipsRollback && r.Phase == RollingBack && i == 0 && t.State == Waiting {
 			r.Targets[i].State = Reached
 			continue
 		}
@@ -251,36 +251,36 @@
 	switch {
 	case open == 0 && waiting == 0:
 		r.Phase, r.Why = map[Phase]Phase{Running: Done, RollingBack: RolledBack, Halted: Done}[r.Phase], "each target has its label or is named with what holds it"
-		w.note("release %s is %s", r.Name, r.Phase)
+		d.note("release %s is %s", r.Name, r.Phase)
 	case open == 0 && r.WaveLeft == 0 && !r.Paused:
 		r.Paused, r.PauseMs = true, 0
-		w.note("wave %d of release %s is over", r.Wave+1, r.Name)
+		d.note("wave %d of release %s is over", r.Wave+1, r.Name)
 	}
 }
 
 // checkEvidence halts a release that does harm, or that meets with what it can't go on in.
-func (w *draft) checkEvidence(r *Release) {
+func (d *draft) checkEvidence(r *Release) {
 	if r.Phase != Running {
 		return
 	}
-	c, raw := w.counts(r)
-	lost := len(w.view.LostSites)
+	c, raw := d.counts(r)
+	lost := len(d.view.LostSites)
 	switch {
 	case lost > r.LostSites:
-		w.haltRelease(fmt.Sprintf("%d sites are lost", lost))
-	case w.OverBudget && w.OverBudgetMs > w.model.Halt.OverMs:
-		w.haltRelease(fmt.Sprintf("losses have used up the budget for %.0f s", w.OverBudgetMs/1000))
-	case w.model.Halt.excessRefusals(c) != "":
+		d.haltRelease(fmt.Sprintf("%d sites are lost", lost))
+	case d.OverBudget && d.OverBudgetMs > d.model.Halt.OverMs:
+		d.haltRelease(fmt.Sprintf("losses have used up the budget for %.0f s", d.OverBudgetMs/1000))
+	case d.model.Halt.excessRefusals(c) != "":
 		r.Evidence = c
-		w.haltRelease(w.model.Halt.excessRefusals(c))
-	case w.model.Halt.due(c, r.Looks):
-		bad := w.model.Halt.judge(c, r.Looks)
+		d.haltRelease(d.model.Halt.excessRefusals(c))
+	case d.model.Halt.due(c, r.Looks):
+		finding := d.model.Halt.judge(c, r.Looks)
 		r.Looks++
 		r.Evidence = c
-		w.note("look %d at release %s: %d requests of the new version", r.Looks, r.Name, c.New.N)
-		if bad != "" {
-			w.haltRelease(bad)
-			w.openHalt(raw)
+		d.note("look %d at release %s: %d requests of the new version", r.Looks, r.Name, c.New.N)
+		if finding != "" {
+			d.haltRelease(finding)
+			d.openHalt(raw)
 		}
 	}
 	if lost < r.LostSites {
--- a/internal/decide/outage/halt.go
+++ b/internal/decide/outage/halt.go
@@ -151,24 +151,24 @@
 // stretch of time and kind of server (Meter). Each look
 // spends half of what the one before it spent of the level, and a quarter of that is for each of failures, failures in calm stretches, late
 // answers and times to the first token; so however often it looks, a version that is no worse is halted at most with the level's chance.
-func (h Halt) judge(c Counts, look int) (bad string) {
+func (h Halt) judge(c Counts, look int) (finding string) {
 	level := h.Level / math.Pow(2, float64(look+1)) / 4
 	c = c.withExpected(h.Worse)
 	oldSlow, newSlow, expectSlow := c.slowFirstTokens()
-	for _, one := range [...]struct {
+	for _, measure := range [...]struct {
 		what     string
 		old, new int64
 		expect   float64
 	}{{"failed", c.Old.Failed, c.New.Failed - c.Unpaired.Failed, c.Expected.Failed}, {"failed in calm hours", c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
 		{"late", c.Old.Late, c.New.Late - c.Unpaired.Late, c.Expected.Late}, {"slow to the first token", oldSlow, newSlow, expectSlow}} {
-		all := one.old + one.new
-		if float64(one.new) < one.expect+1 { // no worse, and the bound on the chance holds from here on
+		all := measure.old + measure.new
+		if float64(measure.new) < measure.expect+1 { // no worse, and the bound on the chance holds from here on
 			continue
 		}
 		// The chance of as many or more: of stretches with several shares it is at most that of their mean share (Hoeffding 1956).
-		chance := 1 - distuv.Binomial{N: float64(all), P: min(one.expect/float64(all), 1)}.CDF(float64(one.new-1))
+		chance := 1 - distuv.Binomial{N: float64(all), P: min(measure.expect/float64(all), 1)}.CDF(float64(measure.new-1))
 		if chance < level {
-			return fmt.Sprintf("the new version is %s: %d of %d, the old one beside it %d of %d (chance %.2g at look %d, %.2g wanted)", one.what, one.new, c.New.N, one.old, c.Old.N, chance, look+1, level)
+			return fmt.Sprintf("the new version is %s: %d of %d, the old one beside it %d of %d (chance %.2g at look %d, %.2g wanted)", measure.what, measure.new, c.New.N, measure.old, c.Old.N, chance, look+1, level)
 		}
 	}
 	return ""
@@ -188,7 +188,7 @@
 }
 
 // Look makes a look of the sequential test if one is due: what is bad about the new version, if anything.
-func (h Halt) Look(c Counts, looks int) (bad string, looked bool) {
+func (h Halt) Look(c Counts, looks int) (finding string, looked bool) {
 	if !h.due(c, looks) {
 		return "", false
 	}
--- a/internal/decide/outage/hindsight.go
+++ b/internal/decide/outage/hindsight.go
@@ -46,65 +46,65 @@
 }
 
 // openHalt notes a halt by a version's own counts. One that follows on a resumed release says that the one before was right.
-func (w *draft) openHalt(c Counts) {
-	r := w.Release
-	if r == nil || r.Phase != Halted || r.HaltSeq != w.Seq {
+func (d *draft) openHalt(c Counts) {
+	r := d.Release
+	if r == nil || r.Phase != Halted || r.HaltSeq != d.Seq {
 		return
 	}
-	w.settleHalt(turn.Right, "it was resumed, and its version was halted again")
-	w.Hindsight.Halts.Begin()
-	d := UnsettledHalt{Seq: w.Seq, Run: r.Run, Baseline: c}
-	list := c.withExpected(w.model.Halt.Worse).measures()
+	d.settleHalt(turn.Right, "it was resumed, and its version was halted again")
+	d.Hindsight.Halts.Begin()
+	unsettled := UnsettledHalt{Seq: d.Seq, Run: r.Run, Baseline: c}
+	list := c.withExpected(d.model.Halt.Worse).measures()
 	for i, m := range list {
-		if m.pValue() < list[d.Measure].pValue() {
-			d.Measure = i
+		if m.pValue() < list[unsettled.Measure].pValue() {
+			unsettled.Measure = i
 		}
 	}
-	r.Unsettled = &d
+	r.Unsettled = &unsettled
 }
 
 // settleHalt settles the halt that is open, if one is.
-func (w *draft) settleHalt(v turn.Verdict, why string) {
-	r := w.Release
+func (d *draft) settleHalt(v turn.Verdict, why string) {
+	r := d.Release
 	if r == nil || r.Unsettled == nil {
 		return
 	}
-	w.Hindsight.Halts.Settle(v)
+	d.Hindsight.Halts.Settle(v)
 	if v != "" {
-		list := w.Hindsight.Recent
-		w.Hindsight.Recent = append(slices.Clip(list[max(0, len(list)+1-maxSettledHalts):]), SettledHalt{r.Name, r.Unsettled.Seq, v, why})
+		list := d.Hindsight.Recent
+		d.Hindsight.Recent = append(slices.Clip(list[max(0, len(list)+1-maxSettledHalts):]), SettledHalt{r.Name, r.Unsettled.Seq, v, why})
 	}
-	w.note("the halt of release %s at %d is settled: %s", r.Name, r.Unsettled.Seq, why)
+	d.note("the halt of release %s at %d is settled: %s", r.Name, r.Unsettled.Seq, why)
 	r.Unsettled = nil
 }
 
 // updateHindsight looks at the halt that is open: at what is counted while the release stands, and at what became of it.
-func (w *draft) updateHindsight() {
-	r := w.Release
+func (d *draft) updateHindsight() {
+	r := d.Release
 	if r == nil || r.Unsettled == nil {
 		return
 	}
-	d := *r.Unsettled
+	unsettled := *r.Unsettled
 	switch {
 	case r.Phase == Halted && r.Counted():
-		if d.Run != r.Run { // it was resumed, and counts from nothing since
-			d.Run, d.Baseline, d.Looks = r.Run, Counts{}, 0
+		if unsettled.Run != r.Run { // it was resumed, and counts from nothing since
+			unsettled.Run, unsettled.Baseline, unsettled.Looks = r.Run, Counts{}, 0
 		}
-		_, raw := w.counts(r)
-		since := raw.since(d.Baseline)
-		if !w.model.Halt.due(since, d.Looks) {
+		_, raw := d.counts(r)
+		since := raw.since(unsettled.Baseline)
+		if !d.model.Halt.due(since, unsettled.Looks) {
 			return
 		}
-		d.Verdict, d.Requests = w.model.Halt.verdict(since, d.Measure, d.Looks), since.New.N
-		d.Looks++
-		r.Unsettled = &d
-		w.note("%d requests of the new version after the halt of release %s", d.Requests, r.Name)
-	case r.Phase == Running && d.Verdict == turn.Right:
-		w.settleHalt(turn.Right, fmt.Sprintf("in %d requests after it the new version was worse", d.Requests))
+		unsettled.Verdict, unsettled.Requests = d.model.Halt.verdict(since, unsettled.Measure, unsettled.Looks), since.New.N
+		unsettled.Looks++
+		r.Unsettled = &unsettled
+		d.note("%d requests of the new version after the halt of release %s", unsettled.Requests, r.Name)
+	case r.Phase == Running && unsettled.Verdict == turn.Right:
+		d.settleHalt(turn.Right, fmt.Sprintf("in %d requests after it the new version was worse", unsettled.Requests))
 	case r.Phase == Done:
-		w.settleHalt(turn.Wrong, "it was resumed, and came to its end without another")
+		d.settleHalt(turn.Wrong, "it was resumed, and came to its end without another")
 	case r.Phase == RollingBack || r.Phase == RolledBack || r.Phase == Halted && r.HaltedFrom == RollingBack:
-		w.settleHalt(d.Verdict, fmt.Sprintf("taken back, %d requests after it looked at", d.Requests))
+		d.settleHalt(unsettled.Verdict, fmt.Sprintf("taken back, %d requests after it looked at", unsettled.Requests))
 	}
 }
 
@@ -113,12 +113,12 @@
 
 // verdict says what a version was by what was counted after its halt: worse by the test that halts; no worse, where as little
 // of what halted it would hardly be seen of one twice as bad as is put up with; or neither.
-func (h Halt) verdict(c Counts, what, look int) turn.Verdict {
+func (h Halt) verdict(c Counts, measure, look int) turn.Verdict {
 	if h.judge(c, look) != "" {
 		return turn.Right
 	}
-	m := c.withExpected(h.Worse).measures()[what%4]
-	if all := m.old + m.new; all > 0 && m.binomial(2).CDF(float64(m.new)) < clearLevel {
+	counted := c.withExpected(h.Worse).measures()[measure%4]
+	if all := counted.old + counted.new; all > 0 && counted.binomial(2).CDF(float64(counted.new)) < clearLevel {
 		return turn.Wrong
 	}
 	return ""
@@ -154,10 +154,10 @@
 
 // counts are what all reports say of a run, also those of routers that are gone: what they saw was so. raw are without what is expected
 // of routers that do not say so.
-func (w *draft) counts(r *Release) (c, raw Counts) {
-	for _, report := range w.view.Reports {
+func (d *draft) counts(r *Release) (c, raw Counts) {
+	for _, report := range d.view.Reports {
 		if report.Release == r.Run {
-			c.Add(report.Counts.withExpected(w.model.Halt.Worse))
+			c.Add(report.Counts.withExpected(d.model.Halt.Worse))
 			raw.Add(report.Counts)
 		}
 	}
@@ -165,9 +165,9 @@
 }
 
 // since is what was counted after an earlier count; a router that started anew counts from nothing, so it may be too little.
-func (c Counts) since(was Counts) Counts {
-	out := Counts{Old: c.Old.minus(was.Old), New: c.New.minus(was.New), Unpaired: c.Unpaired.minus(was.Unpaired)}
-	e, o := c.Expected, was.Expected
+func (c Counts) since(earlier Counts) Counts {
+	out := Counts{Old: c.Old.minus(earlier.Old), New: c.New.minus(earlier.New), Unpaired: c.Unpaired.minus(earlier.Unpaired)}
+	e, o := c.Expected, earlier.Expected
 	out.Expected.Failed, out.Expected.Late = max(e.Failed-o.Failed, 0), max(e.Late-o.Late, 0)
 	out.Expected.Calm = Calm{max(e.Calm.Old-o.Calm.Old, 0), max(e.Calm.New-o.Calm.New, 0), max(e.Calm.Expected-o.Calm.Expected, 0)}
 	for i := range e.FirstToken {
@@ -186,8 +186,8 @@
 
 // checkHindsight looks at the count of halts that were settled: it goes on, and a halt in doubt is among those that are open.
 func (a *Auditor) checkHindsight(s, before *State) {
-	if bad := s.Hindsight.Halts.Follows(before.Hindsight.Halts); bad != "" {
-		a.report(s, "halts in hindsight: %s", bad)
+	if finding := s.Hindsight.Halts.Follows(before.Hindsight.Halts); finding != "" {
+		a.report(s, "halts in hindsight: %s", finding)
 	}
 	if r := s.Release; r != nil && r.Unsettled != nil && s.Hindsight.Halts.Open == 0 {
 		a.report(s, "the halt at %d is in doubt, and none is open", r.Unsettled.Seq)
--- a/internal/decide/outage/hindsight_test.go
+++ b/internal/decide/outage/hindsight_test.go
@@ -16,11 +16,11 @@
 	back := func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") }
 	resume := func(v outage.View) (*outage.State, error) { return v.Resume("op") }
 	for _, c := range []struct {
-		name  string
-		after float64 // part of requests that the new version fails once it was halted
-		how   func(v outage.View) (*outage.State, error)
-		looks int64 // requests of the new version after the halt that are waited for
-		want  turn.Judged
+		name   string
+		after  float64 // part of requests that the new version fails once it was halted
+		change func(v outage.View) (*outage.State, error)
+		looks  int64 // requests of the new version after the halt that are waited for
+		want   turn.Judged
 	}{
 		{"taken back, as bad", 0.2, back, 300, turn.Judged{Right: 1}},
 		{"taken back, no worse", 0, back, 2000, turn.Judged{Wrong: 1}},
@@ -39,7 +39,7 @@
 		if c.looks > 0 {
 			f.waitUntil(t, c.name+": looked at", 2*time.Hour, func() bool { return f.release().Unsettled.Requests >= c.looks })
 		}
-		if err := f.applyOrder(c.how); err != nil {
+		if err := f.applyOrder(c.change); err != nil {
 			t.Fatal(err)
 		}
 		f.waitUntil(t, c.name+": come to an end", time.Hour, func() bool {
--- a/internal/decide/outage/leave.go
+++ b/internal/decide/outage/leave.go
@@ -21,33 +21,33 @@
 // readyForPermit tells whether a thing that has its turn and for which there is room gets its permit now. A server is named as leaving
 // first, until whoever decides on copies has said that nothing that pays is under way from it any more, or for copy_wait_ms. Who
 // is lost already, or whose fleet makes no copies, is not waited for.
-func (w *draft) readyForPermit(thing string) bool {
-	kind, n := Split(thing)
-	_, lost := w.Lost[thing]
-	one, named := w.Leaving[thing]
-	if over := w.copyWaitEnd(n, one, named); kind != Server || w.model.CopyWaitMs <= 0 || !w.fleet.copies || lost || over != "" {
+func (d *draft) readyForPermit(member string) bool {
+	kind, n := Split(member)
+	_, lost := d.Lost[member]
+	entry, named := d.Leaving[member]
+	if end := d.copyWaitEnd(n, entry, named); kind != Server || d.model.CopyWaitMs <= 0 || !d.fleet.copies || lost || end != "" {
 		if named {
-			delete(w.Leaving, thing)
-			w.note("%s: %s", thing, cmp.Or(over, "no copies are waited for"))
+			delete(d.Leaving, member)
+			d.note("%s: %s", member, cmp.Or(end, "no copies are waited for"))
 		}
 		return true
 	}
 	if !named {
-		s := w.fleet.servers[n]
-		w.Leaving[thing] = Leaving{Turn: w.Seq, Site: s.Site, Role: s.Role}
-		w.note("%s has its turn: %s", thing, reasonCopying)
+		s := d.fleet.servers[n]
+		d.Leaving[member] = Leaving{Turn: d.Seq, Site: s.Site, Role: s.Role}
+		d.note("%s has its turn: %s", member, reasonCopying)
 	}
-	w.copyWaiters[thing] = true
+	d.copyWaiters[member] = true
 	return false
 }
 
 // copyWaitEnd tells why a server's wait for copies is copyWaitEnd, or "".
-func (w *draft) copyWaitEnd(server string, one Leaving, named bool) string {
+func (d *draft) copyWaitEnd(server string, entry Leaving, named bool) string {
 	switch {
-	case !named || w.broken == WaitsForever:
-	case one.WaitMs >= w.model.CopyWaitMs:
+	case !named || d.broken == WaitsForever:
+	case entry.WaitMs >= d.model.CopyWaitMs:
 		return "its wait for copies is over"
-	case w.view.CopiesDone[server] >= one.Turn:
+	case d.view.CopiesDone[server] >= entry.Turn:
 		return "nothing that pays is to be copied from it any more"
 	}
 	return ""
@@ -55,27 +55,27 @@
 
 // dropStaleLeaving ends the waits of those that do not have their turn any more: their wish was withdrawn or met, a release was halted, or
 // losses have taken the room.
-func (w *draft) dropStaleLeaving() {
-	for _, thing := range slices.Sorted(maps.Keys(w.Leaving)) {
-		if !w.copyWaiters[thing] {
-			delete(w.Leaving, thing)
-			w.note("%s does not have its turn any more", thing)
+func (d *draft) dropStaleLeaving() {
+	for _, member := range slices.Sorted(maps.Keys(d.Leaving)) {
+		if !d.copyWaiters[member] {
+			delete(d.Leaving, member)
+			d.note("%s does not have its turn any more", member)
 		}
 	}
 }
 
 // reserves tells whether a thing's place in the budget is taken beside another that asks for one: it has its turn, and of two that have
 // theirs the one that was looked at first.
-func (w *draft) reserves(thing, beside string) bool {
-	_, named := w.Leaving[thing]
-	_, both := w.Leaving[beside]
-	return named && thing != beside && (!both || w.copyWaiters[thing])
+func (d *draft) reserves(member, other string) bool {
+	_, named := d.Leaving[member]
+	_, otherNamed := d.Leaving[other]
+	return named && member != other && (!otherNamed || d.copyWaiters[member])
 }
 
 // reservedCount counts those that keep their places beside a thing, of those that a test names.
-func (w *draft) reservedCount(beside string, is func(k Kind, site, role string) bool) (n int) {
-	for thing, l := range w.Leaving {
-		if k, _ := Split(thing); is(k, l.Site, l.Role) && w.reserves(thing, beside) {
+func (d *draft) reservedCount(other string, match func(k Kind, site, role string) bool) (n int) {
+	for member, l := range d.Leaving {
+		if k, _ := Split(member); match(k, l.Site, l.Role) && d.reserves(member, other) {
 			n++
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // targetOrder are the places of a release's targets in the order in which they are looked at: first those that have their turn.
-func (w *draft) targetOrder(r *Release) (order []int) {
-	for _, has := range []bool{true, false} {
+func (d *draft) targetOrder(r *Release) (order []int) {
+	for _, hasTurn := range []bool{true, false} {
 		for i, t := range r.Targets {
-			if _, named := w.Leaving[ID(r.Kind, t.Name)]; named == has {
+			if _, named := d.Leaving[ID(r.Kind, t.Name)]; named == hasTurn {
 				order = append(order, i)
 			}
 		}
@@ -115,24 +115,24 @@
 	if a.started == nil {
 		a.started = map[string]copyWait{}
 	}
-	maps.DeleteFunc(a.started, func(thing string, _ copyWait) bool { _, still := s.Leaving[thing]; return !still })
-	for thing, l := range s.Leaving {
-		one, known := a.started[thing]
+	maps.DeleteFunc(a.started, func(member string, _ copyWait) bool { _, still := s.Leaving[member]; return !still })
+	for member, l := range s.Leaving {
+		wait, known := a.started[member]
 		if !known {
-			a.started[thing] = copyWait{turn: l.Turn, at: nowMs}
-		} else if one.turn != l.Turn {
-			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s has its turn anew while it has it", s.Seq, thing))
+			a.started[member] = copyWait{turn: l.Turn, at: nowMs}
+		} else if wait.turn != l.Turn {
+			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s has its turn anew while it has it", s.Seq, member))
 		}
 	}
 }
 
 // Advance looks at how long servers have waited by a time.
 func (a *CopyWaits) Advance(nowMs float64) {
-	for _, thing := range slices.Sorted(maps.Keys(a.started)) {
-		if one := a.started[thing]; !one.reported && nowMs-one.at > a.LimitMs {
-			one.reported = true
-			a.started[thing] = one
-			a.Faults = append(a.Faults, fmt.Sprintf("%s is held back for %.0f ms, %.0f at most", thing, nowMs-one.at, a.LimitMs))
+	for _, member := range slices.Sorted(maps.Keys(a.started)) {
+		if wait := a.started[member]; !wait.reported && nowMs-wait.at > a.LimitMs {
+			wait.reported = true
+			a.started[member] = wait
+			a.Faults = append(a.Faults, fmt.Sprintf("%s is held back for %.0f ms, %.0f at most", member, nowMs-wait.at, a.LimitMs))
 		}
 	}
 }
--- a/internal/decide/outage/leave_test.go
+++ b/internal/decide/outage/leave_test.go
@@ -36,8 +36,8 @@
 	soon, long := 1500*time.Millisecond, 3*time.Second
 	turn := func(f *fleet) int64 { return f.state.Leaving["server/s1"].Turn }
 	for name, c := range map[string]struct {
-		then        func(f *fleet)
-		least, most time.Duration // 0: never
+		action          func(f *fleet)
+		atLeast, atMost time.Duration // 0: never
 	}{
 		"nothing is said":     {func(*fleet) {}, long, long + soon},
 		"of an earlier turn":  {func(f *fleet) { f.copiesDone["s1"] = turn(f) - 1 }, long, long + soon},
@@ -60,7 +60,7 @@
 			t.Errorf("%s: it is out at once", name)
 		}
 		f.deployer = false
-		if c.then(f); c.most == 0 {
+		if c.action(f); c.atMost == 0 {
 			for range 80 {
 				f.step()
 			}
@@ -69,8 +69,8 @@
 			}
 		} else {
 			f.waitUntil(t, name, time.Minute, func() bool { return hasPermit(f) })
-			if took := f.now - began; took < c.least || took > c.most {
-				t.Errorf("%s: out after %s, from %s to %s", name, took, c.least, c.most)
+			if took := f.now - began; took < c.atLeast || took > c.atMost {
+				t.Errorf("%s: out after %s, from %s to %s", name, took, c.atLeast, c.atMost)
 			}
 		}
 		f.checkNoFaults(t)
@@ -120,8 +120,8 @@
 	}
 	waited := map[string]bool{}
 	f.waitUntil(t, "done", 10*time.Minute, func() bool {
-		for thing := range f.state.Leaving {
-			waited[thing] = true
+		for member := range f.state.Leaving {
+			waited[member] = true
 		}
 		if n := len(f.state.Leaving) + len(f.state.Permits); n > 2 {
 			t.Fatalf("%d are out or have their turn", n)
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -46,9 +46,9 @@
 
 // What returns under its permit is not out: who asks for it then is told to wait, else it would be stopped under traffic.
 func TestOnlyAcknowledgedPermitAllowsStop(t *testing.T) {
-	for stage, out := range map[outage.Stage]bool{outage.Granted: false, outage.Acknowledged: true, outage.Returning: false} {
+	for stage, mayStop := range map[outage.Stage]bool{outage.Granted: false, outage.Acknowledged: true, outage.Returning: false} {
 		s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: stage}}}
-		if next, permitted := s.Drain("server/s1", "op"); permitted != out || next != nil {
+		if next, permitted := s.Drain("server/s1", "op"); permitted != mayStop || next != nil {
 			t.Errorf("%s: permitted %v", stage, permitted)
 		}
 	}
--- a/internal/decide/outage/meter_test.go
+++ b/internal/decide/outage/meter_test.go
@@ -11,27 +11,27 @@
 // A version that has most of its requests in a bad hour is no worse for it. The same counts put together would halt it, so
 // what is expected is what keeps it; and one that fails more in each hour is halted.
 func TestBadHourHaltsNobody(t *testing.T) {
-	sides := func(fresh int) map[string]outage.Cohort {
+	sides := func(newServers int) map[string]outage.Cohort {
 		out := map[string]outage.Cohort{}
 		for i := range 10 {
 			out[fmt.Sprint(i)] = outage.OldCohort
-			if i < fresh {
+			if i < newServers {
 				out[fmt.Sprint(i)] = outage.NewCohort
 			}
 		}
 		return out
 	}
-	count := func(worse int) outage.Counts {
+	count := func(ratio int) outage.Counts {
 		var m outage.Meter
-		for _, hour := range []struct{ fresh, failing int }{{1, 1}, {5, 10}} { // of 100
-			m.Configure("up-1", sides(hour.fresh), nil, 1.5)
+		for _, hour := range []struct{ newServers, failing int }{{1, 1}, {5, 10}} { // of 100
+			m.Configure("up-1", sides(hour.newServers), nil, 1.5)
 			for i := range 10_000 {
-				one := outage.Attempt{Server: fmt.Sprint(i % 10), Answered: true, InTime: true, FirstToken: 100 * time.Millisecond}
-				one.Failed = i/10%100 < hour.failing
-				if i%10 < hour.fresh && i/10%100 < hour.failing*worse {
-					one.Failed = true
+				attempt := outage.Attempt{Server: fmt.Sprint(i % 10), Answered: true, InTime: true, FirstToken: 100 * time.Millisecond}
+				attempt.Failed = i/10%100 < hour.failing
+				if i%10 < hour.newServers && i/10%100 < hour.failing*ratio {
+					attempt.Failed = true
 				}
-				m.Record(one)
+				m.Record(attempt)
 			}
 		}
 		_, c := m.Snapshot()
--- a/internal/decide/outage/order_test.go
+++ b/internal/decide/outage/order_test.go
@@ -19,8 +19,8 @@
 		want  string
 	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", kept, "c1 a2 b2 a3 b1 a1"}, {"name", kept, "a1 a2 a3 b1 b2 c1"}, {"site", kept, "a1 a2 a3 b1 b2 c1"}} {
 		got := ""
-		for _, one := range sortTargets(list(), c.order, c.kept) {
-			got += " " + one.Name
+		for _, target := range sortTargets(list(), c.order, c.kept) {
+			got += " " + target.Name
 		}
 		if got != " "+c.want {
 			t.Errorf("%s %v: %s, want %s", c.order, c.kept, got, c.want)
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -135,24 +135,24 @@
 	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
-	gone := ""
+	removed := ""
 	f.waitUntil(t, "clear", time.Minute, func() bool {
-		for thing, p := range f.state.Permits {
+		for member, p := range f.state.Permits {
 			if p.Stage == outage.Acknowledged {
-				_, gone = outage.Split(thing)
+				_, removed = outage.Split(member)
 			}
 		}
-		return gone != ""
+		return removed != ""
 	})
-	delete(f.servers, gone)
-	for _, how := range []func(v outage.View) (*outage.State, error){
+	delete(f.servers, removed)
+	for _, change := range []func(v outage.View) (*outage.State, error){
 		func(v outage.View) (*outage.State, error) {
-			return v.Last.DeclareGone(outage.ID(outage.Server, gone), "op"), nil
+			return v.Last.DeclareGone(outage.ID(outage.Server, removed), "op"), nil
 		},
 		func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") },
 		func(v outage.View) (*outage.State, error) { return v.Resume("op") },
 	} {
-		if err := f.applyOrder(how); err != nil {
+		if err := f.applyOrder(change); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -205,9 +205,9 @@
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"}
 	routers := []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 	pick := func(list []string) string { return rapid.SampledFrom(list).Draw(rt, "which") }
-	view := func(how func(v outage.View) (*outage.State, error)) {
+	tryOrder := func(change func(v outage.View) (*outage.State, error)) {
 		if f.state != nil {
-			_ = f.applyOrder(how) // what is refused changes nothing
+			_ = f.applyOrder(change) // what is refused changes nothing
 		}
 	}
 	for range rapid.IntRange(10, 40).Draw(rt, "events") {
@@ -227,21 +227,21 @@
 				f.startRouter(name, f.routers[name].label)
 			}
 		case 5:
-			thing := outage.ID(outage.Server, pick(servers))
-			view(func(v outage.View) (*outage.State, error) { next, _ := v.Last.Drain(thing, "op"); return next, nil })
+			member := outage.ID(outage.Server, pick(servers))
+			tryOrder(func(v outage.View) (*outage.State, error) { next, _ := v.Last.Drain(member, "op"); return next, nil })
 		case 6:
-			thing := outage.ID(outage.Server, pick(servers))
-			view(func(v outage.View) (*outage.State, error) { return v.Last.Serve(thing, "op"), nil })
+			member := outage.ID(outage.Server, pick(servers))
+			tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve(member, "op"), nil })
 		case 7:
-			view(startRelease(f, spec(pick([]string{"v1", "v2"}))))
+			tryOrder(startRelease(f, spec(pick([]string{"v1", "v2"}))))
 		case 8:
-			view(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
+			tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
 		case 9:
-			view(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
+			tryOrder(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
 		case 10:
 			f.deployer = !f.deployer
 		case 11:
-			view(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
+			tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
 		}
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			f.step()
@@ -259,13 +259,13 @@
 		}
 	}
 	for _, name := range servers { // nothing stays out by hand
-		view(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/"+name, "op"), nil })
+		tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/"+name, "op"), nil })
 	}
 	for range 20 {
 		f.step()
 	}
-	view(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
-	view(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
+	tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") })
+	tryOrder(func(v outage.View) (*outage.State, error) { return v.Resume("op") })
 	for i := 0; f.release() != nil && f.phase() != outage.RolledBack; i++ {
 		if f.step(); i > 1000 {
 			data, _ := json.Marshal(f.state)
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -138,39 +138,39 @@
 			"wait for it, or take it back: sumactl release back"}
 	}
 	var targets []Target
-	in := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+	selected := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	add := func(name, site, role, label string) {
-		if in(spec.Names, name) && in(spec.Sites, site) && in(spec.Roles, role) && (label != spec.To || spec.All) {
+		if selected(spec.Names, name) && selected(spec.Sites, site) && selected(spec.Roles, role) && (label != spec.To || spec.All) {
 			targets = append(targets, Target{Name: name, Site: site, From: label, State: Waiting})
 		}
 	}
-	named := map[string]bool{}
+	known := map[string]bool{}
 	switch spec.Kind {
 	case Server:
-		seen, count := map[string]Observation{}, map[[2]string]int{}
+		observed, votes := map[string]Observation{}, map[[2]string]int{}
 		for _, r := range v.Reports {
 			for id, s := range r.All {
 				if !v.Routers[r.Router].Live {
 					continue
 				}
-				count[[2]string{id, s.Label}]++ // the label that most have: a list may be behind
-				if one, is := seen[id]; !is || count[[2]string{id, s.Label}] > count[[2]string{id, one.Label}] {
-					seen[id] = s
+				votes[[2]string{id, s.Label}]++ // the label that most have: a list may be behind
+				if best, ok := observed[id]; !ok || votes[[2]string{id, s.Label}] > votes[[2]string{id, best.Label}] {
+					observed[id] = s
 				}
 			}
 		}
-		for id, s := range seen {
-			named[id] = true
+		for id, s := range observed {
+			known[id] = true
 			add(id, s.Site, s.Role, s.Label)
 		}
 	case Router:
 		for name, k := range v.Last.clone().Known {
-			named[name] = true
+			known[name] = true
 			add(name, k.Site, "", k.Label)
 		}
 	}
 	for _, name := range spec.Names {
-		if !named[name] {
+		if !known[name] {
 			return nil, &ReleaseError{"names", fmt.Sprintf("no %s is named %q", spec.Kind, name)}
 		}
 	}
@@ -210,17 +210,17 @@
 }
 
 // change is the state with its release changed; refused where there is none under way.
-func (s *State) change(did, by string, how func(r *Release) error) (*State, error) {
+func (s *State) change(action, by string, apply func(r *Release) error) (*State, error) {
 	next := s.clone()
 	r := next.Release
 	if r == nil {
-		return nil, &RefusedError{did, "there is no release", "start one: sumactl release start FILE"}
+		return nil, &RefusedError{action, "there is no release", "start one: sumactl release start FILE"}
 	}
-	if err := how(r); err != nil {
+	if err := apply(r); err != nil {
 		return nil, err
 	}
 	next.Seq++
-	next.By, next.Why = by, "release "+r.Name+": "+did
+	next.By, next.Why = by, "release "+r.Name+": "+action
 	return next, nil
 }
 
@@ -302,31 +302,31 @@
 		return nil, err
 	}
 	for _, t := range next.Release.Targets { // what never came back with the new label is to come with the old one
-		thing := ID(next.Release.Kind, t.Name)
-		if p, out := next.Permits[thing]; out && t.State == Out {
+		member := ID(next.Release.Kind, t.Name)
+		if p, out := next.Permits[member]; out && t.State == Out {
 			p.To, p.OutMs = t.From, 0
-			next.Permits[thing] = p
+			next.Permits[member] = p
 		}
 	}
 	return next, nil
 }
 
 // retryStrayed has targets that are called back, and are seen with another label than their old one, taken back again.
-func (w *draft) retryStrayed(r *Release) {
+func (d *draft) retryStrayed(r *Release) {
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		thing := ID(r.Kind, t.Name)
-		if _, out := w.Permits[thing]; out || t.State != Reached || r.Phase != RollingBack || w.broken == SkipsRollback {
+		member := ID(r.Kind, t.Name)
+		if _, out := d.Permits[member]; out || t.State != Reached || r.Phase != RollingBack || d.broken == SkipsRollback {
 			continue
 		}
-		s := w.fleet.servers[t.Name]
-		label, sure := s.Label, s.agreed
+		s := d.fleet.servers[t.Name]
+		label, certain := s.Label, s.agreed
 		if r.Kind == Router {
-			label, sure = w.Known[t.Name].Label, w.view.Routers[t.Name].Live
+			label, certain = d.Known[t.Name].Label, d.view.Routers[t.Name].Live
 		}
-		if sure && label != t.From {
+		if certain && label != t.From {
 			t.State = Waiting
-			w.note("%s has label %q: it is to go back all the same", thing, label)
+			d.note("%s has label %q: it is to go back all the same", member, label)
 		}
 	}
 }
--- a/internal/decide/outage/reload.go
+++ b/internal/decide/outage/reload.go
@@ -9,48 +9,48 @@
 type Reload struct{ Server, To string }
 
 // compare orders wishes: an operator's first, as they came, then reloads by their turns.
-func (w PermitRequest) compare(o PermitRequest) int {
-	if (w.For == "") != (o.For == "") {
-		if w.For == "" {
+func (p PermitRequest) compare(o PermitRequest) int {
+	if (p.For == "") != (o.For == "") {
+		if p.For == "" {
 			return -1
 		}
 		return 1
 	}
-	if w.For != "" {
-		return cmp.Compare(w.Rank, o.Rank)
+	if p.For != "" {
+		return cmp.Compare(p.Rank, o.Rank)
 	}
-	return cmp.Compare(w.Seq, o.Seq)
+	return cmp.Compare(p.Seq, o.Seq)
 }
 
 // RequestReloads has the wishes for reloads be those that are wanted now, in their order: who is wished out already, or out, is
 // not wished again, and who is not wanted any more is withdrawn. nil: they are as wanted.
 func (s *State) RequestReloads(wanted []Reload, by string) *State {
-	next, news := s.clone(), false
+	next, changed := s.clone(), false
 	next.Seq++
 	want := map[string]bool{}
 	for i, r := range wanted {
-		thing := ID(Server, r.Server)
-		want[thing] = true
-		w, is := next.PermitRequests[thing]
-		if _, out := next.Permits[thing]; out || is && w.For == "" {
+		member := ID(Server, r.Server)
+		want[member] = true
+		request, ok := next.PermitRequests[member]
+		if _, out := next.Permits[member]; out || ok && request.For == "" {
 			continue
 		}
-		if is && w.To == r.To && w.Rank == i {
+		if ok && request.To == r.To && request.Rank == i {
 			continue
 		}
-		if !is {
-			w = PermitRequest{Seq: next.Seq, By: by, For: ForReload, WaitReason: "not looked at yet"}
+		if !ok {
+			request = PermitRequest{Seq: next.Seq, By: by, For: ForReload, WaitReason: "not looked at yet"}
 		}
-		w.To, w.Rank = r.To, i
-		next.PermitRequests[thing], news = w, true
+		request.To, request.Rank = r.To, i
+		next.PermitRequests[member], changed = request, true
 	}
-	for thing, w := range next.PermitRequests {
-		if w.For == ForReload && !want[thing] {
-			delete(next.PermitRequests, thing)
-			news = true
+	for member, request := range next.PermitRequests {
+		if request.For == ForReload && !want[member] {
+			delete(next.PermitRequests, member)
+			changed = true
 		}
 	}
-	if !news {
+	if !changed {
 		return nil
 	}
 	next.By, next.Why = by, "reloads are wished for"
--- a/internal/decide/outage/reload_test.go
+++ b/internal/decide/outage/reload_test.go
@@ -12,30 +12,30 @@
 	if s == nil || len(s.PermitRequests) != 2 || s.RequestReloads([]Reload{{"s2", "w5"}, {"s1", "w5"}}, "d2") != nil {
 		t.Fatalf("%+v", s)
 	}
-	asked, _ := s.Drain(ID(Server, "s3"), "operator")
-	again := asked.RequestReloads([]Reload{{"s1", "w6"}, {"s3", "w6"}}, "d1")
-	if w := again.PermitRequests[ID(Server, "s1")]; len(again.PermitRequests) != 2 || w.To != "w6" || w.Rank != 0 || again.PermitRequests[ID(Server, "s3")].For != "" {
-		t.Fatalf("%+v", again.PermitRequests)
+	requested, _ := s.Drain(ID(Server, "s3"), "operator")
+	updated := requested.RequestReloads([]Reload{{"s1", "w6"}, {"s3", "w6"}}, "d1")
+	if w := updated.PermitRequests[ID(Server, "s1")]; len(updated.PermitRequests) != 2 || w.To != "w6" || w.Rank != 0 || updated.PermitRequests[ID(Server, "s3")].For != "" {
+		t.Fatalf("%+v", updated.PermitRequests)
 	}
-	v := View{Model: Model{Workers: 2, WorkersSite: 2}, Last: again, Routers: map[string]Registration{"d1": {Boot: "1", Live: true}},
+	v := View{Model: Model{Workers: 2, WorkersSite: 2}, Last: updated, Routers: map[string]Registration{"d1": {Boot: "1", Live: true}},
 		Reports: []Report{{Router: "d1", Boot: "1", Observed: map[string]Observation{"s1": {Label: "w1"}, "s2": {Label: "w1"}, "s3": {Label: "w1"}}}}}
 	d := Decider{Me: "d1"}
 	next := d.Next(v, time.Second)
-	one, other := next.Permits[ID(Server, "s3")], next.Permits[ID(Server, "s1")]
-	if len(next.Permits) != 2 || one.ID != 1 || one.For != ByHand || other.For != ForReload || other.To != "w6" || len(next.PermitRequests) != 0 {
+	manual, reload := next.Permits[ID(Server, "s3")], next.Permits[ID(Server, "s1")]
+	if len(next.Permits) != 2 || manual.ID != 1 || manual.For != ByHand || reload.For != ForReload || reload.To != "w6" || len(next.PermitRequests) != 0 {
 		t.Fatalf("%+v", next.Permits)
 	}
-	third := next.RequestReloads([]Reload{{"s1", "w7"}, {"s2", "w6"}}, "d1")
-	if w := third.PermitRequests[ID(Server, "s2")]; len(third.PermitRequests) != 1 || w.To != "w6" {
-		t.Fatalf("what is out is not wished again: %+v", third.PermitRequests)
+	again := next.RequestReloads([]Reload{{"s1", "w7"}, {"s2", "w6"}}, "d1")
+	if w := again.PermitRequests[ID(Server, "s2")]; len(again.PermitRequests) != 1 || w.To != "w6" {
+		t.Fatalf("what is out is not wished again: %+v", again.PermitRequests)
 	}
-	third.Rev, v.Last = 2, third
+	again.Rev, v.Last = 2, again
 	v.Reports[0].Observed["s2"] = Observation{Label: "w6"}
 	next = d.Next(v, 2*time.Second)
 	if len(next.Permits) != 2 || len(next.PermitRequests) != 0 {
 		t.Fatalf("it has reloaded by itself: %+v %+v", next.Permits, next.PermitRequests)
 	}
-	if gone := third.RequestReloads(nil, "d1"); len(gone.PermitRequests) != 0 {
+	if gone := again.RequestReloads(nil, "d1"); len(gone.PermitRequests) != 0 {
 		t.Errorf("%+v", gone.PermitRequests)
 	}
 }
--- a/internal/decide/outage/room.go
+++ b/internal/decide/outage/room.go
@@ -82,21 +82,21 @@
 // reports say that routers have at its servers. Where that is more it is what routers have, also what waits for a server, of
 // what all servers can take: in_hand that is too high is seen by what waits.
 func (f fleetStatus) utilization(inHand float64) (most float64) {
-	can, has := map[string]float64{}, map[string]float64{}
+	capacity, load := map[string]float64{}, map[string]float64{}
 	open, all := 0, 0.0
 	for _, r := range f.fresh {
 		open += r.Open
 	}
 	for id, s := range f.servers {
-		can[s.Role] += s.Weight * inHand
+		capacity[s.Role] += s.Weight * inHand
 		all += s.Weight * inHand
 		for _, r := range f.fresh {
 			seen, _ := r.Observation(id)
-			has[s.Role] += float64(seen.Busy)
+			load[s.Role] += float64(seen.Busy)
 		}
 	}
-	for role, one := range can {
-		most = max(most, has[role]/one)
+	for role, total := range capacity {
+		most = max(most, load[role]/total)
 	}
 	if all > 0 {
 		most = max(most, float64(open)/all)
@@ -105,49 +105,49 @@
 }
 
 // updateHeadroom has the number fall at once with the room there is, and rise once there was room for more all the time.
-func (w *draft) updateHeadroom() {
-	f := w.model.HeadroomLimit
+func (d *draft) updateHeadroom() {
+	f := d.model.HeadroomLimit
 	if !f.FollowsHeadroom() {
-		w.Headroom = nil
+		d.Headroom = nil
 		return
 	}
-	n := len(w.fleet.servers)
-	least, wall := f.bounds(n)
-	used := w.fleet.utilization(f.InHand)
-	want := min(max(int(float64(n)*(1-used/f.Fill)), least), wall)
-	if w.Headroom == nil {
-		w.Headroom = &Headroom{Limit: least}
+	n := len(d.fleet.servers)
+	least, ceiling := f.bounds(n)
+	used := d.fleet.utilization(f.InHand)
+	want := min(max(int(float64(n)*(1-used/f.Fill)), least), ceiling)
+	if d.Headroom == nil {
+		d.Headroom = &Headroom{Limit: least}
 	}
-	r := *w.Headroom
-	if len(w.fleet.fresh) < w.liveRouters() { // what those have in hand that do not report is not known
+	r := *d.Headroom
+	if len(d.fleet.fresh) < d.liveRouters() { // what those have in hand that do not report is not known
 		want = min(want, max(r.Limit, least))
 	}
 	switch {
-	case w.broken == IgnoresBounds:
+	case d.broken == IgnoresBounds:
 		want = int(float64(n) * (1 - used/f.Fill))
-	case w.broken == RisesAtOnce && want > r.Limit:
+	case d.broken == RisesAtOnce && want > r.Limit:
 		r.Rising, r.RiseMs, r.LowestLimit = true, f.RiseMs, want
 	}
 	switch {
 	case want < r.Limit:
-		w.note("%d servers may be out, not %d: %.0f%% of the fullest role is used", want, r.Limit, 100*used)
+		d.note("%d servers may be out, not %d: %.0f%% of the fullest role is used", want, r.Limit, 100*used)
 		r = Headroom{Limit: want}
 	case want == r.Limit && r.Rising:
-		w.note("there is no room for more than %d servers out", r.Limit)
+		d.note("there is no room for more than %d servers out", r.Limit)
 		r = Headroom{Limit: r.Limit}
 	case want > r.Limit && !r.Rising:
-		w.note("there is room for %d servers out, %d may be", want, r.Limit)
+		d.note("there is room for %d servers out, %d may be", want, r.Limit)
 		r.Rising, r.RiseMs, r.LowestLimit = true, 0, want
 	case want > r.Limit && r.RiseMs >= f.RiseMs:
 		most := min(r.LowestLimit, want)
-		w.note("%d servers may be out, not %d: there was room for %.0f s", most, r.Limit, r.RiseMs/1000)
+		d.note("%d servers may be out, not %d: there was room for %.0f s", most, r.Limit, r.RiseMs/1000)
 		r = Headroom{Limit: most}
 	case want > r.Limit && want < r.LowestLimit:
 		r.LowestLimit = want
-		w.note("there is room for %d servers out", want)
+		d.note("there is room for %d servers out", want)
 	}
 	r.Utilization = used
-	w.Headroom = &r
+	d.Headroom = &r
 }
 
 // serverBound is how many of all servers may be out, as the model words bounds.
@@ -159,14 +159,14 @@
 }
 
 // countMatching counts what is countMatching, by permit or without, of those that a test names.
-func (w *draft) countMatching(is func(k Kind, site, role string) bool) (n int) {
-	for thing, p := range w.Permits {
-		if k, _ := Split(thing); is(k, p.Site, p.Role) && (w.broken != CountsReleasesOnly || p.For != ByHand) {
+func (d *draft) countMatching(match func(k Kind, site, role string) bool) (n int) {
+	for member, p := range d.Permits {
+		if k, _ := Split(member); match(k, p.Site, p.Role) && (d.broken != CountsReleasesOnly || p.For != ByHand) {
 			n++
 		}
 	}
-	for thing, l := range w.Lost {
-		if k, _ := Split(thing); is(k, l.Site, l.Role) && w.broken != CountsReleasesOnly {
+	for member, l := range d.Lost {
+		if k, _ := Split(member); match(k, l.Site, l.Role) && d.broken != CountsReleasesOnly {
 			n++
 		}
 	}
@@ -182,7 +182,7 @@
 	if s.Headroom.Limit < least || s.Headroom.Limit > most {
 		a.report(s, "%d servers may be out, the walls are %d and %d", s.Headroom.Limit, least, most)
 	}
-	if was := before.Headroom; was != nil && s.Headroom.Limit > was.Limit && !was.Rising && before.Budget.Servers == s.Budget.Servers {
-		a.report(s, "%d servers may be out after %d, and there was no time in which there was room", s.Headroom.Limit, was.Limit)
+	if previous := before.Headroom; previous != nil && s.Headroom.Limit > previous.Limit && !previous.Rising && before.Budget.Servers == s.Budget.Servers {
+		a.report(s, "%d servers may be out after %d, and there was no time in which there was room", s.Headroom.Limit, previous.Limit)
 	}
 }
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -16,14 +16,14 @@
 	m := outage.Model{Routers: 1, ReportMs: 1000, HeadroomLimit: outage.HeadroomLimit{Min: 1, Max: 4, InHand: 10, Fill: 0.8, RiseMs: 20_000}}
 	audit := outage.Auditor{Model: func(int64) (outage.Model, bool) { return m, true }}
 	d := &outage.Decider{Me: "a", Broken: broken}
-	type look struct {
+	type sample struct {
 		at   time.Duration
 		fits int
 	}
 	var (
 		last  *outage.State
 		rev   int64
-		looks []look
+		looks []sample
 		now   = time.Second
 	)
 	for range rapid.IntRange(2, 6).Draw(rt, "spells") {
@@ -35,15 +35,15 @@
 			for i := range 10 {
 				r.Observed[string(rune('A'+i))] = outage.Observation{Boot: "1", Probed: true, Busy: busy}
 			}
-			fits := min(max(int(10*(1-float64(busy)/10/0.8)), 1), 4)
-			looks = append(looks, look{now, fits})
+			limit := min(max(int(10*(1-float64(busy)/10/0.8)), 1), 4)
+			looks = append(looks, sample{now, limit})
 			next := d.Next(outage.View{Model: m, Version: 1, Last: last, Reports: []outage.Report{r}, Routers: map[string]outage.Registration{"a": {Boot: "1", Live: true}}}, now)
 			if next == nil {
 				continue
 			}
 			next.Rev = rev
 			most := next.Headroom.Limit
-			if most > fits {
+			if most > limit {
 				faults = append(faults, "more than there is room for")
 			}
 			if last != nil && most > last.Headroom.Limit {
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -41,9 +41,9 @@
 			}
 		}
 		if last != nil {
-			for thing, p := range last.Permits { // each by itself: their order is of no matter
+			for member, p := range last.Permits { // each by itself: their order is of no matter
 				var i int
-				if n, _ := fmt.Sscanf(thing, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
+				if n, _ := fmt.Sscanf(member, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
 					labels[i], downs[i] = p.To, now
 				}
 			}
@@ -51,13 +51,13 @@
 		for r := range routers {
 			name := fmt.Sprintf("d%d", r)
 			v.Routers[name] = outage.Registration{Boot: "1", Label: "v1", Live: rng.IntN(20) > 0}
-			one := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}, Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, StoreMember: r < 3, Applied: 1000 - rng.Int64N(300)}
+			report := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}, Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, StoreMember: r < 3, Applied: 1000 - rng.Int64N(300)}
 			if rev++; rng.IntN(10) == 0 {
 				rev--
 			}
-			one.Rev = rev
+			report.Rev = rev
 			if last != nil {
-				one.StateSeq = last.Seq - int64(rng.IntN(10)/9)
+				report.StateSeq = last.Seq - int64(rng.IntN(10)/9)
 			}
 			for i := range servers {
 				if rng.IntN(12) == 0 {
@@ -70,9 +70,9 @@
 				if rng.IntN(10) < 3 && i%4 == 0 {
 					s.Boot = fmt.Sprint(boots[i] + 1)
 				}
-				one.Observed[fmt.Sprintf("s%d", i)] = s
+				report.Observed[fmt.Sprintf("s%d", i)] = s
 			}
-			v.Reports = append(v.Reports, one)
+			v.Reports = append(v.Reports, report)
 		}
 		write := func(next *outage.State) {
 			if next == nil {
--- a/internal/decide/outage/search/rules.go
+++ b/internal/decide/outage/search/rules.go
@@ -9,20 +9,20 @@
 
 // checkTransition names the rules that a state breaks in the place of the one before it. The auditor's are those that hold of any
 // history; here the truth is known besides.
-func checkTransition(before, next *outage.State, w *world, by labels) []string {
+func checkTransition(before, next *outage.State, w *world, majority labels) []string {
 	a := outage.Auditor{Model: func(int64) (outage.Model, bool) { return model(w.lowered), true }} // in force as it is written
 	a.StartFrom(before)
 	a.Check(next)
 	faults := a.Faults
-	for j, thing := range memberIDs {
-		p, out := next.Permits[thing]
-		was := before.Permits[thing]
+	for j, member := range memberIDs {
+		p, out := next.Permits[member]
+		previous := before.Permits[member]
 		// What was replaced already nobody stops for this permit.
 		if out && p.Stage == outage.Acknowledged && p.Boot[0] == w.servers[j].boot && !p.Serve {
-			faults = append(faults, w.sendersTo(thing)...)
+			faults = append(faults, w.sendersTo(member)...)
 		}
-		if gone := was.ID != 0 && was.ID != p.ID; gone && !was.Serve && w.servers[j].boot == was.Boot[0] {
-			faults = append(faults, fmt.Sprintf("%s: permit %d ended, and it was never away", thing, was.ID))
+		if ended := previous.ID != 0 && previous.ID != p.ID; ended && !previous.Serve && w.servers[j].boot == previous.Boot[0] {
+			faults = append(faults, fmt.Sprintf("%s: permit %d ended, and it was never away", member, previous.ID))
 		}
 	}
 	r := next.Release
@@ -30,16 +30,16 @@
 		return faults
 	}
 	if r.Phase == outage.RolledBack {
-		faults = append(faults, w.checkRolledBack(by)...)
+		faults = append(faults, w.checkRolledBack(majority)...)
 	}
 	return faults
 }
 
 // sendersTo names the routers that serve and send to a server that may be stopped.
-func (w *world) sendersTo(thing string) (faults []string) {
+func (w *world) sendersTo(member string) (faults []string) {
 	for i, r := range w.routers {
-		if r.up && r.registered && r.sends[thing[len(thing)-1]-'1'] {
-			faults = append(faults, fmt.Sprintf("%s may be stopped and %s sends to it", thing, routerNames[i]))
+		if r.up && r.registered && r.sends[member[len(member)-1]-'1'] {
+			faults = append(faults, fmt.Sprintf("%s may be stopped and %s sends to it", member, routerNames[i]))
 		}
 	}
 	return faults
@@ -47,7 +47,7 @@
 
 // checkRolledBack looks at the end of a way back: each target is at its old label, or named with what holds it. What started with
 // another label so late that most routers had not reported it as the decision was made, nobody could know.
-func (w *world) checkRolledBack(by labels) (faults []string) {
+func (w *world) checkRolledBack(majority labels) (faults []string) {
 	for _, t := range w.state.Release.Targets {
 		j := slices.Index(serverNames[:], t.Name)
 		s := w.servers[j]
@@ -55,7 +55,7 @@
 		case t.State == outage.Blocked && t.Why != "":
 		case t.State != outage.Reached:
 			faults = append(faults, fmt.Sprintf("the way back is over and %s is %s", t.Name, t.State))
-		case s.label() != t.From && by[j] == s.label():
+		case s.label() != t.From && majority[j] == s.label():
 			faults = append(faults, fmt.Sprintf("the way back is over and %s has label %q", t.Name, s.label()))
 		}
 	}
@@ -100,8 +100,8 @@
 	if next, err := w.view().Resume("op"); err == nil && next != nil {
 		w.state = next
 	}
-	for _, thing := range memberIDs { // nothing stays out by hand
-		if next := w.state.Serve(thing, "op"); next != nil {
+	for _, member := range memberIDs { // nothing stays out by hand
+		if next := w.state.Serve(member, "op"); next != nil {
 			w.state = next
 		}
 	}
@@ -109,8 +109,8 @@
 		if w.state.Release.Phase == outage.RolledBack {
 			return nil // judged as it was written
 		}
-		for j, thing := range memberIDs {
-			p, out := w.state.Permits[thing]
+		for j, member := range memberIDs {
+			p, out := w.state.Permits[member]
 			s := &w.servers[j]
 			clear := out && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == string(s.boot)
 			if clear {
--- a/internal/decide/outage/search/search.go
+++ b/internal/decide/outage/search/search.go
@@ -43,61 +43,61 @@
 	key, buf := w.hash(nil)
 	seen := map[uint64]struct{}{key: {}}
 	nodes := []node{{parent: -1}}
-	type open struct {
+	type frontierNode struct {
 		world
-		at int32
+		node int32
 	}
-	level := []open{{w, 0}}
+	frontier := []frontierNode{{w, 0}}
 	out := Result{States: 1}
-	found := func(at int32, last Trace, faults []string) Result {
+	report := func(leaf int32, last Trace, faults []string) Result {
 		out.Faults = faults
-		for ; nodes[at].parent >= 0; at = nodes[at].parent {
-			out.Trace = append(Trace{nodes[at].event}, out.Trace...)
+		for ; nodes[leaf].parent >= 0; leaf = nodes[leaf].parent {
+			out.Trace = append(Trace{nodes[leaf].event}, out.Trace...)
 		}
 		out.Trace = append(out.Trace, last...)
 		return out
 	}
-	var may []event
-	for len(level) > 0 && (o.Depth == 0 || out.Depth < o.Depth) {
-		var next []open
-		for i := range level {
-			at := level[i]
-			level[i] = open{}
-			may = at.events(may)
-			for _, e := range may {
-				one := at.world
+	var enabled []event
+	for len(frontier) > 0 && (o.Depth == 0 || out.Depth < o.Depth) {
+		var next []frontierNode
+		for i := range frontier {
+			current := frontier[i]
+			frontier[i] = frontierNode{}
+			enabled = current.events(enabled)
+			for _, e := range enabled {
+				successor := current.world
 				out.Steps++
-				if faults := one.apply(e, o.Broken); len(faults) > 0 {
-					return found(at.at, Trace{e}, faults)
+				if faults := successor.apply(e, o.Broken); len(faults) > 0 {
+					return report(current.node, Trace{e}, faults)
 				}
-				one.dropStaleWrites(o.Broken)
-				key, buf = one.hash(buf)
-				if _, is := seen[key]; is {
+				successor.dropStaleWrites(o.Broken)
+				key, buf = successor.hash(buf)
+				if _, ok := seen[key]; ok {
 					continue
 				}
 				seen[key] = struct{}{}
-				nodes = append(nodes, node{at.at, e})
+				nodes = append(nodes, node{current.node, e})
 				n := int32(len(nodes) - 1)
 				if o.RollbackEvery > 0 && key%o.RollbackEvery == 0 {
 					out.Rollbacks++
-					if faults := one.checkRollback(o.Broken); len(faults) > 0 {
-						return found(n, nil, append(faults, "once all is mended, on the way back"))
+					if faults := successor.checkRollback(o.Broken); len(faults) > 0 {
+						return report(n, nil, append(faults, "once all is mended, on the way back"))
 					}
 				}
-				next = append(next, open{one, n})
+				next = append(next, frontierNode{successor, n})
 				if out.States++; o.States > 0 && out.States >= o.States {
 					return out
 				}
 			}
 		}
-		if level = next; len(level) > 0 {
+		if frontier = next; len(frontier) > 0 {
 			out.Depth++
 		}
 		if o.OnLevel != nil {
 			o.OnLevel(out)
 		}
 	}
-	out.Complete = len(level) == 0
+	out.Complete = len(frontier) == 0
 	return out
 }
 
@@ -123,10 +123,10 @@
 func (o Options) Walk(seed uint64, length int) (out Result) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	w := initialWorld(o.Bounds)
-	var may []event
+	var enabled []event
 	for range length {
-		may = w.events(may)
-		e := may[rng.IntN(len(may))]
+		enabled = w.events(enabled)
+		e := enabled[rng.IntN(len(enabled))]
 		if e.op > opRegister && e.op != opStopServer && rng.IntN(4) > 0 { // what happens rarely is not to be over at once
 			continue
 		}
@@ -147,11 +147,11 @@
 }
 
 // shrink leaves out events as long as a rule is broken all the same.
-func (o Options) shrink(t Trace, mended bool) Trace {
+func (o Options) shrink(t Trace, recovered bool) Trace {
 	for i := len(t) - 1; i >= 0; i-- {
-		less := slices.Delete(slices.Clone(t), i, i+1)
-		if o.reproduces(less, mended) {
-			t = less
+		shorter := slices.Delete(slices.Clone(t), i, i+1)
+		if o.reproduces(shorter, recovered) {
+			t = shorter
 		}
 	}
 	return t
@@ -159,16 +159,16 @@
 
 // reproduces tells whether a trace's events may all happen, and the last of them breaks a rule, or the way back that follows once
 // all is mended.
-func (o Options) reproduces(t Trace, mended bool) bool {
+func (o Options) reproduces(t Trace, recovered bool) bool {
 	w := initialWorld(o.Bounds)
 	for i, e := range t {
 		if !slices.Contains(w.events(nil), e) {
 			return false
 		}
 		if faults := w.apply(e, o.Broken); len(faults) > 0 {
-			return !mended && i == len(t)-1
+			return !recovered && i == len(t)-1
 		}
 		w.dropStaleWrites(o.Broken)
 	}
-	return mended && len(w.checkRollback(o.Broken)) > 0
+	return recovered && len(w.checkRollback(o.Broken)) > 0
 }
--- a/internal/decide/outage/search/steps.go
+++ b/internal/decide/outage/search/steps.go
@@ -98,9 +98,9 @@
 func (w *world) events(out []event) []event {
 	out = out[:0]
 	add := func(o op, at int) { out = append(out, event{o, uint8(at)}) }
-	halting := false // some report may be disbelieved
+	expirable := false // some report may be disbelieved
 	for _, r := range w.routers {
-		halting = halting || (r.paused || !r.up) && r.registered
+		expirable = expirable || (r.paused || !r.up) && r.registered
 	}
 	for i, r := range w.routers {
 		if r.up && !r.paused && r.registered {
@@ -129,7 +129,7 @@
 		} else if r.registered {
 			add(opRead, i)
 			add(opReadAged, i)
-			if halting {
+			if expirable {
 				add(opReadExpired, i)
 			}
 		}
@@ -162,12 +162,12 @@
 			add(opServe, j)
 		}
 	}
-	for _, one := range [...]struct {
-		op  op
-		may bool
+	for _, limited := range [...]struct {
+		op      op
+		enabled bool
 	}{{opRegress, w.remaining.Regressions > 0 && w.failingRun != w.run()}, {opHalt, w.remaining.Halts > 0}, {opResume, w.remaining.Resumes > 0}, {opRollBack, w.remaining.Rollbacks > 0}, {opCutBudget, w.remaining.BudgetCuts > 0}} {
-		if one.may {
-			add(one.op, 0)
+		if limited.enabled {
+			add(limited.op, 0)
 		}
 	}
 	return out
@@ -177,8 +177,8 @@
 func (w *world) adoptState(i int) {
 	r := &w.routers[i]
 	r.stateSeq = w.state.Seq
-	for j, thing := range memberIDs {
-		p, out := w.state.Permits[thing]
+	for j, member := range memberIDs {
+		p, out := w.state.Permits[member]
 		r.sends[j] = !out || p.Stage == outage.Returning
 	}
 }
@@ -192,11 +192,11 @@
 }
 
 // store has a state take the place of the one in the store; by is what it was made on.
-func (w *world) store(next *outage.State, by labels) []string {
+func (w *world) store(next *outage.State, majority labels) []string {
 	before := w.state
 	w.state = next
 	w.rev++
-	return checkTransition(before, next, w, by)
+	return checkTransition(before, next, w, majority)
 }
 
 // apply has an event apply; it gives the rules that were broken by it.
@@ -289,9 +289,9 @@
 func (w *world) write(i int, broken Fault) []string {
 	p, r := w.pending[i], w.routers[i]
 	w.pending[i] = pendingWrite{}
-	holds := map[Fault]bool{NoRevision: p.readRev == w.rev, NoRegistration: r.registered, NoPolicy: p.lowered == w.lowered}
-	for rule, held := range holds {
-		if !held && broken != rule && (broken != outage.NoFence || rule == NoPolicy) {
+	conditions := map[Fault]bool{NoRevision: p.readRev == w.rev, NoRegistration: r.registered, NoPolicy: p.lowered == w.lowered}
+	for rule, met := range conditions {
+		if !met && broken != rule && (broken != outage.NoFence || rule == NoPolicy) {
 			return nil
 		}
 	}
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -134,25 +134,25 @@
 		if r.report.boot == 0 {
 			continue
 		}
-		one := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq, Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
+		report := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq, Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
 		for j, s := range r.report.servers {
 			sight := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
 				sight.SilentMs = timeUnit
 			}
-			one.Observed[serverNames[j]] = sight
+			report.Observed[serverNames[j]] = sight
 		}
 		if r.report.failingRun != "" {
-			one.Release, one.Counts = r.report.failingRun, failingCounts
+			report.Release, report.Counts = r.report.failingRun, failingCounts
 		}
-		v.Reports = append(v.Reports, one)
+		v.Reports = append(v.Reports, report)
 	}
 	return v
 }
 
 // decide has a router make a decision: aged, the state has stood for a unit; deaf, the reports of stopped routers are not
 // believed any more.
-func (w *world) decide(i int, aged, deaf bool, broken Fault) *outage.State {
+func (w *world) decide(i int, aged, expired bool, broken Fault) *outage.State {
 	d := outage.Decider{Me: routerNames[i], Broken: broken}
 	made := d.Step(w.view(), outage.Ages{
 		State: func() time.Duration {
@@ -162,7 +162,7 @@
 			return 0
 		},
 		Report: func(name string, _ int64) time.Duration {
-			if r := w.routers[name[1]-'1']; deaf && (r.paused || !r.up) {
+			if r := w.routers[name[1]-'1']; expired && (r.paused || !r.up) {
 				return time.Hour
 			}
 			return 0
@@ -190,15 +190,15 @@
 			}
 			return names[c&15]
 		}
-		one := func(s server) { b = appendFlags(append(b, boot(s.boot)), s.newLabel, s.up) }
-		one(w.servers[j])
+		addServer := func(s server) { b = appendFlags(append(b, boot(s.boot)), s.newLabel, s.up) }
+		addServer(w.servers[j])
 		for _, r := range w.routers {
 			if r.report.boot != 0 {
-				one(r.report.servers[j])
+				addServer(r.report.servers[j])
 			}
 		}
 		for _, s := range w.states() {
-			if p, is := s.Permits[memberIDs[j]]; is {
+			if p, ok := s.Permits[memberIDs[j]]; ok {
 				b = append(b, boot(p.Boot[0]))
 			}
 		}
@@ -253,8 +253,8 @@
 // appendState adds what follows depends on of one state.
 func (w *world) appendState(b []byte, s *outage.State) []byte {
 	text := func(t string) { b = append(append(b, t...), 0) }
-	for i, thing := range memberIDs {
-		p, out := s.Permits[thing]
+	for i, member := range memberIDs {
+		p, out := s.Permits[member]
 		b = appendFlags(b, out, p.Serve)
 		if out {
 			text(string(p.Stage))
@@ -266,12 +266,12 @@
 				b = appendFlags(b, r.report.stateSeq >= p.Seq)
 			}
 		}
-		wish, is := s.PermitRequests[thing]
-		if b = appendFlags(b, is); is {
+		wish, ok := s.PermitRequests[member]
+		if b = appendFlags(b, ok); ok {
 			b = binary.AppendVarint(b, s.Seq-wish.Seq)
 			text(wish.WaitReason)
 		}
-		text(s.Lost[thing].Why)
+		text(s.Lost[member].Why)
 		text(s.Lost["router/"+routerNames[i]].Why)
 		_, known := s.Known[routerNames[i]]
 		b = appendFlags(b, known)
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -165,10 +165,10 @@
 }
 
 // endPermit notes the end of a permit.
-func (s *State) endPermit(thing, how, label string) {
-	p := s.Permits[thing]
-	delete(s.Permits, thing)
-	s.EndedPermits = append(s.EndedPermits, EndedPermit{ID: p.ID, Member: thing, For: p.For, End: how, Label: label, Seq: s.Seq})
+func (s *State) endPermit(member, outcome, label string) {
+	p := s.Permits[member]
+	delete(s.Permits, member)
+	s.EndedPermits = append(s.EndedPermits, EndedPermit{ID: p.ID, Member: member, For: p.For, End: outcome, Label: label, Seq: s.Seq})
 	if len(s.EndedPermits) > maxEndedPermits {
 		s.EndedPermits = slices.Clone(s.EndedPermits[len(s.EndedPermits)-maxEndedPermits:])
 	}
@@ -188,50 +188,50 @@
 
 // Drain notes an operator's wish to take a server out, or gives what is there: asked twice it is one wish. permitted tells
 // that it is out, or may be taken out now; what returns just now is neither: it is asked for once its permit has ended.
-func (s *State) Drain(thing, by string) (next *State, permitted bool) {
-	if p, is := s.permit(thing); is && p.Stage == Acknowledged && !p.Serve {
+func (s *State) Drain(member, by string) (next *State, permitted bool) {
+	if p, ok := s.permit(member); ok && p.Stage == Acknowledged && !p.Serve {
 		return nil, true
-	} else if is {
+	} else if ok {
 		return nil, false
 	}
 	if s != nil {
-		if _, is := s.PermitRequests[thing]; is {
+		if _, ok := s.PermitRequests[member]; ok {
 			return nil, false
 		}
 	}
 	next = s.clone()
 	next.Seq++
-	next.By, next.Why = by, thing+" is wished out"
-	next.PermitRequests[thing] = PermitRequest{Seq: next.Seq, By: by, WaitReason: "not looked at yet"}
+	next.By, next.Why = by, member+" is wished out"
+	next.PermitRequests[member] = PermitRequest{Seq: next.Seq, By: by, WaitReason: "not looked at yet"}
 	return next, false
 }
 
-func (s *State) permit(thing string) (Permit, bool) {
+func (s *State) permit(member string) (Permit, bool) {
 	if s == nil {
 		return Permit{}, false
 	}
-	p, is := s.Permits[thing]
-	return p, is
+	p, ok := s.Permits[member]
+	return p, ok
 }
 
 // Serve takes back a wish, or says that what was taken out by hand is to serve again as it is; nil: nothing was asked.
-func (s *State) Serve(thing, by string) *State {
+func (s *State) Serve(member, by string) *State {
 	if s == nil {
 		return nil
 	}
-	_, wished := s.PermitRequests[thing]
-	p, out := s.Permits[thing]
+	_, wished := s.PermitRequests[member]
+	p, out := s.Permits[member]
 	if !wished && (!out || p.Serve || p.For != ByHand) {
 		return nil
 	}
 	next := s.clone()
 	next.Seq++
-	next.By, next.Why = by, thing+" is to serve again"
-	delete(next.PermitRequests, thing)
-	delete(next.Leaving, thing)
+	next.By, next.Why = by, member+" is to serve again"
+	delete(next.PermitRequests, member)
+	delete(next.Leaving, member)
 	if out && p.For == ByHand {
 		p.Serve = true
-		next.Permits[thing] = p
+		next.Permits[member] = p
 	}
 	return next
 }
@@ -241,33 +241,33 @@
 
 // DeclareGone declares that a thing will not come back: its permit ends, and it is not counted any more. The caller answers
 // for its being down. nil: nothing is known of it.
-func (s *State) DeclareGone(thing, by string) *State {
+func (s *State) DeclareGone(member, by string) *State {
 	if s == nil {
 		return nil
 	}
 	next := s.clone()
 	next.Seq++
-	next.By, next.Why = by, thing+" is declared gone"
-	_, wished := next.PermitRequests[thing]
-	_, out := next.Permits[thing]
-	_, lost := next.Lost[thing]
-	kind, name := Split(thing)
+	next.By, next.Why = by, member+" is declared gone"
+	_, wished := next.PermitRequests[member]
+	_, out := next.Permits[member]
+	_, lost := next.Lost[member]
+	kind, name := Split(member)
 	known := kind == Router && next.Known[name] != KnownRouter{}
 	if !wished && !out && !lost && !known {
 		return nil
 	}
-	delete(next.PermitRequests, thing)
-	delete(next.Leaving, thing)
-	delete(next.Lost, thing)
+	delete(next.PermitRequests, member)
+	delete(next.Leaving, member)
+	delete(next.Lost, member)
 	if kind == Router {
 		delete(next.Known, name)
 	}
 	if out {
-		next.endPermit(thing, "gone", "")
+		next.endPermit(member, "gone", "")
 	}
 	if r := next.Release; r != nil {
 		for i := range r.Targets {
-			if t := &r.Targets[i]; ID(r.Kind, t.Name) == thing {
+			if t := &r.Targets[i]; ID(r.Kind, t.Name) == member {
 				t.State, t.Why, t.Gone = Blocked, "declared gone", true
 			}
 		}
@@ -280,6 +280,6 @@
 	if s == nil {
 		return KnownRouter{}, false
 	}
-	k, is := s.Known[name]
-	return k, is
+	k, ok := s.Known[name]
+	return k, ok
 }
--- a/internal/decide/outage/tally.go
+++ b/internal/decide/outage/tally.go
@@ -55,17 +55,17 @@
 }
 
 // add counts what some reports say of one server: so many of them, those heard, the last one.
-func (t *votes) add(s Observation, m Model, n, heard, last int) {
+func (t *votes) add(s Observation, m Model, n, awake, last int) {
 	t.listed += n
 	if s.Draining {
 		t.draining += n
 	}
 	if s.Probed {
-		t.probed += heard
+		t.probed += awake
 		if s.SilentMs == 0 {
-			t.answering += heard
+			t.answering += awake
 		} else if s.SilentMs >= m.LostMs {
-			t.silent += heard
+			t.silent += awake
 		}
 	}
 	t.addProcess(s, n, last)
@@ -79,37 +79,37 @@
 		most = max(most, len(r.Observed), len(r.Table))
 	}
 	index, tallies := make(map[string]int, most), make([]votes, 0, most)
-	at := func(id string) *votes {
-		i, is := index[id]
-		if !is {
+	votesFor := func(id string) *votes {
+		i, ok := index[id]
+		if !ok {
 			i = len(tallies)
 			index[id] = i
 			tallies = append(tallies, votes{})
 		}
 		return &tallies[i]
 	}
-	one := func(i int, id string, s Observation) {
-		heard := 1
+	addOne := func(i int, id string, s Observation) {
+		awake := 1
 		if reports[i].Stopped {
-			heard = 0
+			awake = 0
 		}
-		at(id).add(s, m, 1, heard, i)
+		votesFor(id).add(s, m, 1, awake, i)
 	}
-	var all []*sharedTable
-	known := map[uintptr]*sharedTable{}
+	var tables []*sharedTable
+	byPointer := map[uintptr]*sharedTable{}
 	for i, r := range reports {
 		if len(r.Table) == 0 {
 			for id, s := range r.Observed {
-				one(i, id, s)
+				addOne(i, id, s)
 			}
 			continue
 		}
 		p := reflect.ValueOf(r.Table).Pointer()
-		k := known[p]
+		k := byPointer[p]
 		if k == nil {
 			k = &sharedTable{table: r.Table, differing: map[string]bool{}}
-			known[p] = k
-			all = append(all, k)
+			byPointer[p] = k
+			tables = append(tables, k)
 		}
 		if k.reports = append(k.reports, i); !r.Stopped {
 			k.awake++
@@ -121,23 +121,23 @@
 			k.differing[id] = true
 		}
 	}
-	for _, k := range all {
+	for _, k := range tables {
 		for id, s := range k.table {
 			if !k.differing[id] {
-				at(id).add(s, m, len(k.reports), k.awake, k.reports[len(k.reports)-1])
+				votesFor(id).add(s, m, len(k.reports), k.awake, k.reports[len(k.reports)-1])
 			}
 		}
 		for id := range k.differing {
 			for _, i := range k.reports {
-				if s, is := reports[i].Observation(id); is {
-					one(i, id, s)
+				if s, ok := reports[i].Observation(id); ok {
+					addOne(i, id, s)
 				}
 			}
 		}
 	}
 	return len(tallies), func(yield func(string, *votes) bool) {
-		for id, at := range index {
-			if !yield(id, &tallies[at]) {
+		for id, i := range index {
+			if !yield(id, &tallies[i]) {
 				return
 			}
 		}
@@ -152,10 +152,10 @@
 
 func (f fleetStatus) totals() *fleetTotals {
 	s := &fleetTotals{site: map[string]int{}, role: map[string]int{}}
-	for _, one := range f.servers {
-		s.site[one.Site]++
-		s.role[one.Role]++
-		s.weight += one.Weight
+	for _, server := range f.servers {
+		s.site[server.Site]++
+		s.role[server.Role]++
+		s.weight += server.Weight
 	}
 	return s
 }
@@ -168,18 +168,18 @@
 }
 
 // outOfService counts what is out, once until the next permit is given.
-func (w *draft) outOfService() *outCounts {
-	if w.outCache != nil {
-		return w.outCache
+func (d *draft) outOfService() *outCounts {
+	if d.outCache != nil {
+		return d.outCache
 	}
 	g := &outCounts{site: map[string]int{}, role: map[string]int{}}
-	add := func(thing, site, role string, counts bool) {
-		kind, id := Split(thing)
+	add := func(member, site, role string, counted bool) {
+		kind, id := Split(member)
 		if kind == Server {
-			g.weight += w.fleet.servers[id].Weight
+			g.weight += d.fleet.servers[id].Weight
 		}
 		switch {
-		case !counts:
+		case !counted:
 		case kind == Server:
 			g.servers++
 			g.site[site]++
@@ -188,45 +188,45 @@
 			g.routers++
 		}
 	}
-	for thing, p := range w.Permits {
-		add(thing, p.Site, p.Role, w.broken != CountsReleasesOnly || p.For != ByHand)
+	for member, p := range d.Permits {
+		add(member, p.Site, p.Role, d.broken != CountsReleasesOnly || p.For != ByHand)
 	}
-	for thing, l := range w.Lost {
-		if _, both := w.Permits[thing]; !both {
-			add(thing, l.Site, l.Role, w.broken != CountsReleasesOnly)
+	for member, l := range d.Lost {
+		if _, permitted := d.Permits[member]; !permitted {
+			add(member, l.Site, l.Role, d.broken != CountsReleasesOnly)
 		}
 	}
-	w.outCache = g
+	d.outCache = g
 	return g
 }
 
 // reservedWeight is the weight of those that keep their places beside a thing, and are not counted as out.
-func (w *draft) reservedWeight(beside string) (weight float64) {
-	for thing := range w.Leaving {
-		_, out := w.Permits[thing]
-		if _, lost := w.Lost[thing]; !out && !lost && w.reserves(thing, beside) {
-			weight += w.fleet.servers[memberName(thing)].Weight
+func (d *draft) reservedWeight(other string) (weight float64) {
+	for member := range d.Leaving {
+		_, out := d.Permits[member]
+		if _, lost := d.Lost[member]; !out && !lost && d.reserves(member, other) {
+			weight += d.fleet.servers[memberName(member)].Weight
 		}
 	}
 	return weight
 }
 
 // oldestSeq is the oldest state that any router follows which is alive or goes on serving; below all where one has not reported.
-func (w *draft) oldestSeq() int64 {
-	if w.oldestCache != nil {
-		return *w.oldestCache
+func (d *draft) oldestSeq() int64 {
+	if d.oldestCache != nil {
+		return *d.oldestCache
 	}
 	seq := int64(math.MaxInt64)
-	for name, r := range w.view.Routers {
+	for name, r := range d.view.Routers {
 		if !r.Live && !r.ServesWithoutLease {
 			continue
 		}
-		if report := w.fleet.reported[name]; report.Boot == r.Boot {
+		if report := d.fleet.reported[name]; report.Boot == r.Boot {
 			seq = min(seq, report.StateSeq)
 		} else {
 			seq = math.MinInt64
 		}
 	}
-	w.oldestCache = &seq
+	d.oldestCache = &seq
 	return seq
 }
