--- a/internal/decide/outage/audit.go
+++ b/internal/decide/outage/audit.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Auditor follows the states of a store's history, one revision after the other, and names each rule that one breaks. It
-// counts anew, and asks no decider.
+// Auditor checks the states of a store's history, one revision after another, and reports each rule that a state breaks.
+// It counts anew and is independent of the deciders.
 type Auditor struct {
-	Model    func(version int64) (Model, bool) // of the policy's versions
+	Model    func(version int64) (Model, bool) // the model of a policy version
 	last     *State
-	endCount map[int64]int // by permit
+	endCount map[int64]int // by permit: how often it ended
 	granted  map[int64]bool
 	Faults   []string
-	// What was seen, for those who judge how much was tried.
+	// What was observed, as a measure of how much was exercised.
 	Permits, Ended, Halts, Lost int
 }
 
@@ -22,7 +22,7 @@
 	a.Faults = append(a.Faults, fmt.Sprintf("seq %d: ", s.Seq)+fmt.Sprintf(format, args...))
 }
 
-// StartFrom has the next state judged as the one after this one, which is not judged itself.
+// StartFrom sets the state before the first one to check. It is not checked itself.
 func (a *Auditor) StartFrom(s *State) {
 	a.last, a.endCount, a.granted = s, map[int64]int{}, map[int64]bool{}
 	if s == nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Check looks at the next state.
+// Check checks the next state.
 func (a *Auditor) Check(s *State) {
 	if a.endCount == nil {
 		a.endCount, a.granted = map[int64]int{}, map[int64]bool{}
@@ -62,17 +62,17 @@
 		}
 		a.Permits++
 		if a.granted[p.ID] {
-			a.report(s, "permit %d was given before", p.ID)
+			a.report(s, "permit %d was granted before", p.ID)
 		}
 		a.granted[p.ID] = true
 		if existed && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == was.ID }) {
-			a.report(s, "%s: permit %d stands in the place of %d, which has not ended", member, p.ID, was.ID)
+			a.report(s, "%s: permit %d replaced %d, which has not ended", member, p.ID, was.ID)
 		}
 		if s.Release != nil && s.Release.Phase == Halted {
-			a.report(s, "%s: permit %d was given while release %s is halted", member, p.ID, s.Release.Name)
+			a.report(s, "%s: permit %d was granted while release %s is halted", member, p.ID, s.Release.Name)
 		}
 		if p.For != ByHand && p.For != ForReload && (s.Release == nil || s.Release.Name != p.For) {
-			a.report(s, "%s: permit %d is for %s, which does not run", member, p.ID, p.For)
+			a.report(s, "%s: permit %d is for %s, which is not running", member, p.ID, p.For)
 		}
 	}
 	a.checkBudget(s, before, fresh, sites)
@@ -90,8 +90,7 @@
 	a.last = s
 }
 
-// checkCopyWaits looks at those that wait for copies: no longer than the policy has them wait, and not beside a permit or while nothing may be
-// let out.
+// checkCopyWaits checks that leaving servers have no permit and wait for at most copy_wait_ms.
 func (a *Auditor) checkCopyWaits(s *State) {
 	m, known := a.Model(s.Version)
 	for _, member := range slices.Sorted(maps.Keys(s.Leaving)) {
@@ -105,7 +104,7 @@
 	}
 }
 
-// checkBudget counts what is out in a state that gave permits of some kinds, at some sites.
+// checkBudget checks a state that granted permits to members of some kinds, at some sites, against the budget.
 func (a *Auditor) checkBudget(s, before *State, fresh map[Kind]bool, sites map[string]bool) {
 	m, known := a.Model(s.Version)
 	if !known {
@@ -126,7 +125,7 @@
 	}
 	for member, l := range s.Lost {
 		if _, both := s.Permits[member]; both {
-			a.report(s, "%s is counted as a loss beside its permit", member)
+			a.report(s, "%s is counted as lost and has a permit", member)
 			continue
 		}
 		add(member, l.Site)
@@ -144,7 +143,7 @@
 	}
 }
 
-// checkEnded looks at the permits that are gone.
+// checkEnded checks the permits that ended.
 func (a *Auditor) checkEnded(s, before *State) {
 	newly := map[int64]EndedPermit{}
 	for _, p := range s.EndedPermits {
@@ -163,9 +162,9 @@
 		end, ok := newly[p.ID]
 		switch {
 		case !ok:
-			a.report(s, "%s: permit %d is gone without an end", member, p.ID)
+			a.report(s, "%s: permit %d disappeared without a recorded end", member, p.ID)
 		case end.End == "back" && p.Stage != Returning && p.Stage != Acknowledged:
-			a.report(s, "%s: permit %d ended at stage %s: it was not seen back", member, p.ID, p.Stage)
+			a.report(s, "%s: permit %d ended at stage %s, before the member was seen back", member, p.ID, p.Stage)
 		case end.End == "back" && p.Stage == Acknowledged:
 			a.report(s, "%s: permit %d ended without a time in which it was seen back", member, p.ID)
 		}
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -10,44 +10,43 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a rule that a decider breaks on purpose, to prove that checkers detect it.
 type Fault string
 
-// The faults.
 const (
-	ExpiresPermits       Fault = "lapse"      // a permit ends once its thing has been out for long, whatever is seen
-	CountsReleasesOnly   Fault = "own-count"  // each router counts only what itself has given
-	NoFence              Fault = "no-fence"   // writes compare nothing (the carrier breaks it)
-	IgnoresHalt          Fault = "no-halt"    // a halt is not looked at
-	SkipsRollback        Fault = "forgets"    // the way back leaves out the target that was released last
-	SkipsAcknowledgement Fault = "not-clear"  // a thing may be stopped before all routers know that it is out
-	ExceedsBudget        Fault = "over-fills" // a permit is given past the budget by one
+	ExpiresPermits       Fault = "lapse"      // a permit ends after its member was out for lost_ms, without evidence
+	CountsReleasesOnly   Fault = "own-count"  // losses and permits by hand are not counted
+	NoFence              Fault = "no-fence"   // writes are not fenced by revision and registration (implemented by the caller)
+	IgnoresHalt          Fault = "no-halt"    // a halted release keeps getting permits
+	SkipsRollback        Fault = "forgets"    // a rollback leaves out a target
+	SkipsAcknowledgement Fault = "not-clear"  // a member may be stopped before all routers acknowledged its permit
+	ExceedsBudget        Fault = "over-fills" // permits exceed the budget by one
 	WaitsForever         Fault = "waits-on"   // the wait for copies never ends
-	RisesAtOnce          Fault = "rises-once" // the number that follows room rises at once
-	IgnoresBounds        Fault = "over-wall"  // it has no walls
+	RisesAtOnce          Fault = "rises-once" // the headroom limit rises without its delay
+	IgnoresBounds        Fault = "over-wall"  // the headroom limit ignores its bounds
 )
 
-// Decider comes to states. Each router keeps one and steps it alike; whose turn it is writes.
+// Decider computes new states. Each router runs one on the same input, and the router whose turn it is writes.
 type Decider struct {
 	Me     string
 	Broken Fault
 
 	ages    turn.Stood
 	due     turn.Due
-	written struct { // the state that it gave last, and when: its times were right then
+	written struct { // the last state it returned and when, which is when its durations were exact
 		seq int64
 		at  time.Duration
 	}
 }
 
-// turnDelay is how much later each next router writes a state that the one before it should have written.
+// turnDelay is how much later each following router writes a state that the router before it did not write.
 const turnDelay = 250 * time.Millisecond
 
-// stateRecord is the state's among the records whose age is kept.
+// stateRecord is the key of the state among the records whose ages are tracked.
 const stateRecord = "\x00state"
 
-// Next gives the state that should take the place of the last, or nil while that may stand, another router's turn is before
-// ours, or the last is of a newer format than this program's.
+// Next returns the state that should replace the last one. It returns nil if nothing changed, if it is another router's
+// turn, if too few routers report, or if the last state has a newer format than this program's.
 func (d *Decider) Next(v View, now time.Duration) *State {
 	if !v.Model.WithDefaults().On() || v.Last != nil && v.Last.Format > Format {
 		return nil
@@ -63,7 +62,7 @@
 	}
 	age := func() time.Duration {
 		passed := d.ages.For(stateRecord, rev, now)
-		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // it stood from before it was read
+		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // its age counts from before it was read back
 			passed = max(passed, now-d.written.at)
 		}
 		return passed
@@ -82,20 +81,21 @@
 	return result.Next
 }
 
-// Ages tell for how long the state and a router's report have stood as they are, as far as a decider saw; never longer than the truth.
+// Ages returns the observed age of the state and of a router's report. An observed age is never longer than the real
+// one.
 type Ages struct {
 	State  func() time.Duration
 	Report func(router string, rev int64) time.Duration
 }
 
-// Step is what a decider makes of a view.
+// Step is the result of one decision.
 type Step struct {
-	Next    *State // nil: the last may stand
+	Next    *State // nil: the last state stays
 	Quorum  bool   // more than half of the live routers report, so Next may be written
 	routers []string
 }
 
-// Step makes a step without regard to whose turn it is; it needs no memory but the ages.
+// Step computes a decision regardless of whose turn it is. It keeps no memory except the ages.
 func (d *Decider) Step(v View, ages Ages) Step {
 	m := v.Model.WithDefaults()
 	f := aggregate(v, m, ages.Report)
@@ -122,7 +122,7 @@
 	return out
 }
 
-// addElapsed adds to all times what has passed since the state was written, as far as was seen.
+// addElapsed adds the observed time since the state was written to all running durations.
 func (s *State) addElapsed(passed float64) {
 	for member, p := range s.Permits {
 		p.OutMs += passed
@@ -148,7 +148,7 @@
 	}
 }
 
-// draft is one step of a decider.
+// draft is the next state while one step computes it.
 type draft struct {
 	*State
 	view        View
@@ -156,17 +156,17 @@
 	fleet       fleetStatus
 	broken      Fault
 	self        string
-	log         []string        // what has changed
-	copyWaiters map[string]bool // who has its turn and waits for copies
+	log         []string        // descriptions of what changed
+	copyWaiters map[string]bool // servers that would get a permit and wait for copies
 
-	totals      *fleetTotals // these are counted when they are first asked for
+	totals      *fleetTotals // computed on first use
 	outCache    *outCounts
 	oldestCache *int64
 }
 
 func (d *draft) note(format string, args ...any) { d.log = append(d.log, fmt.Sprintf(format, args...)) }
 
-// updateRouters keeps who is known: a router that was ever registered is counted with until it is declared gone.
+// updateRouters records every router that was ever registered. It counts until it is declared gone.
 func (d *draft) updateRouters() {
 	for _, name := range slices.Sorted(maps.Keys(d.view.Routers)) {
 		r := d.view.Routers[name]
@@ -185,7 +185,7 @@
 	}
 }
 
-// updateLosses agrees on what is out without a permit.
+// updateLosses determines the members that are out without a permit.
 func (d *draft) updateLosses() {
 	lost := map[string]Loss{}
 	for id, s := range d.fleet.servers {
@@ -225,7 +225,7 @@
 	d.Lost = lost
 }
 
-// liveRouters is how many routers are registered: less than half of them decide nothing.
+// liveRouters counts the registered routers. A decision needs reports from more than half of them.
 func (d *draft) liveRouters() (n int) {
 	for _, r := range d.view.Routers {
 		if r.Live {
@@ -235,10 +235,10 @@
 	return n
 }
 
-// acknowledged tells whether every router that is alive follows a state from a number on.
+// acknowledged reports whether every live router follows the state seq or a later one.
 func (d *draft) acknowledged(seq int64) bool { return d.oldestSeq() >= seq }
 
-// updatePermits moves updatePermits on by what is seen of their things.
+// updatePermits advances each permit by what is observed of its member.
 func (d *draft) updatePermits() {
 	for _, member := range slices.Sorted(maps.Keys(d.Permits)) {
 		p, oldStage := d.Permits[member], d.Permits[member].Stage
@@ -268,7 +268,7 @@
 			p.Stage, p.BackMs = Returning, 0
 		case p.Stage == Granted && p.Serve && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Returning && !returned: // routers send to it by now: they are told anew
+		case p.Stage == Returning && !returned: // routers send to it again, so they must acknowledge anew
 			p.Stage, p.Seq = Granted, d.Seq
 		}
 		d.Permits[member] = p
@@ -295,7 +295,7 @@
 	}
 }
 
-// updateBudget counts what is out against the budget.
+// updateBudget counts the members that are out against the budget.
 func (d *draft) updateBudget() {
 	b := Budget{Servers: len(d.fleet.servers), Routers: len(d.Known)}
 	b.ServersLimit, b.RoutersLimit = limit(d.serverBound(d.model), b.Servers), limit(d.model.Routers, b.Routers)
@@ -331,16 +331,16 @@
 	}
 }
 
-// budgetChanged tells whether what was budgetChanged differs in what is worth writing by itself.
+// budgetChanged reports whether the counts changed in a way that has to be written.
 func (d *draft) budgetChanged(previous Budget) bool {
 	return previous.ServersOut != d.Budget.ServersOut || previous.RoutersOut != d.Budget.RoutersOut || previous.ServersLimit != d.Budget.ServersLimit || previous.RoutersLimit != d.Budget.RoutersLimit
 }
 
-// blockReason tells why one more thing may not be taken out; "": it may.
+// blockReason returns why a member may not be taken out, or "" if it may.
 func (d *draft) blockReason(member, site, role string) string {
 	kind, _ := Split(member)
 	extra := 0
-	if l, lost := d.Lost[member]; lost { // it counts already, and a permit for it changes nothing but who brings it back
+	if l, lost := d.Lost[member]; lost { // it counts as out already; the permit only determines who brings it back
 		if l.Why == "lost site" {
 			return "its site is lost"
 		}
--- a/internal/decide/outage/evidence_test.go
+++ b/internal/decide/outage/evidence_test.go
@@ -7,12 +7,13 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// The wave after the canary waits until enough was seen of the new version, for its time; a way back does not.
+// The wave after the canary waits, for a limited time, until enough requests of the new version were seen. A rollback
+// does not wait.
 func TestWaveWaitsForEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		phase  outage.Phase
-		seen   int64 // by three routers each
+		seen   int64 // by each of three routers
 		paused float64
 		starts bool
 		says   string
@@ -36,10 +37,10 @@
 		for i := range v.Reports {
 			v.Reports[i].Release, v.Reports[i].Counts = "up-1", outage.Counts{Old: outage.Tally{N: 500}, New: outage.Tally{N: c.seen}}
 		}
-		next := stepAfterTwoSeconds(v) // the state has stood for 2 s, the pause is 1 s
+		next := stepAfterTwoSeconds(v) // the state is 2 s old, the pause is 1 s
 		starts := next != nil && !next.Release.Paused
 		if starts != c.starts || starts && !strings.Contains(next.Why, c.says) {
-			t.Errorf("%s: begins %v, %+v", c.name, starts, next)
+			t.Errorf("%s: starts %v, %+v", c.name, starts, next)
 		}
 	}
 }
--- a/internal/decide/outage/facts.go
+++ b/internal/decide/outage/facts.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// Report is what one router has to say: what it sees of each server, and what it counted for the release that runs.
+// Report is one router's report: what it observes of each server, and what it counted for the current release.
 type Report struct {
 	Router   string                 `json:"router"`
 	Boot     string                 `json:"boot"`
-	StateSeq int64                  `json:"seen"` // Seq of the state that it follows
+	StateSeq int64                  `json:"seen"` // Seq of the state that the router follows
 	Observed map[string]Observation `json:"sees"` // by server
-	// DrainedPermit is the permit for which this router itself has ended what it had, as a target.
+	// DrainedPermit is the permit under which this router, as the member to go out, has finished its requests.
 	DrainedPermit int64 `json:"empty,omitempty"`
-	// Applied is the revision of the store that its own member has, 0 where it hosts none.
+	// Applied is the revision that the router's own store member has applied; 0 if it hosts none.
 	Applied     int64 `json:"applied,omitempty"`
 	StoreMember bool  `json:"hosts,omitempty"`
-	// Release is the run of a release that Counts is about.
+	// Release is the run of the release that Counts belongs to.
 	Release string `json:"release,omitempty"`
 	Counts  Counts `json:"counts,omitzero"`
-	// Copies says that this router takes part in copies of openings.
+	// Copies is set if this router takes part in copying KV cache prefixes.
 	Copies  bool `json:"copies,omitempty"`
-	Stopped bool `json:"stopped,omitempty"` // it was halted since the last report: its silences are its own
-	// Open is how many requests this router has, also those that wait for a server, where the budget follows room.
+	Stopped bool `json:"stopped,omitempty"` // suspended since the last report: what it measured as silence may be its own
+	// Open is the number of requests this router holds, including those waiting for a server. It is set where the limit
+	// follows headroom.
 	Open int   `json:"open,omitempty"`
 	Rev  int64 `json:"-"`
-	// AgeMs is how much older it is than its revision, where it was gathered with others before it was written. Table has what it
-	// sees besides Sees, shared with the reports that it was gathered with; Lacks are servers of it that it does not have.
+	// AgeMs is added to the age of the report's revision if the report was gathered with others before it was written.
+	// Table holds observations besides Observed, shared with the reports it was gathered with. Absent lists servers of
+	// Table that the router does not have.
 	AgeMs  float64                `json:"-"`
 	Table  map[string]Observation `json:"-"`
 	Absent []string               `json:"-"`
 }
 
-// Observation gives what a router sees of a server.
+// Observation returns what the router observes of a server.
 func (r Report) Observation(id string) (Observation, bool) {
 	s, ok := r.Observed[id]
 	if !ok && len(r.Table) > 0 && !slices.Contains(r.Absent, id) {
@@ -43,7 +45,7 @@
 	return s, ok
 }
 
-// All gives all servers that a router sees.
+// All iterates over the servers that the router observes.
 func (r Report) All(yield func(string, Observation) bool) {
 	for id, o := range r.Observed {
 		if !yield(id, o) {
@@ -57,67 +59,67 @@
 	}
 }
 
-// Observation is what a router sees of a server.
+// Observation is what a router observes of a server.
 type Observation struct {
 	Site     string  `json:"site,omitempty"`
 	Role     string  `json:"role,omitempty"`
 	Weight   float64 `json:"weight,omitempty"`
-	Draining bool    `json:"drains,omitempty"` // the list says so, by somebody's hand
-	Boot     string  `json:"boot,omitempty"`   // its last start, as the list has it
+	Draining bool    `json:"drains,omitempty"` // marked as draining in the member list
+	Boot     string  `json:"boot,omitempty"`   // its last start, according to the member list
 	Label    string  `json:"label,omitempty"`
-	// SilentMs is since when it has not answered, 0 while it does; Asked tells whether it was ever asked.
+	// SilentMs is how long the server has not answered, 0 while it does. Probed reports whether it was ever contacted.
 	SilentMs float64 `json:"silent_ms,omitempty"`
 	Probed   bool    `json:"asked,omitempty"`
-	Busy     int     `json:"busy,omitempty"` // requests that this router has there, where the budget follows room
+	Busy     int     `json:"busy,omitempty"` // requests this router has there, where the limit follows headroom
 }
 
 // Registration is a router's registration in the fleet's policy.
 type Registration struct {
 	Boot, Label        string
-	Live               bool // its lease stands
-	ServesWithoutLease bool // it goes on serving without its lease, so it must be heard before anything is clear
+	Live               bool // its lease is valid
+	ServesWithoutLease bool // it keeps serving without its lease, so its acknowledgement is still required
 }
 
-// View is what is known at one revision of the store.
+// View is the input of a decision: what is known at one revision of the store.
 type View struct {
 	Model   Model
 	Version int64
-	// VersionRev is the store's revision of that version: a decision is written only while it is the current one.
+	// VersionRev is the store revision of that version. A decision is written only while the version is current.
 	VersionRev int64
 	Last       *State
 	Reports    []Report
 	Routers    map[string]Registration
-	// Sites are those that the plan of sites says are lost.
+	// LostSites are the sites that the site plan declares lost.
 	LostSites map[string]bool
-	// CachedTokens is what servers hold for their regions besides, in prompt tokens; those that are not named hold nothing.
+	// CachedTokens is the prompt tokens that servers hold in cache for their regions; a missing server holds none.
 	CachedTokens map[string]float64
-	// CopiesDone is the last turn of a server for which nothing that pays is to be copied from it any more, by server.
+	// CopiesDone is, by server, the latest turn for which no copy worth making remains.
 	CopiesDone map[string]int64
 }
 
-// serverStatus is what most routers see of a server.
+// serverStatus is what most routers agree on about a server.
 type serverStatus struct {
 	Observation
-	answering bool // to most routers that asked
-	silent    bool // to most, for as long as the model says
+	answering bool // to most routers that contacted it
+	silent    bool // to most of those, for at least lost_ms
 	draining  bool
-	agreed    bool // most that know it say the same start and label
+	agreed    bool // most routers that list it report the same boot and label
 }
 
-// fleetStatus are what is agreed on at one look.
+// fleetStatus is the aggregate of all reports at one revision.
 type fleetStatus struct {
 	servers  map[string]serverStatus
-	fresh    []Report // believed now, of routers whose registration stands
-	routers  []string // of their routers
-	storeLag string   // why a router that hosts a member of the store may not be let out, if one may not
+	fresh    []Report // recent enough, from routers with a live registration
+	routers  []string // names of the fresh reports' routers
+	storeLag string   // why no router that hosts a store member may be out; "" if one may
 	reported map[string]Report
 	copies   bool // some router takes part in copies
 }
 
-// freshPeriods is for how many periods a report is believed.
+// freshPeriods is the number of report periods for which a report is used.
 const freshPeriods = 4
 
-// aggregate puts together what the routers see: of each thing what most of those say that are alive and report.
+// aggregate takes, for each server, the majority of the fresh reports from live routers.
 func aggregate(v View, m Model, age func(router string, rev int64) time.Duration) fleetStatus {
 	f := fleetStatus{reported: make(map[string]Report, len(v.Reports))}
 	for _, r := range v.Reports {
@@ -133,7 +135,7 @@
 	n, tallies := countVotes(f.fresh, m)
 	f.servers = make(map[string]serverStatus, n)
 	for id, t := range tallies {
-		if 2*t.listed <= len(f.fresh) && len(f.fresh) > 1 { // most do not have it in their lists: it was taken off
+		if 2*t.listed <= len(f.fresh) && len(f.fresh) > 1 { // most routers do not list it: it was removed
 			continue
 		}
 		process := t.majority()
@@ -146,7 +148,7 @@
 	return f
 }
 
-// storeLag tells why no router that hosts a member of the store may be let out; "": one may.
+// storeLag returns why no router that hosts a store member may be taken out; "" if one may.
 func (v View) storeLag(m Model, f fleetStatus) string {
 	newest := int64(0)
 	for _, r := range f.fresh {
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -12,8 +12,8 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// fleet is a fleet in virtual time: servers, routers that report and decide, a store of one state, and a deployer that
-// follows permits.
+// fleet simulates a fleet in virtual time: servers, routers that report and decide, a store with one state, and a
+// deployer that acts on permits.
 type fleet struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -23,15 +23,15 @@
 	state       *outage.State
 	rev         int64
 	audit       outage.Auditor
-	deployer    bool // it works
+	deployer    bool // the deployer is working
 	badLabel    string
 	counts      map[string]outage.Counts // by run
-	failureRate float64                  // part of requests that the bad label fails
-	maxDown     int                      // servers that were down at once by the deployer's hand
+	failureRate float64                  // share of requests that the bad label fails
+	maxDown     int                      // most servers that were down at once
 	waits       outage.CopyWaits
 	copies      bool             // routers take part in copies
-	copiesDone  map[string]int64 // what is said of servers that leave
-	lostSites   map[string]bool  // sites
+	copiesDone  map[string]int64 // View.CopiesDone
+	lostSites   map[string]bool  // lost sites
 }
 
 type server struct {
@@ -45,7 +45,7 @@
 	label, boot   string
 	up, stopped   bool
 	boots         int
-	lastReport    time.Duration // of its last report
+	lastReport    time.Duration // time of its last report
 	stateSeq      int64
 	drainedPermit int64
 	decider       *outage.Decider
@@ -97,7 +97,7 @@
 	return f.state.Release
 }
 
-// write puts a state in the store as JSON has it, and has the history looked at.
+// write stores a state, encoded and decoded as JSON, and has the checkers examine it.
 func (f *fleet) write(next *outage.State) {
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -113,7 +113,7 @@
 	f.waits.Check(f.state, float64(f.now/time.Millisecond))
 }
 
-// step has half a second pass.
+// step advances the time by half a second.
 func (f *fleet) step() {
 	f.now += 500 * time.Millisecond
 	f.waits.Advance(float64(f.now / time.Millisecond))
@@ -179,7 +179,7 @@
 	f.maxDown = max(f.maxDown, down)
 }
 
-// deploy stops what is clear and starts it with the label that its permit names, some time later.
+// deploy stops members with an acknowledged permit and starts them some time later with the permit's label.
 func (f *fleet) deploy() {
 	for _, member := range slices.Sorted(maps.Keys(f.state.Permits)) {
 		p := f.state.Permits[member]
@@ -221,7 +221,7 @@
 	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, lastReport: f.now, rev: f.rev, decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
 }
 
-// applyOrder has an operator change the state; it tells what was refused.
+// applyOrder has an operator change the state and returns the refusal, if any.
 func (f *fleet) applyOrder(change func(v outage.View) (*outage.State, error)) error {
 	next, err := change(f.view())
 	if next != nil && err == nil {
--- a/internal/decide/outage/give.go
+++ b/internal/decide/outage/give.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// grant gives a grant; what it is of is known to be there.
+// grant records a permit for a member that is known to exist.
 func (d *draft) grant(member, purpose, to string) {
 	kind, n := Split(member)
 	d.LastPermitID++
@@ -26,11 +26,11 @@
 	d.updateBudget()
 }
 
-// reasonNoMajority is why nothing is done with a server whose list is behind at some routers: what one of them says of its start or
-// label may be over by now.
+// reasonNoMajority is the reason to wait for a server on which routers' lists disagree: some lists are outdated, and the
+// boot or label they report may no longer be current.
 const reasonNoMajority = "most routers do not yet have the same start and label of it"
 
-// grantPermits gives permits: to wishes by hand first, in their order, then to the release, to reloads with what is left.
+// grantPermits grants permits to requests by hand first, in their order, then to the release, then to reloads.
 func (d *draft) grantPermits() {
 	halted := d.Release != nil && d.Release.Phase == Halted && d.broken != IgnoresHalt
 	pending := slices.SortedFunc(maps.Keys(d.PermitRequests), func(a, b string) int { return d.PermitRequests[a].compare(d.PermitRequests[b]) })
@@ -89,7 +89,8 @@
 	}
 }
 
-// evidenceShortfall tells whether too little was seen of the new version for the next wave, and how much; "" if it was enough.
+// evidenceShortfall describes the missing requests if too few of the new version were seen for the next wave. It returns
+// "" if there were enough.
 func (d *draft) evidenceShortfall(r *Release) string {
 	if d.model.Halt.Seen <= 0 || r.Phase != Running || r.Kind != Server {
 		return ""
@@ -100,7 +101,7 @@
 	return ""
 }
 
-// runWave lets targets of the runWave out while there is room.
+// runWave grants permits to targets of the current wave while the budget allows.
 func (d *draft) runWave(r *Release) {
 	if r.Paused {
 		if r.PauseMs < d.model.PauseMs {
@@ -117,7 +118,7 @@
 		r.WaveLeft = r.waveSize()
 		d.note("wave %d of release %s begins", r.Wave+1, r.Name)
 	}
-	waiting := 0 // that have their turn in this wave
+	waiting := 0 // targets of this wave that wait for copies
 	for _, i := range d.targetOrder(r) {
 		t := &r.Targets[i]
 		if r.WaveLeft == waiting {
@@ -127,7 +128,7 @@
 			continue
 		}
 		member := ID(r.Kind, t.Name)
-		if p, out := d.Permits[member]; out { // by hand: what brings it back may as well bring the label
+		if p, out := d.Permits[member]; out { // out by hand: it can return with the new label
 			if !p.Serve && p.Stage != Returning {
 				p.For, p.To, p.OutMs = r.Name, r.wantedLabel(*t), 0
 				d.Permits[member] = p
@@ -173,7 +174,7 @@
 	}
 }
 
-// targetReturned notes for the release that a thing's permit has ended with a label.
+// targetReturned records for the release that a target's permit has ended with a label.
 func (d *draft) targetReturned(member, label string) {
 	r := d.Release
 	if r == nil {
@@ -188,7 +189,7 @@
 		case label == want:
 			r.Reached++
 			t.State, t.Why, t.Order = Reached, "", r.Reached
-		case r.Phase == RollingBack || r.HaltedFrom == RollingBack && r.Phase == Halted: // it was on its way when the way back began
+		case r.Phase == RollingBack || r.HaltedFrom == RollingBack && r.Phase == Halted: // it was out when the rollback began
 			r.Reached++
 			t.State, t.Why, t.Order = Waiting, "", r.Reached
 			if len(r.Targets) > 1 && d.broken == SkipsRollback {
@@ -211,7 +212,7 @@
 	d.note("release %s is halted: %s", r.Name, why)
 }
 
-// updateRelease looks at the updateRelease: whether it must be halted, whether a wave or all of it is over.
+// updateRelease checks whether the release must be halted, and whether a wave or the whole release is finished.
 func (d *draft) updateRelease() {
 	r := d.Release
 	if r == nil || r.Phase.Finished() {
@@ -258,7 +259,7 @@
 	}
 }
 
-// checkEvidence halts a release that does harm, or that meets with what it can't go on in.
+// checkEvidence halts the release if its new version does harm, or if the fleet lost too much for it to continue.
 func (d *draft) checkEvidence(r *Release) {
 	if r.Phase != Running {
 		return
--- a/internal/decide/outage/hindsight.go
+++ b/internal/decide/outage/hindsight.go
@@ -9,43 +9,45 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Hindsight counts the halts that a new version's own counts gave, by what was seen of the version afterwards. Halts for
-// other reasons (losses, a target that did not return, an operator) say nothing of a version and are not counted.
+// Hindsight counts the halts caused by a new version's own counts, by what was observed of the version afterwards. Halts
+// for other reasons (losses, a target that did not return, an operator) say nothing about a version and are not counted.
 type Hindsight struct {
 	Halts turn.Judged `json:"halts"`
-	// Recent are the last ones that were settled, the newest last.
+	// Recent holds the last settled halts, newest last.
 	Recent []SettledHalt `json:"last,omitempty"`
 }
 
-// SettledHalt is one halt that was settled.
+// SettledHalt is a halt whose verdict is known.
 type SettledHalt struct {
 	Release string       `json:"release"`
-	Seq     int64        `json:"seq"` // of the state that halted it
+	Seq     int64        `json:"seq"` // of the state that halted the release
 	Verdict turn.Verdict `json:"was"`
 	Why     string       `json:"why"`
 }
 
-// maxSettledHalts is how many of them a state keeps.
+// maxSettledHalts limits the settled halts kept in a state.
 const maxSettledHalts = 8
 
-// UnsettledHalt is a halt that is not settled yet. Whether the version was worse is asked of what is counted after the halt alone,
-// so what led to the halt is not taken for its own proof.
+// UnsettledHalt is a halt whose verdict is open. The verdict uses only counts from after the halt, so that the evidence
+// for the halt is not used to confirm it.
 type UnsettledHalt struct {
-	Seq      int64        `json:"seq"`  // of the state that halted
-	Measure  int          `json:"what"` // of the measures, the one that halted
+	Seq      int64        `json:"seq"`  // of the state that halted the release
+	Measure  int          `json:"what"` // index of the measure that caused the halt
 	Run      string       `json:"run"`
-	Baseline Counts       `json:"from"`  // what this run had counted by then
-	Looks    int          `json:"looks"` // at what was counted since, at so many requests, twice as many, and so on
+	Baseline Counts       `json:"from"`  // counts of this run at the halt
+	Looks    int          `json:"looks"` // looks at the counts since; at so many requests, twice as many, and so on
 	Verdict  turn.Verdict `json:"says,omitempty"`
 	Requests int64        `json:"n,omitempty"` // requests of the new version at the last look
 }
 
-// Counted tells whether what its targets serve is counted: while it runs, and after a halt for what is said of that afterwards.
+// Counted reports whether requests served by the release's targets are counted: while it runs, and after a halt for the
+// verdict on that.
 func (r *Release) Counted() bool {
 	return r.Phase == Running || r.Phase == Halted && r.HaltedFrom == Running
 }
 
-// openHalt notes a halt by a version's own counts. One that follows on a resumed release says that the one before was right.
+// openHalt records a halt caused by a version's own counts. If the release was resumed after an earlier halt, that one
+// is settled as right.
 func (d *draft) openHalt(c Counts) {
 	r := d.Release
 	if r == nil || r.Phase != Halted || r.HaltSeq != d.Seq {
@@ -63,7 +65,7 @@
 	r.Unsettled = &unsettled
 }
 
-// settleHalt settles the halt that is open, if one is.
+// settleHalt settles the open halt, if there is one.
 func (d *draft) settleHalt(v turn.Verdict, why string) {
 	r := d.Release
 	if r == nil || r.Unsettled == nil {
@@ -78,7 +80,7 @@
 	r.Unsettled = nil
 }
 
-// updateHindsight looks at the halt that is open: at what is counted while the release stands, and at what became of it.
+// updateHindsight examines the open halt: the counts since, and what became of the release.
 func (d *draft) updateHindsight() {
 	r := d.Release
 	if r == nil || r.Unsettled == nil {
@@ -87,7 +89,7 @@
 	unsettled := *r.Unsettled
 	switch {
 	case r.Phase == Halted && r.Counted():
-		if unsettled.Run != r.Run { // it was resumed, and counts from nothing since
+		if unsettled.Run != r.Run { // it was resumed, and counts from zero since
 			unsettled.Run, unsettled.Baseline, unsettled.Looks = r.Run, Counts{}, 0
 		}
 		_, raw := d.counts(r)
@@ -108,11 +110,12 @@
 	}
 }
 
-// clearLevel is the chance below which what was seen after a halt clears a version.
+// clearLevel is the probability below which the counts after a halt clear a version.
 const clearLevel = 0.05
 
-// verdict says what a version was by what was counted after its halt: worse by the test that halts; no worse, where as little
-// of what halted it would hardly be seen of one twice as bad as is put up with; or neither.
+// verdict judges a version by its counts after the halt. It is right if the test that halts finds the version worse. It
+// is wrong if so few events of the measure that halted it would be unlikely for a version twice as bad as tolerated.
+// Otherwise it is empty.
 func (h Halt) verdict(c Counts, measure, look int) turn.Verdict {
 	if h.judge(c, look) != "" {
 		return turn.Right
@@ -124,27 +127,29 @@
 	return ""
 }
 
-// measure is how many of what befell both versions were the new one's, and how many are expected if it is as bad as is put up with.
+// measure is the number of events of one kind for both versions, and the number expected of the new one if it is as bad
+// as tolerated.
 type measure struct {
 	old, new int64
 	expected float64
 }
 
-// measures are of failures, failures in calm stretches, late answers and slow first tokens, as judge has them.
+// measures returns failures, failures in calm stretches, late answers and slow first tokens, in the order that judge
+// uses.
 func (c Counts) measures() [4]measure {
 	oldSlow, newSlow, expectSlow := c.slowFirstTokens()
 	return [4]measure{{c.Old.Failed, max(c.New.Failed-c.Unpaired.Failed, 0), c.Expected.Failed}, {c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
 		{c.Old.Late, max(c.New.Late-c.Unpaired.Late, 0), c.Expected.Late}, {oldSlow, max(newSlow, 0), expectSlow}}
 }
 
-// binomial is how many of all are the new version's, if it is so many times as bad as is put up with.
+// binomial is the distribution of the new version's share of all events, if it is times as bad as tolerated.
 func (m measure) binomial(times float64) distuv.Binomial {
 	all := float64(m.old + m.new)
 	p := min(m.expected/max(all, 1), 1)
 	return distuv.Binomial{N: all, P: times * p / (times*p + 1 - p)}
 }
 
-// pValue is that of as many or more of the new version's, if it is as bad as is put up with.
+// pValue is the probability of as many events of the new version or more, if it is as bad as tolerated.
 func (m measure) pValue() float64 {
 	if m.new == 0 {
 		return 1
@@ -152,8 +157,8 @@
 	return 1 - m.binomial(1).CDF(float64(m.new-1))
 }
 
-// counts are what all reports say of a run, also those of routers that are gone: what they saw was so. raw are without what is expected
-// of routers that do not say so.
+// counts sums all reports of a run, including those of routers that are gone, which stay valid. raw leaves out the
+// expected events of routers that do not report them.
 func (d *draft) counts(r *Release) (c, raw Counts) {
 	for _, report := range d.view.Reports {
 		if report.Release == r.Run {
@@ -164,7 +169,8 @@
 	return c, raw
 }
 
-// since is what was counted after an earlier count; a router that started anew counts from nothing, so it may be too little.
+// since returns what was counted after an earlier count. A restarted router counts from zero, so the result may be too
+// low.
 func (c Counts) since(earlier Counts) Counts {
 	out := Counts{Old: c.Old.minus(earlier.Old), New: c.New.minus(earlier.New), Unpaired: c.Unpaired.minus(earlier.Unpaired)}
 	e, o := c.Expected, earlier.Expected
@@ -184,12 +190,13 @@
 	return t
 }
 
-// checkHindsight looks at the count of halts that were settled: it goes on, and a halt in doubt is among those that are open.
+// checkHindsight checks that the count of halts continues from the last state, and that an unsettled halt is among the
+// open ones.
 func (a *Auditor) checkHindsight(s, before *State) {
 	if finding := s.Hindsight.Halts.Follows(before.Hindsight.Halts); finding != "" {
 		a.report(s, "halts in hindsight: %s", finding)
 	}
 	if r := s.Release; r != nil && r.Unsettled != nil && s.Hindsight.Halts.Open == 0 {
-		a.report(s, "the halt at %d is in doubt, and none is open", r.Unsettled.Seq)
+		a.report(s, "the halt at %d is unsettled, but no halt is counted as open", r.Unsettled.Seq)
 	}
 }
--- a/internal/decide/outage/leave.go
+++ b/internal/decide/outage/leave.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Leaving is a server that has its turn and whose permit waits for copies of what it holds.
+// Leaving is a server that would get a permit now, and waits until its KV cache has been copied.
 type Leaving struct {
-	Turn   int64   `json:"turn"`    // Seq of the state that named it: what is said of an older turn is not about this one
-	WaitMs float64 `json:"wait_ms"` // since then
+	Turn   int64   `json:"turn"`    // Seq of the state that put it here; reports about an earlier turn do not apply
+	WaitMs float64 `json:"wait_ms"` // since Turn
 	Site   string  `json:"site,omitempty"`
 	Role   string  `json:"role,omitempty"`
 }
 
-// reasonCopying is why something waits that has its turn.
+// reasonCopying is the reason to wait for a server whose KV cache is being copied.
 const reasonCopying = "copies of what it holds are made first"
 
-// readyForPermit tells whether a thing that has its turn and for which there is room gets its permit now. A server is named as leaving
-// first, until whoever decides on copies has said that nothing that pays is under way from it any more, or for copy_wait_ms. Who
-// is lost already, or whose fleet makes no copies, is not waited for.
+// readyForPermit reports whether a member that the budget allows to go out gets its permit now. A server is listed as
+// leaving first. It stays there until the copy decider reports that no copy worth making remains, for at most
+// copy_wait_ms. There is no wait for a lost server, or in a fleet that makes no copies.
 func (d *draft) readyForPermit(member string) bool {
 	kind, n := Split(member)
 	_, lost := d.Lost[member]
@@ -41,7 +41,7 @@
 	return false
 }
 
-// copyWaitEnd tells why a server's wait for copies is copyWaitEnd, or "".
+// copyWaitEnd returns why a server's wait for copies has ended, or "" if it has not.
 func (d *draft) copyWaitEnd(server string, entry Leaving, named bool) string {
 	switch {
 	case !named || d.broken == WaitsForever:
@@ -53,8 +53,8 @@
 	return ""
 }
 
-// dropStaleLeaving ends the waits of those that do not have their turn any more: their wish was withdrawn or met, a release was halted, or
-// losses have taken the room.
+// dropStaleLeaving ends the waits of servers that are no longer next: their request was withdrawn or granted, the
+// release was halted, or losses used up the budget.
 func (d *draft) dropStaleLeaving() {
 	for _, member := range slices.Sorted(maps.Keys(d.Leaving)) {
 		if !d.copyWaiters[member] {
@@ -64,15 +64,15 @@
 	}
 }
 
-// reserves tells whether a thing's place in the budget is taken beside another that asks for one: it has its turn, and of two that have
-// theirs the one that was looked at first.
+// reserves reports whether a leaving member reserves its place in the budget against another one. If both are leaving,
+// the one examined first in this step does.
 func (d *draft) reserves(member, other string) bool {
 	_, named := d.Leaving[member]
 	_, otherNamed := d.Leaving[other]
 	return named && member != other && (!otherNamed || d.copyWaiters[member])
 }
 
-// reservedCount counts those that keep their places beside a thing, of those that a test names.
+// reservedCount counts the matching members that reserve a place in the budget against another one.
 func (d *draft) reservedCount(other string, match func(k Kind, site, role string) bool) (n int) {
 	for member, l := range d.Leaving {
 		if k, _ := Split(member); match(k, l.Site, l.Role) && d.reserves(member, other) {
@@ -82,7 +82,8 @@
 	return n
 }
 
-// targetOrder are the places of a release's targets in the order in which they are looked at: first those that have their turn.
+// targetOrder returns the indices of the release's targets in the order in which they are considered: leaving ones
+// first.
 func (d *draft) targetOrder(r *Release) (order []int) {
 	for _, hasTurn := range []bool{true, false} {
 		for i, t := range r.Targets {
@@ -94,11 +95,11 @@
 	return order
 }
 
-// CopyWaits follows, by a clock of whoever looks, for how long servers are held back for copies: Took is told of each state, Passed of
-// the time at any moment. It asks no decider.
+// CopyWaits measures, by the caller's clock, how long servers wait for copies. Check takes each new state, and Advance
+// the time at any moment. It is independent of the deciders.
 type CopyWaits struct {
-	LimitMs float64 // copy_wait_ms, and what changes of deciders may add
-	// Faults are the waits that were longer, and those that another began in the middle of.
+	LimitMs float64 // copy_wait_ms, plus what changes of the decider may add
+	// Faults describes waits that exceeded the limit or were restarted midway.
 	Faults  []string
 	started map[string]copyWait
 }
@@ -109,7 +110,7 @@
 	reported bool
 }
 
-// Check looks at the state that stands from a time on, in milliseconds of any origin.
+// Check examines the state that is current from a time on, in milliseconds of any origin.
 func (a *CopyWaits) Check(s *State, nowMs float64) {
 	a.Advance(nowMs)
 	if a.started == nil {
@@ -121,18 +122,18 @@
 		if !known {
 			a.started[member] = copyWait{turn: l.Turn, at: nowMs}
 		} else if wait.turn != l.Turn {
-			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s has its turn anew while it has it", s.Seq, member))
+			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s restarted its wait for copies", s.Seq, member))
 		}
 	}
 }
 
-// Advance looks at how long servers have waited by a time.
+// Advance checks how long servers have waited by a time.
 func (a *CopyWaits) Advance(nowMs float64) {
 	for _, member := range slices.Sorted(maps.Keys(a.started)) {
 		if wait := a.started[member]; !wait.reported && nowMs-wait.at > a.LimitMs {
 			wait.reported = true
 			a.started[member] = wait
-			a.Faults = append(a.Faults, fmt.Sprintf("%s is held back for %.0f ms, %.0f at most", member, nowMs-wait.at, a.LimitMs))
+			a.Faults = append(a.Faults, fmt.Sprintf("%s waited for copies for %.0f ms, %.0f at most", member, nowMs-wait.at, a.LimitMs))
 		}
 	}
 }
--- a/internal/decide/outage/leave_test.go
+++ b/internal/decide/outage/leave_test.go
@@ -7,31 +7,32 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// enableCopyWait has servers that have their turn wait for copies; 0: not at all. Deciders that change may add as much again.
+// enableCopyWait makes servers wait for copies before they go out; 0 disables it. The wait itself is not limited here.
 func (f *fleet) enableCopyWait(waitMs int) {
 	f.model.CopyWaitMs, f.copies, f.copiesDone = float64(waitMs), waitMs > 0, map[string]int64{}
 	f.waits.LimitMs = 1e12
 }
 
-// fleetWithRequest has s1 wished out in a fleet that waits for copies for 3 s, and gives the time at which that is written.
+// fleetWithRequest returns a fleet that waits up to 3 s for copies, with a request for s1, and the time at which s1
+// started to wait or got its permit.
 func fleetWithRequest(t *testing.T, seed uint64, broken outage.Fault) (*fleet, time.Duration) {
 	t.Helper()
 	f := newFleet(seed, testModel, broken)
 	f.enableCopyWait(3000)
-	f.waits.LimitMs = 4500 // and a turn of a router or two, who see steps of half a second
+	f.waits.LimitMs = 4500 // plus the turns of one or two routers, which decide every half second
 	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
 	_ = f.applyOrder(func(v outage.View) (*outage.State, error) {
 		next, _ := v.Last.Drain("server/s1", "op")
 		return next, nil
 	})
-	f.waitUntil(t, "its turn", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
+	f.waitUntil(t, "s1 leaves", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
 	return f, f.now
 }
 
 func hasPermit(f *fleet) bool { return f.state.Permits["server/s1"].ID > 0 }
 
-// A server's permit waits until copies are made, no longer than the policy says, and not where nobody makes any. A withdrawn wish, a lost
-// site, a halt and losses that take the room end the wait without one.
+// A server's permit waits until copies are made, for at most the policy's limit, and not in a fleet that makes no
+// copies. A withdrawn request, a lost site, a halt, and losses that use up the budget end the wait without a permit.
 func TestPermitWaitsForCopies(t *testing.T) {
 	soon, long := 1500*time.Millisecond, 3*time.Second
 	turn := func(f *fleet) int64 { return f.state.Leaving["server/s1"].Turn }
@@ -39,12 +40,12 @@
 		action          func(f *fleet)
 		atLeast, atMost time.Duration // 0: never
 	}{
-		"nothing is said":     {func(*fleet) {}, long, long + soon},
-		"of an earlier turn":  {func(f *fleet) { f.copiesDone["s1"] = turn(f) - 1 }, long, long + soon},
-		"copies are made":     {func(f *fleet) { f.copiesDone["s1"] = turn(f) }, 0, soon},
-		"copies are no more":  {func(f *fleet) { f.copies = false }, 0, soon},
-		"the policy is other": {func(f *fleet) { f.model.CopyWaitMs = 0 }, 0, soon},
-		"it is lost":          {func(f *fleet) { f.kill("s1") }, 0, long},
+		"no report":                 {func(*fleet) {}, long, long + soon},
+		"report of an earlier turn": {func(f *fleet) { f.copiesDone["s1"] = turn(f) - 1 }, long, long + soon},
+		"copies are done":           {func(f *fleet) { f.copiesDone["s1"] = turn(f) }, 0, soon},
+		"no router copies any more": {func(f *fleet) { f.copies = false }, 0, soon},
+		"the policy has no wait":    {func(f *fleet) { f.model.CopyWaitMs = 0 }, 0, soon},
+		"the server is lost":        {func(f *fleet) { f.kill("s1") }, 0, long},
 		"withdrawn": {func(f *fleet) {
 			_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
 		}, 0, 0},
@@ -57,7 +58,7 @@
 	} {
 		f, began := fleetWithRequest(t, 1, "")
 		if hasPermit(f) {
-			t.Errorf("%s: it is out at once", name)
+			t.Errorf("%s: s1 is out at once", name)
 		}
 		f.deployer = false
 		if c.action(f); c.atMost == 0 {
@@ -77,8 +78,8 @@
 	}
 }
 
-// Deciders that are lost in turn have a server wait longer by no more than each took to see the state, and a wait that never ends is
-// found.
+// Losing one decider after another extends a server's wait by no more than the time each takes to see the state. A wait
+// that never ends is detected.
 func TestWaitForCopiesIsBounded(t *testing.T) {
 	for seed := range uint64(10) {
 		f, _ := fleetWithRequest(t, seed, "")
@@ -100,16 +101,16 @@
 		f.step()
 	}
 	if len(f.waits.Faults) != 1 || hasPermit(f) {
-		t.Errorf("a wait without end: %v", f.waits.Faults)
+		t.Errorf("an endless wait: %v", f.waits.Faults)
 	}
-	f.kill("s9") // a state is written, and says how long it was
+	f.kill("s9") // the next state shows how long the wait was
 	f.waitUntil(t, "the loss", 10*time.Second, func() bool { return len(f.state.Lost) > 0 })
 	if len(f.audit.Faults) == 0 {
-		t.Error("the auditor does not see how long a server has waited")
+		t.Error("the auditor did not detect the endless wait")
 	}
 }
 
-// In a release those that wait for copies take places in the budget and in their wave; it comes to its end.
+// Servers of a release that wait for copies count against the budget and their wave, and the release finishes.
 func TestReleaseWaitsForCopies(t *testing.T) {
 	f := newFleet(3, testModel, "")
 	f.enableCopyWait(3000)
@@ -124,7 +125,7 @@
 			waited[member] = true
 		}
 		if n := len(f.state.Leaving) + len(f.state.Permits); n > 2 {
-			t.Fatalf("%d are out or have their turn", n)
+			t.Fatalf("%d are out or leaving", n)
 		}
 		return f.phase() == outage.Done
 	})
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -7,7 +7,7 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// viewWith is a view in which three routers have three starts of a server, the first one's list being the oldest.
+// viewWith returns a view in which each router reports its own observation of server s1.
 func viewWith(last *outage.State, sights ...outage.Observation) outage.View {
 	v := outage.View{Model: outage.Model{Workers: 2, Routers: 1, WarmMs: 1000, PauseMs: 1000}, Last: last, Routers: map[string]outage.Registration{}}
 	for i, s := range sights {
@@ -19,16 +19,16 @@
 	return v
 }
 
-// stepAfterTwoSeconds steps a decider that has seen the state and all reports stand for long.
+// stepAfterTwoSeconds makes a decision two seconds after the last state was written.
 func stepAfterTwoSeconds(v outage.View) *outage.State {
 	d := &outage.Decider{Me: "a"}
 	made := d.Step(v, outage.Ages{State: func() time.Duration { return 2 * time.Second }, Report: func(string, int64) time.Duration { return 0 }})
 	return made.Next
 }
 
-// The end of a way back is not taken from a list that is behind: the search found it, by "read r1, write r1, report r1, report r2,
-// report r3, read r1, write r1, take s1, new s1, report r2, report r3, read r1, write r1, read-aged r1, write r1, crash s1, new s1,
-// report r2, back, read r1, write r1, read r1, write r1".
+// A rollback must not end because one router's list is outdated. The search found the fault by this trace: "read r1,
+// write r1, report r1, report r2, report r3, read r1, write r1, take s1, new s1, report r2, report r3, read r1, write
+// r1, read-aged r1, write r1, crash s1, new s1, report r2, back, read r1, write r1, read r1, write r1".
 func TestStaleListDoesNotEndRollback(t *testing.T) {
 	old, new1, new2 := outage.Observation{Boot: "1", Label: "old"}, outage.Observation{Boot: "2", Label: "new"}, outage.Observation{Boot: "3", Label: "new"}
 	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.RollingBack, WaveLeft: 1,
@@ -40,11 +40,11 @@
 	}
 	next = stepAfterTwoSeconds(viewWith(next, new2, new2, new1))
 	if p := next.Permits["server/s1"]; p.To != "old" || p.Boot != "3" {
-		t.Errorf("most agree: %+v", p)
+		t.Errorf("with a majority: %+v", p)
 	}
 }
 
-// What returns under its permit is not out: who asks for it then is told to wait, else it would be stopped under traffic.
+// A returning server may not be stopped, since routers send to it. Whoever requests it then has to wait.
 func TestOnlyAcknowledgedPermitAllowsStop(t *testing.T) {
 	for stage, mayStop := range map[outage.Stage]bool{outage.Granted: false, outage.Acknowledged: true, outage.Returning: false} {
 		s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: stage}}}
@@ -54,12 +54,12 @@
 	}
 	s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: outage.Acknowledged, Serve: true}}}
 	if _, permitted := s.Drain("server/s1", "op"); permitted {
-		t.Error("what is to serve again may be stopped")
+		t.Error("a server returning to service may be stopped")
 	}
 }
 
-// A way back ends with no target that is seen with another label, also where the target was never released: one that returned
-// under an earlier permit with the old label may have started again with the new one.
+// A rollback also covers a target that the release never reached but that has the new label: it may have returned under
+// an earlier permit with the old label and restarted with the new one.
 func TestRollbackIncludesTargetWithOtherLabel(t *testing.T) {
 	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, HaltedFrom: outage.Running,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting}}}
@@ -73,11 +73,12 @@
 		t.Errorf("%s, %+v", next.Release.Phase, p)
 	}
 	if next = stepAfterTwoSeconds(viewWith(last, old, old, old)); next.Release.Phase != outage.RolledBack || len(next.Permits) > 0 {
-		t.Errorf("at its old label: %s, %+v", next.Release.Phase, next.Permits)
+		t.Errorf("with the old label: %s, %+v", next.Release.Phase, next.Permits)
 	}
 }
 
-// What returned and does not answer any more is clear again only once all routers have heard it: they send to it.
+// Routers send to a returning server. If it stops answering, its permit is acknowledged again only once all routers
+// follow the new state.
 func TestSilentReturningServerNeedsNewAcknowledgement(t *testing.T) {
 	last := &outage.State{Format: outage.Format, Seq: 100, Known: map[string]outage.KnownRouter{}, Permits: map[string]outage.Permit{
 		"server/s1": {ID: 1, For: outage.ByHand, Stage: outage.Returning, Seq: 3, Boot: "1"}}}
@@ -90,17 +91,17 @@
 	}
 	v.Last = next
 	if next = stepAfterTwoSeconds(v); next != nil && next.Permits["server/s1"].Stage != outage.Granted {
-		t.Errorf("not all have heard it: %+v", next.Permits)
+		t.Errorf("acknowledged before all routers follow the state: %+v", next.Permits)
 	}
 	for i := range v.Reports {
 		v.Reports[i].StateSeq = 101
 	}
 	if next = stepAfterTwoSeconds(v); next == nil || next.Permits["server/s1"].Stage != outage.Acknowledged {
-		t.Error("all have heard it and it is not clear")
+		t.Error("not acknowledged although all routers follow the state")
 	}
 }
 
-// A release remembers the label that most routers have of a server, not the one that a list has which is behind.
+// A release records the label that most routers report for a server, not that of an outdated list.
 func TestReleaseRecordsMajorityLabel(t *testing.T) {
 	older, old := outage.Observation{Boot: "1", Label: "older"}, outage.Observation{Boot: "2", Label: "old"}
 	next, err := viewWith(nil, older, old, old).Start(outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, "op")
--- a/internal/decide/outage/meter.go
+++ b/internal/decide/outage/meter.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Attempt is an attempt at a server that ended by itself.
+// Attempt is an attempt at a server that ended on its own.
 type Attempt struct {
 	Server     string
-	Answered   bool // it answered, whatever it said
+	Answered   bool // with any status
 	InTime     bool
 	Failed     bool
 	FirstToken time.Duration // until its answer began
 }
 
-// Cohort is whether a server's answers are the old version's or the new one's.
+// Cohort is the version that a server's answers count for.
 type Cohort uint8
 
-// The sides. What is out, or comes back just now, is on neither.
+// The cohorts. A server that is out or returning belongs to neither version.
 const (
 	NoCohort Cohort = iota
 	OldCohort
 	NewCohort
 )
 
-// Cohorts tells of which version servers are, given their labels; nil: no release runs, and nothing is counted.
+// Cohorts returns the cohort of each server by its label. It returns nil if no release is counted.
 func (s *State) Cohorts(labels map[string]string) (run string, sides map[string]Cohort) {
 	if s == nil || s.Release == nil || !s.Release.Counted() {
 		return "", nil
@@ -42,25 +42,25 @@
 	return s.Release.Run, sides
 }
 
-// Meter counts for the release that runs what a router's attempts came to. It is not safe for use by several at once.
+// Meter counts the outcomes of one router's attempts for the current release. It is not safe for concurrent use.
 //
-// How many of all failures may be the new version's is counted apart for each stretch in which the sides stay the same, and for
-// each kind of server: rates of several hours, or of quick and slow servers, are not put together where the versions' parts of
-// the requests differ between them. Otherwise a version that had most of its requests in a bad hour would look worse.
+// The expected number of the new version's failures is computed separately for each stretch in which the cohorts stay
+// the same, and for each kind of server. Pooling hours or kinds of servers in which the cohorts' shares of the requests
+// differ would be misleading: a version that received most of its requests in a bad hour would look worse.
 type Meter struct {
 	run        string
 	worseRatio float64
 	cohorts    map[string]Cohort
 	kinds      map[string]string
-	counts     Counts // Expect of what is over
+	counts     Counts // Expected covers the closed stretches
 	open       map[string]*[2]Tally
 }
 
-// stretchRequests is how many requests each side must have for a stretchRequests to end before the sides change.
+// stretchRequests is the number of requests of each cohort that closes a stretch before the cohorts change.
 const stretchRequests = 20
 
-// Configure has what comes from now on counted for a run of a release, as the halt's bound on the old version's rate says; kinds may be nil.
-// Another run begins anew.
+// Configure sets what following attempts count for: a run of a release, the cohorts, and the kinds of servers, which may
+// be nil. worse is the halt's bound on the ratio of failure rates. A new run starts from zero.
 func (m *Meter) Configure(run string, sides map[string]Cohort, kinds map[string]string, worse float64) {
 	if run != m.run {
 		m.run, m.counts, m.open = run, Counts{}, nil
@@ -111,7 +111,7 @@
 	}
 }
 
-// RecordClass counts a request of a class, or one that was refused.
+// RecordClass counts a request of a class, or a refused one.
 func (m *Meter) RecordClass(name string, refused bool) {
 	if m.run == "" {
 		return
@@ -126,7 +126,7 @@
 	}
 }
 
-// Snapshot gives what was counted, for a report.
+// Snapshot returns the counts so far, for a report.
 func (m *Meter) Snapshot() (run string, c Counts) {
 	c = m.counts
 	for _, pair := range m.open {
--- a/internal/decide/outage/meter_test.go
+++ b/internal/decide/outage/meter_test.go
@@ -8,8 +8,8 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// A version that has most of its requests in a bad hour is no worse for it. The same counts put together would halt it, so
-// what is expected is what keeps it; and one that fails more in each hour is halted.
+// A version that received most of its requests in a bad hour is not halted for it. The same counts pooled would halt it,
+// so it is the expected number per stretch that prevents this. A version that fails more in each hour is halted.
 func TestBadHourHaltsNobody(t *testing.T) {
 	sides := func(newServers int) map[string]outage.Cohort {
 		out := map[string]outage.Cohort{}
@@ -40,13 +40,13 @@
 	h := outage.Model{}.WithDefaults().Halt
 	c := count(1)
 	if bad, looked := h.Look(c, 0); bad != "" || !looked {
-		t.Errorf("no worse: %q", bad)
+		t.Errorf("halted although no worse: %q", bad)
 	}
 	c.Expected = outage.Expected{}
 	if bad, _ := h.Look(c, 0); bad == "" {
-		t.Error("all hours put together do not mislead: the case shows nothing")
+		t.Error("the pooled counts do not halt: the case proves nothing")
 	}
 	if bad, _ := h.Look(count(3), 0); bad == "" {
-		t.Error("three times the failures in each hour are put up with")
+		t.Error("not halted with three times the failures in each hour")
 	}
 }
--- a/internal/decide/outage/model.go
+++ b/internal/decide/outage/model.go
@@ -1,7 +1,7 @@
-// Package outage decides what may be out of service at once, for a fleet as a whole: members drained by hand, releases
-// of a new program, and what was lost without anybody's wish share one budget. A permit stands in the state before
-// anything is taken out, and ends only by evidence that its thing is back, or by an operator's word that it is gone. It
-// does no I/O and knows no clock: times are arguments, monotonic and of any origin.
+// Package outage decides which members of a fleet, servers and routers, may be out of service at the same time. Members
+// drained by hand, rolling releases and failures share one budget. A permit is recorded in the state before a member is
+// taken out. It ends only when the member is observed back in service, or when an operator declares the member gone. The
+// package does no I/O and reads no clock: times are arguments, monotonic and of any origin.
 package outage
 
 import (
@@ -11,59 +11,64 @@
 	"time"
 )
 
-// Model is what a fleet's policy says of outages ([outage]). Without workers and routers there is no budget.
+// Model is the [outage] section of a fleet's policy. There is no budget unless it limits servers or routers.
 type Model struct {
-	// Workers and Routers are how many servers and routers may be out at once: a number from 1 on, or a share of all
-	// below 1. WorkersSite and WorkersRole bound the servers of one site and of one role in the same way; 0: as Workers.
+	// Workers and Routers limit how many servers and routers may be out at once: a number from 1, or a share of all
+	// below 1. WorkersSite and WorkersRole limit the servers of one site and of one role in the same way. They default
+	// to Workers.
 	Workers     float64 `toml:"workers"`
 	Routers     float64 `toml:"routers"`
 	WorkersSite float64 `toml:"workers_site,omitzero"`
 	WorkersRole float64 `toml:"workers_role,omitzero"`
 	HeadroomLimit
-	// Classes state what must go on serving each class.
+	// Classes states the share of the servers' weight that must keep serving each class.
 	Classes []ClassFloor `toml:"class,omitempty"`
-	// PauseMs is the least time between the end of a wave of a release and the next one, in which it is looked at.
+	// PauseMs is the minimum time between the end of one wave of a release and the start of the next. The new version is
+	// observed in that time.
 	PauseMs float64 `toml:"pause_ms,omitzero"`
-	// LostMs is how long a server must be silent to most routers until it counts as lost.
+	// LostMs is how long a server must be silent to most routers before it counts as lost.
 	LostMs float64 `toml:"lost_ms,omitzero"`
-	// WarmMs is how long what is back must answer before its permit ends; ReturnMs how long it may take to come back.
+	// WarmMs is how long a returned member must answer before its permit ends. ReturnMs is how long it may take to
+	// return.
 	WarmMs   float64 `toml:"warm_ms,omitzero"`
 	ReturnMs float64 `toml:"return_ms,omitzero"`
-	// CopyWaitMs is how long a server that has its turn to be let out is kept at most so that what it holds and is worth keeping is
-	// copied elsewhere ([reuse]); 0: not at all.
+	// CopyWaitMs is the longest time a server's permit is delayed so that the part of its KV cache worth keeping
+	// ([reuse]) can be copied elsewhere. 0 means no delay.
 	CopyWaitMs float64 `toml:"copy_wait_ms,omitzero"`
-	// ReportMs is how often routers report.
+	// ReportMs is the interval at which routers report.
 	ReportMs float64 `toml:"report_ms,omitzero"`
-	// Deciders is how many routers read all reports and decide; 0: all of them. The others follow the state.
+	// Deciders is the number of routers that read all reports and decide. The others only follow the state. 0 means all
+	// routers decide.
 	Deciders int `toml:"deciders,omitzero"`
-	// Lag is by how many revisions a member of the store may be behind and still counts as caught up.
+	// Lag is the number of revisions by which a store member may be behind and still count as caught up.
 	Lag  int64 `toml:"lag,omitzero"`
 	Halt Halt  `toml:"halt,omitempty"`
 }
 
-// ClassFloor is the least that must go on serving a class.
+// ClassFloor is the minimum serving capacity that must be kept for a class.
 type ClassFloor struct {
 	Name string  `toml:"name"`
-	Part float64 `toml:"keep"` // of the weight of all servers, from 0 to 1
+	Part float64 `toml:"keep"` // share of the weight of all servers, from 0 to 1
 }
 
-// Halt bounds what a new version may do before its release is halted.
+// Halt bounds how a new version may behave before its release is halted.
 type Halt struct {
-	Least   int64   `toml:"least,omitzero"`   // requests of the new version that must be seen before it is judged
-	Worse   float64 `toml:"worse,omitzero"`   // how many times the old version's rate of failures is put up with
-	Level   float64 `toml:"level,omitzero"`   // chance of halting a release that is no worse, over all looks
-	Refused float64 `toml:"refused,omitzero"` // part of a class's requests that may be refused while it runs; 0: any
-	OverMs  float64 `toml:"over_ms,omitzero"` // how long losses alone may use up the budget
-	// Seen is how many requests of the new version the wave after the first waits for, beyond the pause, for SeenMs at most; 0: for
-	// none. A canary that is home to little, or that routers turn away from since it fails, has nothing to be judged by otherwise.
+	Least   int64   `toml:"least,omitzero"`   // requests of the new version required before it is judged
+	Worse   float64 `toml:"worse,omitzero"`   // tolerated ratio of the new version's failure rate to the old one's
+	Level   float64 `toml:"level,omitzero"`   // probability of halting a release that is no worse, over all looks
+	Refused float64 `toml:"refused,omitzero"` // share of a class's requests that may be refused during a release; 0: any
+	OverMs  float64 `toml:"over_ms,omitzero"` // how long losses alone may exhaust the budget
+	// Seen is the number of requests of the new version that every wave after the first waits for beyond the pause, for
+	// at most SeenMs; 0: none. Without it, a canary that receives little traffic, or that routers avoid because it
+	// fails, would pass for lack of evidence.
 	Seen   int64   `toml:"seen,omitzero"`
-	SeenMs float64 `toml:"seen_ms,omitzero"` // 60,000 if it is not there
+	SeenMs float64 `toml:"seen_ms,omitzero"` // default 60,000
 }
 
-// On tells whether there is a budget.
+// On reports whether the policy sets a budget.
 func (m Model) On() bool { return m.Workers > 0 || m.Routers > 0 || m.FollowsHeadroom() }
 
-// WithDefaults gives the model with its defaults.
+// WithDefaults returns the model with defaults for the keys that are not set.
 func (m Model) WithDefaults() Model {
 	all := cmp.Or(m.Max, m.Workers)
 	m.WorkersSite, m.WorkersRole, m.HeadroomLimit = cmp.Or(m.WorkersSite, all), cmp.Or(m.WorkersRole, all), m.HeadroomLimit.withDefaults()
@@ -75,7 +80,7 @@
 	return m
 }
 
-// ModelError names a key of [outage] that can't hold.
+// ModelError reports an invalid key of [outage].
 type ModelError struct {
 	Key   string
 	Value any
@@ -84,12 +89,12 @@
 
 func (e *ModelError) Error() string { return fmt.Sprintf("outage.%s: %v, %s", e.Key, e.Value, e.Why) }
 
-// Advice says what an operator can do.
+// Advice tells the operator how to correct the key.
 func (e *ModelError) Advice() string {
 	return "correct the key in the policy's file and apply it again"
 }
 
-// Check names the first key that can't hold.
+// Check reports the first invalid key.
 func (m Model) Check() error {
 	for _, c := range []struct {
 		key string
@@ -131,7 +136,7 @@
 	return nil
 }
 
-// limit is how many of n may be out by a bound.
+// limit converts a bound, a number or a share, to a count of n members.
 func limit(bound float64, n int) int {
 	switch {
 	case bound <= 0:
--- a/internal/decide/outage/order_test.go
+++ b/internal/decide/outage/order_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// What holds least for others goes first; of equals the sites take turns. An order that is asked for stands.
+// The spread order takes targets with the least cached first and alternates between sites among equals. An explicit
+// order is followed.
 func TestTargetOrder(t *testing.T) {
 	list := func() (out []Target) {
 		for _, name := range []string{"a1", "a2", "a3", "b1", "b2", "c1"} {
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -17,8 +17,8 @@
 	return func(v outage.View) (*outage.State, error) { return v.Start(s, "op") }
 }
 
-// Six wishes by hand at once: no more than the budget are out, each waits with a reason, and one that serves again lets
-// the next one go.
+// Six members are requested by hand at once. No more than the budget are out, each other request has a reason to wait,
+// and returning a server to service lets the next one go.
 func TestPermitRequestsWaitForBudget(t *testing.T) {
 	f := newFleet(1, testModel, "")
 	f.waitUntil(t, "routers known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
@@ -29,15 +29,15 @@
 		})
 	}
 	clear := func(name string) bool { return f.state.Permits["server/"+name].Stage == outage.Acknowledged }
-	f.waitUntil(t, "two are out", 10*time.Second, func() bool { return clear("s1") && clear("s4") })
+	f.waitUntil(t, "two servers are out", 10*time.Second, func() bool { return clear("s1") && clear("s4") })
 	if len(f.state.Permits) != 2 || f.state.PermitRequests["server/s2"].WaitReason == "" || f.state.PermitRequests["server/s7"].WaitReason == "" {
 		t.Fatalf("%+v %+v", f.state.Permits, f.state.PermitRequests)
 	}
 	_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
-	f.waitUntil(t, "the next of the same site", 10*time.Second, func() bool { return clear("s2") && len(f.state.Permits) == 2 })
-	// A loss uses the budget: nothing more is given, though a permit has room to end.
+	f.waitUntil(t, "the next server of the same site is out", 10*time.Second, func() bool { return clear("s2") && len(f.state.Permits) == 2 })
+	// A loss uses up the budget: no permit is granted when one ends.
 	f.kill("s9")
-	f.waitUntil(t, "the loss is agreed", 10*time.Second, func() bool { return f.state.Lost["server/s9"].Why == "silent" })
+	f.waitUntil(t, "the loss is recorded", 10*time.Second, func() bool { return f.state.Lost["server/s9"].Why == "silent" })
 	_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s4", "op"), nil })
 	for range 40 {
 		f.step()
@@ -46,18 +46,19 @@
 		t.Fatalf("%+v", f.state.Permits)
 	}
 	f.start("s9", "v1")
-	f.waitUntil(t, "room again", 10*time.Second, func() bool { return len(f.state.Permits) == 2 })
+	f.waitUntil(t, "the budget is free again", 10*time.Second, func() bool { return len(f.state.Permits) == 2 })
 	f.checkNoFaults(t)
 }
 
-// A permit ends only by what is seen: not while its thing is away, whoever is gone; a bad label that comes back halts.
+// A permit ends only by evidence: not while its server is down, even after the deployer stopped working. A server that
+// returns with the wrong label halts the release.
 func TestPermitEndsOnlyWhenServerReturns(t *testing.T) {
 	f := newFleet(2, testModel, "")
 	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
 	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
-	f.waitUntil(t, "the canary is clear", 10*time.Second, func() bool { return f.state.Permits["server/s1"].Stage == outage.Acknowledged })
+	f.waitUntil(t, "the canary's permit is acknowledged", 10*time.Second, func() bool { return f.state.Permits["server/s1"].Stage == outage.Acknowledged })
 	f.deployer = false
 	f.kill("s1")
 	for range 200 {
@@ -67,7 +68,7 @@
 		t.Fatalf("%+v %v", f.state.Permits, f.phase())
 	}
 	f.start("s1", "v1") // with the old label
-	f.waitUntil(t, "it has ended", 20*time.Second, func() bool { return len(f.state.Permits) == 0 })
+	f.waitUntil(t, "the permit has ended", 20*time.Second, func() bool { return len(f.state.Permits) == 0 })
 	if got := f.release().Targets[0]; got.State != outage.Blocked {
 		t.Fatalf("%+v", got)
 	}
@@ -82,8 +83,8 @@
 	f.checkNoFaults(t)
 }
 
-// A version that fails one request in twenty is halted and taken back; asked twice it is one way back. A release that
-// shares the fleet with it is refused and told of it. A good one goes through, also while all fail alike.
+// A version that fails one request in twenty is halted and rolled back, and a repeated rollback request changes nothing.
+// A second release is refused meanwhile. A release that is no worse than the old version completes.
 func TestHaltAndRollback(t *testing.T) {
 	halted := 0
 	for seed := range uint64(10) {
@@ -107,7 +108,7 @@
 			}
 			f.step()
 		}
-		f.waitUntil(t, "taken back", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
+		f.waitUntil(t, "rolled back", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
 		if f.labels()["v1"] != 9 || f.maxDown > 2 {
 			t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
 		}
@@ -116,7 +117,7 @@
 	if halted < 10 {
 		t.Errorf("%d of 10 bad releases were halted", halted)
 	}
-	for seed := range uint64(20) { // all fail alike: no false halt
+	for seed := range uint64(20) { // no worse: no false halt
 		f := newFleet(100+seed, testModel, "")
 		f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
 		if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
@@ -127,7 +128,7 @@
 	}
 }
 
-// What was declared gone is named, and neither a resumed release nor the way back waits for it.
+// A server declared gone is recorded as such. Neither a resumed release nor a rollback waits for it.
 func TestServerDeclaredGoneIsNotRetried(t *testing.T) {
 	f := newFleet(7, testModel, "")
 	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
@@ -161,14 +162,14 @@
 	if err := f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.RollBack("op") }); err != nil {
 		t.Fatal(err)
 	}
-	f.waitUntil(t, "taken back without it", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
+	f.waitUntil(t, "rolled back without it", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
 	if f.labels()["v1"] != 8 || f.maxDown > 2 {
 		t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
 	}
 	f.checkNoFaults(t)
 }
 
-// Routers are released one after the other, and each waits for the store's members.
+// Routers are released one at a time, and each waits until the store members have caught up.
 func TestRouterRelease(t *testing.T) {
 	f := newFleet(5, testModel, "")
 	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
@@ -197,17 +198,18 @@
 	f.checkNoFaults(t)
 }
 
-// randomOperations draws what happens to a fleet, and tells whether the auditor or the labels at the end find a fault.
+// randomOperations applies random events to a fleet. It returns the faults found by the auditor and by the labels at the
+// end.
 func randomOperations(rt *rapid.T, broken outage.Fault) (faults []string) {
 	f := newFleet(rapid.Uint64().Draw(rt, "seed"), testModel, broken)
 	f.badLabel, f.failureRate = "v2", 0.3
-	f.enableCopyWait(f.rng.IntN(4) / 3 * 3000) // one life in four
+	f.enableCopyWait(f.rng.IntN(4) / 3 * 3000) // in one run of four
 	servers := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"}
 	routers := []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 	pick := func(list []string) string { return rapid.SampledFrom(list).Draw(rt, "which") }
 	tryOrder := func(change func(v outage.View) (*outage.State, error)) {
 		if f.state != nil {
-			_ = f.applyOrder(change) // what is refused changes nothing
+			_ = f.applyOrder(change) // a refused order changes nothing
 		}
 	}
 	for range rapid.IntRange(10, 40).Draw(rt, "events") {
@@ -247,7 +249,7 @@
 			f.step()
 		}
 	}
-	f.deployer = true // all is mended: a way back comes to its end
+	f.deployer = true // recovery: a rollback must finish
 	for _, name := range servers {
 		if !f.servers[name].up {
 			f.start(name, f.servers[name].label)
@@ -258,7 +260,7 @@
 			f.startRouter(name, f.routers[name].label)
 		}
 	}
-	for _, name := range servers { // nothing stays out by hand
+	for _, name := range servers { // return servers drained by hand to service
 		tryOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/"+name, "op"), nil })
 	}
 	for range 20 {
@@ -269,20 +271,20 @@
 	for i := 0; f.release() != nil && f.phase() != outage.RolledBack; i++ {
 		if f.step(); i > 1000 {
 			data, _ := json.Marshal(f.state)
-			return append(f.audit.Faults, "the way back has no end: "+string(data))
+			return append(f.audit.Faults, "the rollback does not finish: "+string(data))
 		}
 	}
 	if r := f.release(); r != nil {
 		for _, target := range r.Targets {
 			if target.State == outage.Reached && f.servers[target.Name].label != target.From {
-				f.audit.Faults = append(f.audit.Faults, target.Name+" was forgotten on the way back: label "+f.servers[target.Name].label)
+				f.audit.Faults = append(f.audit.Faults, target.Name+" was left out of the rollback: label "+f.servers[target.Name].label)
 			}
 		}
 	}
 	return f.audit.Faults
 }
 
-// Whatever happens, the rules hold.
+// No sequence of random events breaks a rule.
 func TestRandomOperationsKeepInvariants(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -292,7 +294,7 @@
 	})
 }
 
-// Each decider that breaks a rule is found.
+// The auditor detects each broken decider.
 func TestAuditorDetectsBrokenDeciders(t *testing.T) {
 	standin.Steady(t)
 	for _, broken := range []outage.Fault{outage.WaitsForever, outage.ExpiresPermits, outage.CountsReleasesOnly, outage.IgnoresHalt, outage.SkipsRollback, outage.ExceedsBudget} {
@@ -308,7 +310,7 @@
 	}
 }
 
-// The test of two versions keeps its level, and finds one that is worse.
+// The sequential test of two versions keeps its false-halt level and detects a worse version.
 func TestSequentialTest(t *testing.T) {
 	h := outage.Model{}.WithDefaults().Halt
 	if h.Least == 0 || h.Level == 0 {
@@ -350,7 +352,7 @@
 	}
 }
 
-// What a thousand routers' fleets hold is decided in time, and a state stays small.
+// Measures a decision over the reports of 100 routers on 500 servers.
 func BenchmarkNext(b *testing.B) {
 	v := outage.View{Model: outage.Model{Workers: 0.1, Routers: 0.1}, Routers: map[string]outage.Registration{}}
 	for i := range 100 {
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -7,107 +7,106 @@
 	"strconv"
 )
 
-// Spec is a release as an operator writes it.
+// Spec describes a release, as an operator writes it.
 type Spec struct {
 	Name  string   `toml:"name" json:"name"`
 	Kind  Kind     `toml:"kind" json:"kind"`
-	To    string   `toml:"to" json:"to"` // the label that its targets are to come back with
+	To    string   `toml:"to" json:"to"` // the label that its targets should return with
 	Names []string `toml:"names,omitempty" json:"names,omitempty"`
 	Sites []string `toml:"sites,omitempty" json:"sites,omitempty"`
 	Roles []string `toml:"roles,omitempty" json:"roles,omitempty"`
-	// Order is spread (by default: what holds least for others first, of equals the sites take turns), site (one site after the other) or name.
+	// Order is the order of targets: spread, site or name. Spread, the default, takes the servers with the least cached
+	// for others first and alternates between sites; site finishes one site after the other.
 	Order string `toml:"order,omitempty" json:"order,omitempty"`
-	// Waves are their sizes, each a number or a share of the targets; the last one repeats. One canary, then twos, if
-	// there are none.
+	// Waves are the wave sizes, each a number or a share of the targets. The last one repeats. Without any, one canary
+	// is followed by waves of two.
 	Waves []float64 `toml:"waves,omitempty" json:"waves,omitempty"`
-	// Rest releases things that bear its label already, too.
+	// All includes members that have the label already.
 	All bool `toml:"all,omitempty" json:"all,omitempty"`
 }
 
-// Phase is how far a release has come.
+// Phase is the phase of a release.
 type Phase string
 
-// The phases of a release.
 const (
 	Running     Phase = "running"
 	Halted      Phase = "halted"
-	RollingBack Phase = "back"     // its targets are taken back to the labels they had
-	Done        Phase = "done"     // every target has its label, or is named with what holds it
-	RolledBack  Phase = "returned" // every target has its old label, or is named with what holds it
+	RollingBack Phase = "back"     // its targets are returned to their previous labels
+	Done        Phase = "done"     // every target has the new label, or is recorded with what blocks it
+	RolledBack  Phase = "returned" // every target has its previous label, or is recorded with what blocks it
 )
 
-// Finished tells whether nothing more is to be done.
+// Finished reports whether nothing remains to be done.
 func (p Phase) Finished() bool { return p == Done || p == RolledBack }
 
-// Progress is how far a target has come.
+// Progress is the progress of one target.
 type Progress string
 
-// The progress of a target.
 const (
 	Waiting Progress = "waiting"
-	Out     Progress = "out" // under a permit
+	Out     Progress = "out" // with a permit
 	Reached Progress = "reached"
-	Blocked Progress = "held" // something keeps it from its label
+	Blocked Progress = "held" // something prevents it from reaching its label
 )
 
 func (p Progress) finished() bool { return p == Reached || p == Blocked }
 
-// Target is one thing of a release.
+// Target is one member of a release.
 type Target struct {
 	Name  string   `json:"name"`
 	Site  string   `json:"site,omitempty"`
-	From  string   `json:"from,omitempty"` // its label before
+	From  string   `json:"from,omitempty"` // its label before the release
 	State Progress `json:"state"`
 	Why   string   `json:"why,omitempty"`
-	Order int64    `json:"nth,omitempty"`  // in which order targets reached the label
-	Gone  bool     `json:"gone,omitempty"` // an operator said so: nothing is tried with it again
+	Order int64    `json:"nth,omitempty"`  // order in which targets reached the label
+	Gone  bool     `json:"gone,omitempty"` // declared gone by an operator; not tried again
 }
 
-// Release is a release under way, or the last one.
+// Release is the current release, or the last one.
 type Release struct {
 	Spec
-	Run        string         `json:"run"` // names this run of it
+	Run        string         `json:"run"` // identifies this run of it
 	Phase      Phase          `json:"phase"`
 	Targets    []Target       `json:"targets"`
 	Wave       int            `json:"wave"`       // counted from 0
 	WaveLeft   int            `json:"left"`       // targets that may still go out in this wave
 	PauseMs    float64        `json:"pause_ms"`   // since the last wave ended
 	Paused     bool           `json:"paused"`     // between two waves
-	Reached    int64          `json:"reached"`    // how many times a target reached the label
-	Looks      int            `json:"looks"`      // of the sequential test
+	Reached    int64          `json:"reached"`    // how often a target reached the label
+	Looks      int            `json:"looks"`      // looks made by the sequential test
 	Halts      int            `json:"halts"`      // how often it was halted
-	Why        string         `json:"why"`        // the reason of its phase
+	Why        string         `json:"why"`        // the reason for its phase
 	HaltSeq    int64          `json:"halt_seq"`   // of the state that halted it last
-	HaltedFrom Phase          `json:"before"`     // that a halt interrupted
-	LostSites  int            `json:"lost_sites"` // that were lost when it began, or was resumed
+	HaltedFrom Phase          `json:"before"`     // the phase that a halt interrupted
+	LostSites  int            `json:"lost_sites"` // sites that were lost when it began or was resumed
 	ByHand     bool           `json:"by_hand,omitempty"`
-	Evidence   Counts         `json:"evidence,omitzero"` // that the last look was made on
-	Unsettled  *UnsettledHalt `json:"doubt,omitempty"`   // a halt by a version's counts that is not settled
+	Evidence   Counts         `json:"evidence,omitzero"` // the counts of the last look
+	Unsettled  *UnsettledHalt `json:"doubt,omitempty"`   // a halt by the version's own counts, not yet settled
 }
 
-// ReleaseError names a key of a release's file that can't hold.
+// ReleaseError reports an invalid key of a release file.
 type ReleaseError struct{ Key, Why string }
 
 func (e *ReleaseError) Error() string { return "release: " + e.Key + ": " + e.Why }
 
-// Advice says what an operator can do.
+// Advice tells the operator how to correct the key.
 func (e *ReleaseError) Advice() string {
 	return "correct the key in the release's file and start it again"
 }
 
-// Check names the first key that can't hold.
+// Check reports the first invalid key.
 func (s Spec) Check() error {
 	switch {
 	case s.Name == "" || s.Name == ByHand:
-		return &ReleaseError{"name", "must be there, and not \"" + ByHand + "\""}
+		return &ReleaseError{"name", "must be set, and not be \"" + ByHand + "\""}
 	case s.Kind != Server && s.Kind != Router:
 		return &ReleaseError{"kind", fmt.Sprintf("%q is neither %s nor %s", s.Kind, Server, Router)}
 	case s.To == "":
-		return &ReleaseError{"to", "the label to be reached is missing"}
+		return &ReleaseError{"to", "the label to reach is missing"}
 	case !slices.Contains([]string{"", "spread", "site", "name"}, s.Order):
-		return &ReleaseError{"order", fmt.Sprintf("%q is none of spread, site and name", s.Order)}
+		return &ReleaseError{"order", fmt.Sprintf("%q is not one of spread, site and name", s.Order)}
 	case s.Kind == Router && len(s.Roles) > 0:
-		return &ReleaseError{"roles", "routers have none"}
+		return &ReleaseError{"roles", "routers have no roles"}
 	}
 	for i, w := range s.Waves {
 		if !(w > 0) || w > 1 && w != float64(int(w)) {
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// waveSize is the size of a waveSize.
+// waveSize returns the size of the current wave.
 func (r *Release) waveSize() int {
 	if len(r.Waves) == 0 {
 		return min(r.Wave+1, 2)
@@ -125,7 +124,7 @@
 	return max(limit(r.Waves[min(r.Wave, len(r.Waves)-1)], len(r.Targets)), 1)
 }
 
-// Start begins a release over what the routers see. It is refused while another one has not come to its end.
+// Start begins a release over what the routers observe. It is refused while another release is not finished.
 func (v View) Start(spec Spec, by string) (*State, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
@@ -134,8 +133,8 @@
 		return nil, &RefusedError{spec.Name, "the policy has no [outage]", "add a budget to the policy and apply it"}
 	}
 	if r := v.Last.clone().Release; r != nil && !r.Phase.Finished() {
-		return nil, &RefusedError{spec.Name, fmt.Sprintf("release %s (to %s) is %s and has not come to its end", r.Name, r.To, r.Phase),
-			"wait for it, or take it back: sumactl release back"}
+		return nil, &RefusedError{spec.Name, fmt.Sprintf("release %s (to %s) is %s and not finished", r.Name, r.To, r.Phase),
+			"wait until it finishes, or roll it back: sumactl release back"}
 	}
 	var targets []Target
 	selected := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
@@ -153,7 +152,7 @@
 				if !v.Routers[r.Router].Live {
 					continue
 				}
-				votes[[2]string{id, s.Label}]++ // the label that most have: a list may be behind
+				votes[[2]string{id, s.Label}]++ // use the majority's label: some lists may be outdated
 				if best, ok := observed[id]; !ok || votes[[2]string{id, s.Label}] > votes[[2]string{id, best.Label}] {
 					observed[id] = s
 				}
@@ -175,7 +174,7 @@
 		}
 	}
 	if len(targets) == 0 {
-		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To, "see 'sumactl release status', or say all = true"}
+		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To, "see 'sumactl release status', or set all = true"}
 	}
 	next := v.Last.clone()
 	next.Seq++
@@ -186,8 +185,8 @@
 	return next, nil
 }
 
-// sortTargets orders targets: with spread those that hold least for others go first, and of equals the sites take turns, so that a
-// wave takes little from each.
+// sortTargets orders targets. The spread order takes those with the fewest cached tokens first and alternates between
+// sites among equals, so that a wave takes little capacity from each site.
 func sortTargets(list []Target, order string, kept map[string]float64) []Target {
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Name, b.Name)) })
 	switch order {
@@ -209,7 +208,7 @@
 	return list
 }
 
-// change is the state with its release changed; refused where there is none under way.
+// change returns a copy of the state with its release changed. It is refused if there is no release.
 func (s *State) change(action, by string, apply func(r *Release) error) (*State, error) {
 	next := s.clone()
 	r := next.Release
@@ -224,14 +223,14 @@
 	return next, nil
 }
 
-// Halt halts the release that runs, by hand. Asked twice it is one halt: nil, nil.
+// Halt halts the release by hand. The call is idempotent: it returns nil, nil if the release is halted already.
 func (s *State) Halt(by, why string) (*State, error) {
 	if s != nil && s.Release != nil && s.Release.Phase == Halted {
 		return nil, nil
 	}
 	next, err := s.change("halt", by, func(r *Release) error {
 		if r.Phase.Finished() {
-			return &RefusedError{"halt", "release " + r.Name + " has come to its end", "nothing is to be done"}
+			return &RefusedError{"halt", "release " + r.Name + " is finished", "nothing needs to be done"}
 		}
 		r.halt(cmp.Or(why, "by hand"))
 		r.ByHand = true
@@ -248,8 +247,8 @@
 	r.Halts++
 }
 
-// Resume has a halted release go on where it stopped: targets that were held are tried again, and what was counted
-// until now is not held against it any more.
+// Resume continues a halted release where it stopped. Blocked targets are tried again, and counts from before the resume
+// no longer count against the version.
 func (v View) Resume(by string) (*State, error) {
 	if v.Last != nil && v.Last.Release != nil && (v.Last.Release.Phase == Running || v.Last.Release.Phase == RollingBack) {
 		return nil, nil
@@ -269,9 +268,9 @@
 	})
 }
 
-// RollBack returns what was released to the labels that it had, the newest first; what is on its way comes in first, with
-// whatever label it has by then.
-// Asked twice it is one way back: nil, nil.
+// RollBack returns the release's targets to their previous labels, the last released first. Targets that are out return
+// first, with whatever label they have by then. The call is idempotent: it returns nil, nil if a rollback was requested
+// already.
 func (s *State) RollBack(by string) (*State, error) {
 	if s != nil && s.Release != nil && (s.Release.Phase == RollingBack || s.Release.Phase == RolledBack || s.Release.Phase == Halted && s.Release.HaltedFrom == RollingBack) {
 		return nil, nil
@@ -287,7 +286,7 @@
 				t.State, t.Why = Waiting, ""
 				reached = append(reached, t)
 			case t.State == Out:
-				reached = append(reached, t) // it is let come in, then taken back
+				reached = append(reached, t) // it returns first and is rolled back then
 			default:
 				t.State = Reached // it never left its label
 				rest = append(rest, t)
@@ -301,7 +300,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, t := range next.Release.Targets { // what never came back with the new label is to come with the old one
+	for _, t := range next.Release.Targets { // targets that are out should return with their previous label
 		member := ID(next.Release.Kind, t.Name)
 		if p, out := next.Permits[member]; out && t.State == Out {
 			p.To, p.OutMs = t.From, 0
@@ -311,7 +310,7 @@
 	return next, nil
 }
 
-// retryStrayed has targets that are called back, and are seen with another label than their old one, taken back again.
+// retryStrayed puts targets of a rollback back in the queue if they are seen with another label than their previous one.
 func (d *draft) retryStrayed(r *Release) {
 	for i := range r.Targets {
 		t := &r.Targets[i]
@@ -331,7 +330,7 @@
 	}
 }
 
-// wantedLabel is the label that a target is to have now.
+// wantedLabel returns the label that a target should have in the current phase.
 func (r *Release) wantedLabel(t Target) string {
 	if r.Phase == RollingBack || r.Phase == RolledBack || r.Phase == Halted && r.HaltedFrom == RollingBack {
 		return t.From
--- a/internal/decide/outage/reload.go
+++ b/internal/decide/outage/reload.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// ForReload is what a permit is for that tuning asked for: its server is to load other weights.
+// ForReload is the purpose of a permit requested by tuning, so that its server loads other weights.
 const ForReload = "reload"
 
-// Reload is a server that should come back with another label.
+// Reload is a server that should return with another label.
 type Reload struct{ Server, To string }
 
-// compare orders wishes: an operator's first, as they came, then reloads by their turns.
+// compare orders requests: an operator's first, by Seq, then reloads by Rank.
 func (p PermitRequest) compare(o PermitRequest) int {
 	if (p.For == "") != (o.For == "") {
 		if p.For == "" {
@@ -22,8 +22,9 @@
 	return cmp.Compare(p.Seq, o.Seq)
 }
 
-// RequestReloads has the wishes for reloads be those that are wanted now, in their order: who is wished out already, or out, is
-// not wished again, and who is not wanted any more is withdrawn. nil: they are as wanted.
+// RequestReloads makes the requests for reloads match those wanted now, in their order. A member that an operator
+// requested or that is out already is not requested again, and reloads no longer wanted are withdrawn. It returns nil if
+// nothing changes.
 func (s *State) RequestReloads(wanted []Reload, by string) *State {
 	next, changed := s.clone(), false
 	next.Seq++
--- a/internal/decide/outage/reload_test.go
+++ b/internal/decide/outage/reload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Reloads are wished once, in their order, get permits after operators and releases, within the budget, and go when they
-// are not wanted any more or have come about by themselves.
+// Reloads are requested once, in their order, and get permits within the budget after operators and releases. A request
+// is dropped when the reload is no longer wanted or the server has the label already.
 func TestReloads(t *testing.T) {
 	s := (&State{}).RequestReloads([]Reload{{"s2", "w5"}, {"s1", "w5"}}, "d1")
 	if s == nil || len(s.PermitRequests) != 2 || s.RequestReloads([]Reload{{"s2", "w5"}, {"s1", "w5"}}, "d2") != nil {
@@ -27,13 +27,13 @@
 	}
 	again := next.RequestReloads([]Reload{{"s1", "w7"}, {"s2", "w6"}}, "d1")
 	if w := again.PermitRequests[ID(Server, "s2")]; len(again.PermitRequests) != 1 || w.To != "w6" {
-		t.Fatalf("what is out is not wished again: %+v", again.PermitRequests)
+		t.Fatalf("a server that is out was requested again: %+v", again.PermitRequests)
 	}
 	again.Rev, v.Last = 2, again
 	v.Reports[0].Observed["s2"] = Observation{Label: "w6"}
 	next = d.Next(v, 2*time.Second)
 	if len(next.Permits) != 2 || len(next.PermitRequests) != 0 {
-		t.Fatalf("it has reloaded by itself: %+v %+v", next.Permits, next.PermitRequests)
+		t.Fatalf("s2 has the label already: %+v %+v", next.Permits, next.PermitRequests)
 	}
 	if gone := again.RequestReloads(nil, "d1"); len(gone.PermitRequests) != 0 {
 		t.Errorf("%+v", gone.PermitRequests)
--- a/internal/decide/outage/room.go
+++ b/internal/decide/outage/room.go
@@ -5,23 +5,23 @@
 	"math"
 )
 
-// HeadroomLimit has the number of servers that may be out go with how much of the fleet is used, between two walls. Without Max
-// the number is Workers.
+// HeadroomLimit derives the number of servers that may be out from the fleet's unused capacity, between two bounds.
+// Without Max the number is Model.Workers.
 type HeadroomLimit struct {
-	// Min and Max are the walls: numbers from 1 on, or shares of all below 1. Min absent is one server; Zero lets the
-	// number fall to none.
+	// Min and Max are the bounds: numbers from 1, or shares of all below 1. Min defaults to one server; Zero allows the
+	// limit to fall to none.
 	Min  float64 `toml:"workers_min,omitzero"`
 	Max  float64 `toml:"workers_max,omitzero"`
 	Zero bool    `toml:"workers_none,omitempty"`
-	// InHand is how many requests a server of weight 1 can have at once; Fill the part of that which may be used of the
-	// servers that stay.
+	// InHand is the number of concurrent requests that a server of weight 1 can take. Fill is the share of that which
+	// the remaining servers may use.
 	InHand float64 `toml:"in_hand,omitzero"`
 	Fill   float64 `toml:"fill,omitzero"`
-	// RiseMs is for how long there must have been room for more before the number rises, in milliseconds.
+	// RiseMs is how long there must have been headroom for more servers out before the limit rises, in milliseconds.
 	RiseMs float64 `toml:"rise_ms,omitzero"`
 }
 
-// FollowsHeadroom tells whether the number follows room.
+// FollowsHeadroom reports whether the limit follows headroom.
 func (f HeadroomLimit) FollowsHeadroom() bool { return f.Max > 0 }
 
 func (f HeadroomLimit) withDefaults() HeadroomLimit {
@@ -34,7 +34,7 @@
 func (f HeadroomLimit) check() error {
 	if !f.FollowsHeadroom() {
 		if f != (HeadroomLimit{}) {
-			return &ModelError{"workers_max", f.Max, "must be set for the number to follow room"}
+			return &ModelError{"workers_max", f.Max, "must be set for the limit to follow headroom"}
 		}
 		return nil
 	}
@@ -48,7 +48,7 @@
 	}
 	switch {
 	case !(f.InHand > 0):
-		return &ModelError{"in_hand", f.InHand, "must be positive where the number follows room"}
+		return &ModelError{"in_hand", f.InHand, "must be positive where the limit follows headroom"}
 	case !(f.Fill >= 0 && f.Fill <= 1):
 		return &ModelError{"fill", f.Fill, "must be from 0 to 1"}
 	case !(f.RiseMs >= 0):
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// bounds are between which numbers of n servers the budget lies.
+// bounds returns the bounds of the limit for n servers.
 func (f HeadroomLimit) bounds(n int) (least, most int) {
 	most = limit(f.Max, n)
 	least = min(max(limit(f.Min, n), 1), most)
@@ -67,20 +67,20 @@
 	return least, most
 }
 
-// Headroom is the number that follows room, as agreed on.
+// Headroom is the agreed limit on servers out that follows headroom.
 type Headroom struct {
 	Limit       int     `json:"most"`
-	Utilization float64 `json:"used"` // the part of the fullest role's servers that was used when this was written
-	// Rising tells that there is room for more, RiseMs for how long by the deciders' clocks, Low for how many at least
-	// in that time.
+	Utilization float64 `json:"used"` // of the busiest role's servers, when this was written
+	// Rising is set while there is headroom for more servers out, RiseMs is for how long by the deciders' clocks, and
+	// LowestLimit is the lowest limit that there was headroom for in that time.
 	Rising      bool    `json:"rising,omitempty"`
 	RiseMs      float64 `json:"rise_ms,omitempty"`
 	LowestLimit int     `json:"low,omitempty"`
 }
 
-// utilization is the part that is utilization of what all servers of a role can take together, of the role that is fullest: what the
-// reports say that routers have at its servers. Where that is more it is what routers have, also what waits for a server, of
-// what all servers can take: in_hand that is too high is seen by what waits.
+// utilization returns the used share of a role's capacity, for the busiest role, by the requests that routers report at
+// its servers. If it is higher, it returns the share of the whole fleet's capacity used by all requests that routers
+// hold, including queued ones. That reveals an in_hand that is set too high, by the queue.
 func (f fleetStatus) utilization(inHand float64) (most float64) {
 	capacity, load := map[string]float64{}, map[string]float64{}
 	open, all := 0, 0.0
@@ -104,7 +104,7 @@
 	return most
 }
 
-// updateHeadroom has the number fall at once with the room there is, and rise once there was room for more all the time.
+// updateHeadroom lowers the limit at once when headroom shrinks, and raises it once there was headroom for rise_ms.
 func (d *draft) updateHeadroom() {
 	f := d.model.HeadroomLimit
 	if !f.FollowsHeadroom() {
@@ -119,7 +119,7 @@
 		d.Headroom = &Headroom{Limit: least}
 	}
 	r := *d.Headroom
-	if len(d.fleet.fresh) < d.liveRouters() { // what those have in hand that do not report is not known
+	if len(d.fleet.fresh) < d.liveRouters() { // the load of routers that do not report is unknown
 		want = min(want, max(r.Limit, least))
 	}
 	switch {
@@ -150,7 +150,7 @@
 	d.Headroom = &r
 }
 
-// serverBound is how many of all servers may be out, as the model words bounds.
+// serverBound returns the bound on servers out, in the form of the model's bounds.
 func (s *State) serverBound(m Model) float64 {
 	if s.Headroom != nil && m.FollowsHeadroom() {
 		return float64(s.Headroom.Limit)
@@ -158,7 +158,7 @@
 	return m.Workers
 }
 
-// countMatching counts what is countMatching, by permit or without, of those that a test names.
+// countMatching counts the members out that match, with a permit or without.
 func (d *draft) countMatching(match func(k Kind, site, role string) bool) (n int) {
 	for member, p := range d.Permits {
 		if k, _ := Split(member); match(k, p.Site, p.Role) && (d.broken != CountsReleasesOnly || p.For != ByHand) {
@@ -173,16 +173,16 @@
 	return n
 }
 
-// checkHeadroom looks at the number that follows checkHeadroom: it lies between the walls, and rises only after it was said to.
+// checkHeadroom checks that the headroom limit stays within its bounds and rises only after an announced delay.
 func (a *Auditor) checkHeadroom(s, before *State, m Model) {
 	if s.Headroom == nil || !m.FollowsHeadroom() {
 		return
 	}
 	least, most := m.HeadroomLimit.bounds(s.Budget.Servers)
 	if s.Headroom.Limit < least || s.Headroom.Limit > most {
-		a.report(s, "%d servers may be out, the walls are %d and %d", s.Headroom.Limit, least, most)
+		a.report(s, "%d servers may be out, the bounds are %d and %d", s.Headroom.Limit, least, most)
 	}
 	if previous := before.Headroom; previous != nil && s.Headroom.Limit > previous.Limit && !previous.Rising && before.Budget.Servers == s.Budget.Servers {
-		a.report(s, "%d servers may be out after %d, and there was no time in which there was room", s.Headroom.Limit, previous.Limit)
+		a.report(s, "%d servers may be out after %d, without a period of sufficient headroom before", s.Headroom.Limit, previous.Limit)
 	}
 }
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -10,8 +10,8 @@
 	"sumacloft/internal/standin"
 )
 
-// randomLoad draws what ten servers have in hand and how long that lasts, and says what breaks the rules: a number past
-// its walls, or above what there was room for at any look in the time before it rose. audited is what the auditor finds.
+// randomLoad draws the load of ten servers over time. faults lists limits that exceed the headroom, at present or at any
+// time in the rise period before an increase. audited lists the auditor's findings.
 func randomLoad(rt *rapid.T, broken outage.Fault) (faults, audited []string) {
 	m := outage.Model{Routers: 1, ReportMs: 1000, HeadroomLimit: outage.HeadroomLimit{Min: 1, Max: 4, InHand: 10, Fill: 0.8, RiseMs: 20_000}}
 	audit := outage.Auditor{Model: func(int64) (outage.Model, bool) { return m, true }}
@@ -44,12 +44,12 @@
 			next.Rev = rev
 			most := next.Headroom.Limit
 			if most > limit {
-				faults = append(faults, "more than there is room for")
+				faults = append(faults, "the limit exceeds the headroom")
 			}
 			if last != nil && most > last.Headroom.Limit {
 				for _, l := range looks {
 					if now-l.at <= 20*time.Second && l.fits < most {
-						faults = append(faults, "it rose over what there was room for a while ago")
+						faults = append(faults, "the limit rose above the headroom of the rise period")
 					}
 				}
 			}
@@ -60,7 +60,8 @@
 	return faults, audit.Faults
 }
 
-// The number keeps between its walls, falls at once and rises after its time; what does not is found.
+// The limit stays within its bounds, falls at once and rises after its delay. The auditor detects deciders that do
+// otherwise.
 func TestServerLimitFollowsHeadroom(t *testing.T) {
 	standin.Steady(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -75,7 +76,7 @@
 				found++
 			}
 		})
-		if t.Logf("%s: found in %d drawn days", broken, found); found == 0 {
+		if t.Logf("%s: found in %d random runs", broken, found); found == 0 {
 			t.Errorf("%s was not found", broken)
 		}
 	}
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -13,8 +13,8 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// randomRun is a life in which routers see servers differently: some are silent to some, listed by some, of another start or label
-// to some, with equal numbers on both sides. Each decision on the way goes into a hash.
+// randomRun simulates a fleet whose routers observe servers differently: silent to some, missing from some lists, with
+// different boots or labels, and with ties. Every decision made is written to the hash.
 func randomRun(seed uint64, hash *xxhash.Digest) (states int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	routers, servers := 2+rng.IntN(8), 4+rng.IntN(30)
@@ -41,7 +41,7 @@
 			}
 		}
 		if last != nil {
-			for member, p := range last.Permits { // each by itself: their order is of no matter
+			for member, p := range last.Permits { // each is independent: the order does not matter
 				var i int
 				if n, _ := fmt.Sscanf(member, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
 					labels[i], downs[i] = p.To, now
@@ -114,9 +114,9 @@
 	return states
 }
 
-// Decisions are what they were, byte for byte: the step was made quicker under the hashes 603c92f26f2d8c7a (60 lives) and
-// 658905f248a7b820 (8), which changed when deciders began to count the time until they read what they had written. Who changes a
-// decision on purpose changes the hash with it.
+// Decisions must not change, byte for byte. The hashes were 603c92f26f2d8c7a (60 runs) and 658905f248a7b820 (8 runs)
+// while the step was optimised; they changed when deciders began to count the time before a written state is read back.
+// A deliberate change to a decision changes the hash with it.
 func TestDecisionHashesUnchanged(t *testing.T) {
 	want, lives := "509 states, ef87ff02aef8325d", uint64(8)
 	if os.Getenv("LAB_LONG") != "" {
--- a/internal/decide/outage/search/rules.go
+++ b/internal/decide/outage/search/rules.go
@@ -7,22 +7,22 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// checkTransition names the rules that a state breaks in the place of the one before it. The auditor's are those that hold of any
-// history; here the truth is known besides.
+// checkTransition returns the rules that a state breaks as the successor of another one. The auditor checks rules that
+// hold for any history. The others compare the state with the true state of the fleet.
 func checkTransition(before, next *outage.State, w *world, majority labels) []string {
-	a := outage.Auditor{Model: func(int64) (outage.Model, bool) { return model(w.lowered), true }} // in force as it is written
+	a := outage.Auditor{Model: func(int64) (outage.Model, bool) { return model(w.lowered), true }} // the model in force when the state is written
 	a.StartFrom(before)
 	a.Check(next)
 	faults := a.Faults
 	for j, member := range memberIDs {
 		p, out := next.Permits[member]
 		previous := before.Permits[member]
-		// What was replaced already nobody stops for this permit.
+		// A server that was replaced already is not stopped under this permit.
 		if out && p.Stage == outage.Acknowledged && p.Boot[0] == w.servers[j].boot && !p.Serve {
 			faults = append(faults, w.sendersTo(member)...)
 		}
 		if ended := previous.ID != 0 && previous.ID != p.ID; ended && !previous.Serve && w.servers[j].boot == previous.Boot[0] {
-			faults = append(faults, fmt.Sprintf("%s: permit %d ended, and it was never away", member, previous.ID))
+			faults = append(faults, fmt.Sprintf("%s: permit %d ended, but the server was never stopped", member, previous.ID))
 		}
 	}
 	r := next.Release
@@ -35,18 +35,19 @@
 	return faults
 }
 
-// sendersTo names the routers that serve and send to a server that may be stopped.
+// sendersTo reports the routers that serve and still send to a server that may be stopped.
 func (w *world) sendersTo(member string) (faults []string) {
 	for i, r := range w.routers {
 		if r.up && r.registered && r.sends[member[len(member)-1]-'1'] {
-			faults = append(faults, fmt.Sprintf("%s may be stopped and %s sends to it", member, routerNames[i]))
+			faults = append(faults, fmt.Sprintf("%s may be stopped while %s sends to it", member, routerNames[i]))
 		}
 	}
 	return faults
 }
 
-// checkRolledBack looks at the end of a way back: each target is at its old label, or named with what holds it. What started with
-// another label so late that most routers had not reported it as the decision was made, nobody could know.
+// checkRolledBack checks the end of a rollback: each target has its previous label, or is recorded with what blocks it.
+// A server that started with another label is not held against the decider if most routers had not reported it when the
+// decision was made.
 func (w *world) checkRolledBack(majority labels) (faults []string) {
 	for _, t := range w.state.Release.Targets {
 		j := slices.Index(serverNames[:], t.Name)
@@ -54,15 +55,15 @@
 		switch {
 		case t.State == outage.Blocked && t.Why != "":
 		case t.State != outage.Reached:
-			faults = append(faults, fmt.Sprintf("the way back is over and %s is %s", t.Name, t.State))
+			faults = append(faults, fmt.Sprintf("the rollback ended while %s is %s", t.Name, t.State))
 		case s.label() != t.From && majority[j] == s.label():
-			faults = append(faults, fmt.Sprintf("the way back is over and %s has label %q", t.Name, s.label()))
+			faults = append(faults, fmt.Sprintf("the rollback ended while %s has label %q", t.Name, s.label()))
 		}
 	}
 	return faults
 }
 
-// majorityLabels gives the labels that majorityLabels of the registered routers that report have of servers.
+// majorityLabels returns the labels that most registered routers report of the servers.
 func (w *world) majorityLabels() (out labels) {
 	for j := range out {
 		olds, news := 0, 0
@@ -84,7 +85,8 @@
 	return out
 }
 
-// checkRollback tells whether a way back from here comes to its end once all is mended: routers and servers up, the deployer at work.
+// checkRollback reports whether a rollback from this state finishes after recovery: all routers and servers up and the
+// deployer working.
 func (w world) checkRollback(broken Fault) (faults []string) {
 	for i := range w.routers {
 		r := &w.routers[i]
@@ -100,14 +102,14 @@
 	if next, err := w.view().Resume("op"); err == nil && next != nil {
 		w.state = next
 	}
-	for _, member := range memberIDs { // nothing stays out by hand
+	for _, member := range memberIDs { // return servers drained by hand to service
 		if next := w.state.Serve(member, "op"); next != nil {
 			w.state = next
 		}
 	}
 	for range 60 {
 		if w.state.Release.Phase == outage.RolledBack {
-			return nil // judged as it was written
+			return nil // checked when the state was written
 		}
 		for j, member := range memberIDs {
 			p, out := w.state.Permits[member]
@@ -131,5 +133,5 @@
 			return faults
 		}
 	}
-	return []string{"a way back from here has no end"}
+	return []string{"a rollback from here does not finish"}
 }
--- a/internal/decide/outage/search/search.go
+++ b/internal/decide/outage/search/search.go
@@ -7,37 +7,37 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// Options say what is searched.
+// Options configures a search.
 type Options struct {
 	Bounds Bounds `json:"bounds"`
 	Broken Fault  `json:"broken,omitempty"`
-	// Depth and States end a search early; 0: it goes to its end.
+	// Depth and States end a search early; 0 means no limit.
 	Depth  int `json:"most_depth,omitempty"`
 	States int `json:"most_states,omitempty"`
-	// RollbackEvery has a way back tried to its end from one state in so many; 0: from none.
+	// RollbackEvery tries a rollback to its end from one state in so many; 0: from none.
 	RollbackEvery uint64 `json:"finish,omitempty"`
-	// OnLevel is told of each depth that was searched.
+	// OnLevel is called after each depth that was searched.
 	OnLevel func(Result) `json:"-"`
 }
 
-// Result is what was searched and found.
+// Result is the outcome of a search or a random walk.
 type Result struct {
-	States    int      `json:"states"` // that differ
-	Steps     int      `json:"steps"`  // that were taken
-	Depth     int      `json:"depth"`  // of the deepest state
-	Rollbacks int      `json:"ways"`   // ways back that were tried to their end
-	Complete  bool     `json:"whole"`  // there is no state that was not looked at
-	Faults    []string `json:"faults,omitempty"`
-	Trace     Trace    `json:"-"` // to the first finding, the shortest there is
+	States    int      `json:"states"`           // distinct states
+	Steps     int      `json:"steps"`            // events applied
+	Depth     int      `json:"depth"`            // of the deepest state
+	Rollbacks int      `json:"ways"`             // rollbacks tried to their end
+	Complete  bool     `json:"whole"`            // every reachable state was searched
+	Faults    []string `json:"faults,omitempty"` // rules that were broken
+	Trace     Trace    `json:"-"`                // the events leading to the first fault; the shortest such trace if found by a search
 }
 
-// node is how a state was come to.
+// node records how a state was reached.
 type node struct {
 	parent int32
 	event  event
 }
 
-// Run searches. It ends at the first finding.
+// Run searches breadth-first and stops at the first fault.
 func (o Options) Run() Result {
 	w := initialWorld(o.Bounds)
 	key, buf := w.hash(nil)
@@ -101,7 +101,7 @@
 	return out
 }
 
-// Replay has a trace happen again; it gives the states that were written, and the rules that the last of its events broke.
+// Replay applies a trace again. It returns the states that were written, and the rules that the last event broke.
 func (o Options) Replay(t Trace) (states []*outage.State, faults []string) {
 	w := initialWorld(o.Bounds)
 	states = append(states, w.state)
@@ -118,8 +118,8 @@
 	return states, faults
 }
 
-// Walk has events happen as a seed draws them, deeper than a search comes; what breaks a rule is cut down to the events
-// that it takes, by leaving out one after the other.
+// Walk applies random events drawn from a seed, to greater depth than a search reaches. A trace that breaks a rule is
+// reduced to the events it needs, by removing one after another.
 func (o Options) Walk(seed uint64, length int) (out Result) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	w := initialWorld(o.Bounds)
@@ -127,7 +127,7 @@
 	for range length {
 		enabled = w.events(enabled)
 		e := enabled[rng.IntN(len(enabled))]
-		if e.op > opRegister && e.op != opStopServer && rng.IntN(4) > 0 { // what happens rarely is not to be over at once
+		if e.op > opRegister && e.op != opStopServer && rng.IntN(4) > 0 { // do not use up rare events early
 			continue
 		}
 		out.Trace = append(out.Trace, e)
@@ -146,7 +146,7 @@
 	return out
 }
 
-// shrink leaves out events as long as a rule is broken all the same.
+// shrink removes events as long as a rule is still broken.
 func (o Options) shrink(t Trace, recovered bool) Trace {
 	for i := len(t) - 1; i >= 0; i-- {
 		shorter := slices.Delete(slices.Clone(t), i, i+1)
@@ -157,8 +157,8 @@
 	return t
 }
 
-// reproduces tells whether a trace's events may all happen, and the last of them breaks a rule, or the way back that follows once
-// all is mended.
+// reproduces reports whether the events of a trace are all possible and the last one breaks a rule, or, after recovery,
+// the rollback that follows does.
 func (o Options) reproduces(t Trace, recovered bool) bool {
 	w := initialWorld(o.Bounds)
 	for i, e := range t {
--- a/internal/decide/outage/search/search_test.go
+++ b/internal/decide/outage/search/search_test.go
@@ -13,10 +13,11 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// allOnce is one of everything: its states have no end worth waiting for, so it is searched as far as a bound.
+// allOnce allows one event of nearly every kind. Its state space is too large for a full search, so searches are
+// limited.
 var allOnce = Bounds{ServerCrashes: 1, RouterCrashes: 1, DeciderPauses: 1, WrongLabels: 1, Regressions: 1, Halts: 1, Resumes: 1, Rollbacks: 2, BudgetCuts: 1, DrainRequests: 1}
 
-// checkNoFaults searches the decider as it is; what is found fails the test with a line to play again.
+// checkNoFaults searches the unmodified decider. A fault fails the test with a trace that can be replayed.
 func checkNoFaults(t *testing.T, o Options) {
 	t.Helper()
 	start := time.Now()
@@ -31,7 +32,7 @@
 		t.Errorf("%v\n%s", r.Faults, r.Trace)
 	}
 	if !r.Complete && r.States < o.States && r.Depth < o.Depth {
-		t.Errorf("it ended early: %+v", r)
+		t.Errorf("the search ended early: %+v", r)
 	}
 }
 
@@ -40,7 +41,7 @@
 	checkNoFaults(t, Options{Bounds: allOnce, States: 3000, RollbackEvery: 64})
 }
 
-// Deeper than any search: walks of 300 steps with all that may happen, each by its seed.
+// Random walks of 300 events of every kind, deeper than a search reaches, each with its own seed.
 func TestRandomWalks(t *testing.T) {
 	walks := 25
 	if os.Getenv("LAB_LONG") != "" {
@@ -53,15 +54,15 @@
 			t.Fatalf("seed %d: %v\n%s", seed, r.Faults, r.Trace)
 		}
 	}
-	t.Logf("%d walks of %d steps in all, %d of them to the end of a way back", walks, steps, ways)
+	t.Logf("%d walks with %d steps in total, %d rollbacks tried to their end", walks, steps, ways)
 }
 
-// The whole of what can be walked: make search. Counts go to stdout as lines of JSON, progress to stderr.
+// The full search, run by make search. Counts go to stdout as lines of JSON, progress to stderr.
 func TestSearchWhole(t *testing.T) {
 	if os.Getenv("LAB_LONG") == "" {
-		t.Skip("LAB_LONG=1 walks it all")
+		t.Skip("set LAB_LONG=1 for the full search")
 	}
-	most := 1_000_000 // of each
+	most := 1_000_000 // of each kind
 	if n, err := strconv.Atoi(os.Getenv("STATES")); err == nil {
 		most = n
 	}
@@ -79,7 +80,7 @@
 	}
 }
 
-// What breaks a rule on purpose is found, by the fewest steps there are, and found again when they are played.
+// Each fault is detected by the shortest trace there is, and detected again when the trace is replayed.
 func TestSearchDetectsFaults(t *testing.T) {
 	for _, c := range []struct {
 		broken Fault
@@ -98,14 +99,14 @@
 			t.Fatal(err)
 		}
 		if _, faults := o.Replay(again); len(faults) == 0 {
-			t.Errorf("%s is not found again by %s", c.broken, r.Trace)
+			t.Errorf("%s is not detected again by %s", c.broken, r.Trace)
 		}
 		o.Broken = ""
 		if _, faults := o.Replay(again); len(faults) > 0 {
-			t.Errorf("%s: without it the same steps break %v", c.broken, faults)
+			t.Errorf("%s: without the fault the same steps break %v", c.broken, faults)
 		}
 	}
 	if _, err := ParseTrace("read r9"); err == nil {
-		t.Error("a word that says nothing was taken")
+		t.Error("a word that names no event was accepted")
 	}
 }
--- a/internal/decide/outage/search/steps.go
+++ b/internal/decide/outage/search/steps.go
@@ -8,38 +8,38 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// op is what may happen.
+// op is a kind of event.
 type op uint8
 
 const (
-	opReport      op = iota // a router follows the state and reports what it sees
-	opRead                  // a decider reads and decides
-	opReadAged              // after it has seen the state stand for a unit
-	opReadExpired           // and believes none of the routers that are stopped or dead
-	opWrite                 // what it decided goes to the store
-	opPause
-	opUnpause
-	opLapse       // a registration ends
-	opRegister    // a router registers, and reads what is out before it serves
-	opRouterCrash // a router dies
-	opServerCrash // a server dies
-	opStopServer  // the deployer stops a server that is clear
-	opStartOld    // a server starts with a label
-	opStartNew
-	opRegress // from now on routers see the new version fail
-	opHalt
-	opResume
-	opRollBack
-	opCutBudget
-	opRequestPermit // a server by hand
-	opServe
+	opReport        op = iota // a router follows the state and reports what it observes
+	opRead                    // a decider reads and decides
+	opReadAged                // likewise, having seen the state for a time unit
+	opReadExpired             // likewise, ignoring reports of paused or crashed routers
+	opWrite                   // a decider writes its decision
+	opPause                   // a decider is paused
+	opUnpause                 // it continues
+	opLapse                   // a registration expires
+	opRegister                // a router registers, and reads the state before it serves
+	opRouterCrash             // a router crashes
+	opServerCrash             // a server crashes
+	opStopServer              // the deployer stops a server with an acknowledged permit
+	opStartOld                // a server starts with the old label
+	opStartNew                // a server starts with the new label
+	opRegress                 // routers see the new version fail from now on
+	opHalt                    // an operator halts the release
+	opResume                  // an operator resumes it
+	opRollBack                // an operator rolls it back
+	opCutBudget               // the policy's budget is lowered
+	opRequestPermit           // an operator requests a permit for a server
+	opServe                   // an operator returns a server to service
 	opCount
 )
 
 var opNames = [opCount]string{"report", "read", "read-aged", "read-deaf", "write", "stop", "go", "lapse", "enter", "end", "crash", "take", "old", "new",
 	"worse", "halt", "resume", "back", "lower", "ask", "serve"}
 
-// event is an op with what it happens to.
+// event is an op and the router or server it happens to.
 type event struct {
 	op op
 	at uint8 // index of the router or server
@@ -55,7 +55,7 @@
 	return opNames[e.op] + " " + routerNames[e.at]
 }
 
-// Trace is what happened, one thing after the other; its words can be played again.
+// Trace is a sequence of events. Its text form can be parsed and replayed.
 type Trace []event
 
 func (t Trace) String() string {
@@ -66,17 +66,17 @@
 	return strings.Join(out, ", ")
 }
 
-// TraceError names a word of a trace that says nothing.
+// TraceError reports a word of a trace that names no event.
 type TraceError struct{ Word string }
 
 func (e *TraceError) Error() string {
-	return fmt.Sprintf("trace: %q is nothing that happens to a fleet of this size", e.Word)
+	return fmt.Sprintf("trace: %q is not an event of a fleet of this size", e.Word)
 }
 
-// Advice says what an operator can do.
-func (e *TraceError) Advice() string { return "copy the line of the finding whole" }
+// Advice tells the operator how to correct the trace.
+func (e *TraceError) Advice() string { return "copy the whole line of the trace" }
 
-// ParseTrace reads what String wrote.
+// ParseTrace parses what String returns.
 func ParseTrace(text string) (out Trace, err error) {
 	for word := range strings.SplitSeq(text, ", ") {
 		found := false
@@ -94,11 +94,11 @@
 	return out, nil
 }
 
-// events are what may happen next.
+// events returns the possible next events.
 func (w *world) events(out []event) []event {
 	out = out[:0]
 	add := func(o op, at int) { out = append(out, event{o, uint8(at)}) }
-	expirable := false // some report may be disbelieved
+	expirable := false // some router's reports may be too old to use
 	for _, r := range w.routers {
 		expirable = expirable || (r.paused || !r.up) && r.registered
 	}
@@ -173,7 +173,7 @@
 	return out
 }
 
-// adoptState has a router go by the state that stands.
+// adoptState has a router follow the stored state.
 func (w *world) adoptState(i int) {
 	r := &w.routers[i]
 	r.stateSeq = w.state.Seq
@@ -183,15 +183,15 @@
 	}
 }
 
-// applyOrder writes what an operator asked for, if anything.
+// applyOrder writes the result of an operator's order, if there is one.
 func (w *world) applyOrder(next *outage.State, err error) []string {
-	if err != nil || next == nil { // refused, or nothing to be done
+	if err != nil || next == nil { // refused, or nothing to do
 		return nil
 	}
 	return w.store(next, w.majorityLabels())
 }
 
-// store has a state take the place of the one in the store; by is what it was made on.
+// store replaces the stored state. majority holds the labels that most routers reported when the decision was made.
 func (w *world) store(next *outage.State, majority labels) []string {
 	before := w.state
 	w.state = next
@@ -199,7 +199,7 @@
 	return checkTransition(before, next, w, majority)
 }
 
-// apply has an event apply; it gives the rules that were broken by it.
+// apply applies an event and returns the rules that it broke.
 func (w *world) apply(e event, broken Fault) []string {
 	r, s := &w.routers[e.at], &w.servers[e.at]
 	switch e.op {
@@ -265,7 +265,7 @@
 		w.remaining.Rollbacks--
 		next, err := w.state.RollBack("op")
 		if next != nil && err == nil && w.rolledBack {
-			return []string{"a second back is another way back"}
+			return []string{"a second rollback request started another rollback"}
 		}
 		w.rolledBack = w.rolledBack || next != nil && err == nil
 		return w.applyOrder(next, err)
@@ -285,7 +285,8 @@
 	return nil
 }
 
-// write is the carrier's: it compares what the decision was made on, and that its maker is registered.
+// write does what the decider's caller does: it writes only if the revision, the policy and the writer's registration
+// are unchanged.
 func (w *world) write(i int, broken Fault) []string {
 	p, r := w.pending[i], w.routers[i]
 	w.pending[i] = pendingWrite{}
@@ -297,14 +298,14 @@
 	}
 	var faults []string
 	if !r.registered {
-		faults = append(faults, "a router wrote whose registration has ended")
+		faults = append(faults, "a router wrote after its registration ended")
 	}
 	faults = append(faults, w.store(p.next, p.labels)...)
 	w.adoptState(i)
 	return faults
 }
 
-// initialWorld is a fleet in which all know each other, with a release that has just begun.
+// initialWorld returns a fleet in which all routers know each other and a release has just begun.
 func initialWorld(b Bounds) world {
 	w := world{remaining: b}
 	for i := range FleetSize {
@@ -317,7 +318,7 @@
 	w.state = w.decide(0, false, false, "")
 	next, err := w.view().Start(outage.Spec{Name: "up", Kind: outage.Server, To: "new", Order: "name", Waves: []float64{1, 2}}, "op")
 	if err != nil {
-		panic(err) // the spec is this program's own
+		panic(err) // the spec is fixed
 	}
 	w.state = next
 	w.rev = 2
@@ -328,7 +329,8 @@
 	return w
 }
 
-// dropStaleWrites forgets decisions that can't be written any more: to write them changes nothing.
+// dropStaleWrites drops decisions that can't be written any more. This does not change behaviour, but merges equal
+// states.
 func (w *world) dropStaleWrites(broken Fault) {
 	compares := !slices.Contains([]Fault{NoRevision, outage.NoFence}, broken)
 	for i := range w.pending {
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -1,10 +1,11 @@
-// Package search walks all states that a small fleet can come to under the real decider of outages: three routers of which
-// two decide, three servers under one release, and whatever may happen between a reading and its writing. It is breadth-first,
-// so what it finds first is found by the fewest steps, and each finding is a line of words that can be played again.
+// Package search explores all states that a small fleet can reach under the real outage decider: three routers of which
+// two decide, three servers under one release, and any event between a read and the write that follows. The search is
+// breadth-first, so a fault is found by the fewest events, and its trace can be replayed.
 //
-// Time is abstract: between any two steps as much may pass as one likes, so each reading is tried with the state just seen
-// and with it seen for a unit, which is as long as the model's bounds but return_ms (two units). Whose turn it is is left out:
-// whoever decides may write at any time, which turns only make rarer. So all that a fleet of this size does is among what is searched.
+// Time is abstract. Any amount may pass between two steps, so each read is tried with a state just seen and with one
+// seen for a time unit. The unit equals the model's durations, except return_ms, which is two units. Turns are not
+// modelled: either decider may write at any time. Turns only rule out some of these interleavings, so every behaviour of
+// a fleet of this size is searched.
 package search
 
 import (
@@ -16,39 +17,39 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// FleetSize of the fleet: routers and servers, and how many of the routers decide.
+// Number of routers and of servers, and how many of the routers decide.
 const (
 	FleetSize = 3
 	Deciders  = 2
 )
 
-// Fault is a rule that the carrier of the decider breaks on purpose; those of the decider are its own.
+// Fault is a rule broken on purpose, by the decider or by its caller.
 type Fault = outage.Fault
 
-// The carrier's faults, besides outage.NoFence, which has both.
+// Faults of the caller, which writes the state. outage.NoFence combines the first two.
 const (
-	NoRegistration Fault = "no-registration" // a write does not compare the writer's registration
-	NoRevision     Fault = "no-revision"     // a write does not compare the state's revision
-	NoPolicy       Fault = "no-policy"       // a write does not compare the policy that its budget is from
+	NoRegistration Fault = "no-registration" // a write is not fenced by the writer's registration
+	NoRevision     Fault = "no-revision"     // a write is not fenced by the state's revision
+	NoPolicy       Fault = "no-policy"       // a write is not fenced by the policy that its budget is from
 )
 
-// Bounds say how often each thing may happen in one life, so that there is an end of states.
+// Bounds limits how often each kind of event may happen, so that the state space is finite.
 type Bounds struct {
-	ServerCrashes int8 `json:"crashes"` // deaths of a server; it may return at any time, or never
-	RouterCrashes int8 `json:"ends"`    // deaths of a router; likewise
-	DeciderPauses int8 `json:"stops"`   // stops of a decider, with its registration lost meanwhile or not
-	WrongLabels   int8 `json:"odd"`     // returns under a permit with another label than the permit's
-	Regressions   int8 `json:"worse"`   // times that the new version is seen to fail
+	ServerCrashes int8 `json:"crashes"` // of a server; it may restart at any time, or never
+	RouterCrashes int8 `json:"ends"`    // of a router; it may restart at any time, or never
+	DeciderPauses int8 `json:"stops"`   // of a decider, with or without losing its registration meanwhile
+	WrongLabels   int8 `json:"odd"`     // restarts under a permit with another label than the permit's
+	Regressions   int8 `json:"worse"`   // times that the new version starts to fail
 	Halts         int8 `json:"halts"`   // by an operator
 	Resumes       int8 `json:"resumes"`
 	Rollbacks     int8 `json:"backs"`
-	BudgetCuts    int8 `json:"lowers"` // of the budget from two servers to one
-	DrainRequests int8 `json:"hands"`  // wishes by hand, each of which may be taken back
+	BudgetCuts    int8 `json:"lowers"` // from two servers to one
+	DrainRequests int8 `json:"hands"`  // requests by hand; each may be withdrawn
 }
 
 const timeUnit = 1000.0 // ms
 
-// model is the policy's; lowered, its budget is less.
+// model returns the policy's model, with a smaller budget if it was lowered.
 func model(lowered bool) outage.Model {
 	m := outage.Model{Workers: 2, Routers: 1, PauseMs: timeUnit, LostMs: timeUnit, WarmMs: timeUnit, ReturnMs: 2 * timeUnit, ReportMs: 500,
 		Halt: outage.Halt{OverMs: timeUnit, Least: 20}}
@@ -58,9 +59,9 @@
 	return m
 }
 
-// server is what is true of a server, or what a router's report says of it.
+// server is the state of a server, either the true one or as a router reports it.
 type server struct {
-	boot     byte // '1' and on
+	boot     byte // from '1'
 	newLabel bool // it has the new label
 	up       bool
 }
@@ -73,42 +74,42 @@
 }
 
 type routerReport struct {
-	boot       byte // 0: none was written
+	boot       byte // 0: there is no report
 	stateSeq   int64
 	servers    [FleetSize]server
-	failingRun string // the run for which it counted that the new version fails
+	failingRun string // the run in which it counted failures of the new version
 }
 
 type router struct {
 	up, paused bool
-	registered bool // its registration stands
+	registered bool // its registration is valid
 	boot       byte
-	stateSeq   int64           // number of the state that it goes by
-	sends      [FleetSize]bool // by that state, to which servers
+	stateSeq   int64           // Seq of the state that it follows
+	sends      [FleetSize]bool // servers it sends to under that state
 	report     routerReport
 }
 
-// pendingWrite is a decision that was made and not yet written.
+// pendingWrite is a decision that was made and not written yet.
 type pendingWrite struct {
 	next    *outage.State
 	readRev int64 // revision that was read
-	lowered bool  // the budget that was read
+	lowered bool  // whether the lowered budget was read
 	labels  labels
 }
 
-// labels are the labels that most routers reported of servers: "", "old" or "new".
+// labels holds the label that most routers reported for each server: "", "old" or "new".
 type labels [FleetSize]string
 
-// world is one state of the whole: what is true, what the store has, and what deciders are about to write.
+// world is one state of the model: the true fleet, the stored state, and the writes that deciders are about to make.
 type world struct {
-	state      *outage.State // never changed, only replaced
+	state      *outage.State // immutable; replaced as a whole
 	rev        int64
 	lowered    bool
 	servers    [FleetSize]server
 	routers    [FleetSize]router
 	pending    [Deciders]pendingWrite
 	failingRun string // the run in which the new version fails
-	rolledBack bool   // back was asked for and done
+	rolledBack bool   // a rollback was requested and accepted
 	remaining  Bounds
 }
 
@@ -118,10 +119,10 @@
 	memberIDs   = [FleetSize]string{"server/s1", "server/s2", "server/s3"}
 )
 
-// failingCounts are counts that any look halts at.
+// failingCounts are counts at which any look halts the release.
 var failingCounts = outage.Counts{Old: outage.Tally{N: 1000}, New: outage.Tally{N: 20, Failed: 20}}
 
-// view is what a reading of the store gives.
+// view returns what a read of the store returns.
 func (w *world) view() outage.View {
 	v := outage.View{Model: model(w.lowered), Version: 1, Last: w.state, Routers: make(map[string]outage.Registration, FleetSize)}
 	if w.lowered {
@@ -150,8 +151,8 @@
 	return v
 }
 
-// decide has a router make a decision: aged, the state has stood for a unit; deaf, the reports of stopped routers are not
-// believed any more.
+// decide has a router make a decision. If aged, the state was seen for a time unit. If expired, reports of paused or
+// crashed routers are too old to use.
 func (w *world) decide(i int, aged, expired bool, broken Fault) *outage.State {
 	d := outage.Decider{Me: routerNames[i], Broken: broken}
 	made := d.Step(w.view(), outage.Ages{
@@ -173,8 +174,8 @@
 	return made.Next
 }
 
-// hash is a hash of all that what follows depends on. Numbers that only grow (states, permits, starts) go in by how they
-// compare; times by how they stand to the model's bounds; what is only said, not at all.
+// hash hashes everything that future behaviour depends on. Growing numbers (states, permits, starts) are included by
+// comparison only, and durations relative to the model's bounds. Descriptive texts are left out.
 func (w *world) hash(buf []byte) (uint64, []byte) {
 	b := buf[:0]
 	b = appendFlags(b, w.lowered, w.rolledBack, w.failingRun != "" && w.run() == w.failingRun)
@@ -219,7 +220,7 @@
 	return xxhash.Sum64(b), b
 }
 
-// states are those in the store and those about to be written.
+// states returns the stored state and those about to be written.
 func (w *world) states() []*outage.State {
 	out := append(make([]*outage.State, 0, 1+Deciders), w.state)
 	for _, p := range w.pending {
@@ -247,10 +248,10 @@
 	return append(b, byte(out), byte(out>>8))
 }
 
-// units is a time by how many units it has, up to a most.
+// units returns a duration in time units, up to a maximum.
 func units(ms float64, most int) byte { return byte(min(int(ms/timeUnit), most)) }
 
-// appendState adds what follows depends on of one state.
+// appendState appends what future behaviour depends on in one state.
 func (w *world) appendState(b []byte, s *outage.State) []byte {
 	text := func(t string) { b = append(append(b, t...), 0) }
 	for i, member := range memberIDs {
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -9,110 +9,109 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Format is that of the states that this program writes.
+// Format is the format version of states written by this program.
 const Format = 1 + turn.Ahead
 
-// Kind is what can be taken out.
+// Kind is the kind of a member: server or router.
 type Kind string
 
-// The kinds.
 const (
 	Server Kind = "server"
 	Router Kind = "router"
 )
 
-// ID names a thing in the state: its kind and its name.
+// ID returns the identifier of a member: its kind and its name.
 func ID(k Kind, name string) string { return string(k) + "/" + name }
 
-// Split takes an ID apart.
+// Split splits an ID into kind and name.
 func Split(id string) (Kind, string) {
 	k, name, _ := strings.Cut(id, "/")
 	return Kind(k), name
 }
 
-// State is what a fleet has agreed on about outages. It stands in the store under one key. Times are in milliseconds and
-// only ever added to by what a decider saw pass.
+// State is the fleet's agreed record of outages, stored under one key. Durations are in milliseconds. They only grow, by
+// the time that a decider observed to pass.
 type State struct {
 	Format       int    `json:"format"`
 	Seq          int64  `json:"seq"`
-	Version      int64  `json:"version"` // of the policy whose model it was made by
+	Version      int64  `json:"version"` // of the policy whose model the state was made with
 	By           string `json:"by"`
 	Why          string `json:"why,omitempty"` // what changed with this state
-	LastPermitID int64  `json:"next"`          // number of the next permit
+	LastPermitID int64  `json:"next"`          // number of the last permit
 
-	Permits        map[string]Permit        `json:"permits,omitempty"` // by thing
-	PermitRequests map[string]PermitRequest `json:"wishes,omitempty"`  // by thing
-	Lost           map[string]Loss          `json:"lost,omitempty"`    // by thing: what is out without a permit
+	Permits        map[string]Permit        `json:"permits,omitempty"` // by member ID
+	PermitRequests map[string]PermitRequest `json:"wishes,omitempty"`  // by member ID
+	Lost           map[string]Loss          `json:"lost,omitempty"`    // by member ID: members out without a permit
 	Known          map[string]KnownRouter   `json:"known,omitempty"`   // routers by name
-	EndedPermits   []EndedPermit            `json:"past,omitempty"`    // permits that ended, the newest last
-	// Leaving have their turn, by thing, and wait for copies of what they hold.
+	EndedPermits   []EndedPermit            `json:"past,omitempty"`    // permits that ended, newest last
+	// Leaving lists the servers, by member ID, that would get a permit next and wait until their KV cache has been
+	// copied.
 	Leaving map[string]Leaving `json:"leaving,omitempty"`
-	Release *Release           `json:"release,omitempty"` // the last one
-	// Headroom is the budget of servers, where it follows room.
+	Release *Release           `json:"release,omitempty"` // the current or last release
+	// Headroom is the current limit on servers out where the policy derives it from headroom.
 	Headroom *Headroom `json:"room,omitempty"`
-	// Hindsight counts halts by what became of their versions.
+	// Hindsight counts halts by whether later evidence showed the version to be worse.
 	Hindsight Hindsight `json:"hindsight,omitzero"`
-	// Budget is what was counted for this state, for those who check it.
+	// Budget is the count made for this state, for use by checkers.
 	Budget Budget `json:"budget"`
-	// OverBudgetMs is how long losses alone have used up the budget.
+	// OverBudgetMs is how long losses alone have exhausted the budget.
 	OverBudgetMs float64 `json:"over_ms,omitempty"`
 	OverBudget   bool    `json:"over,omitempty"`
 	turn.Later
 	Rev int64 `json:"-"`
 }
 
-// Stage is how far a permit has come.
+// Stage is the stage of a permit.
 type Stage string
 
-// The stages of a permit.
 const (
-	Granted      Stage = "given"     // routers are told: nothing new goes there
-	Acknowledged Stage = "clear"     // every router that is alive has said so: it may be stopped
-	Returning    Stage = "returning" // it is seen back, and gets warm
+	Granted      Stage = "given"     // routers are informed and send no new requests to the member
+	Acknowledged Stage = "clear"     // every live router has acknowledged the permit: the member may be stopped
+	Returning    Stage = "returning" // the member is back and must answer for warm_ms
 )
 
-// Permit lets one thing be out of service.
+// Permit allows one member to be out of service.
 type Permit struct {
 	ID    int64  `json:"id"`
-	For   string `json:"for"` // "hand", or a release's name
+	For   string `json:"for"` // ByHand, ForReload or the name of a release
 	Stage Stage  `json:"stage"`
-	Seq   int64  `json:"seq"`            // of the state that gave it
-	Boot  string `json:"boot"`           // of the thing when it was given
-	Label string `json:"label"`          // likewise
-	To    string `json:"to,omitempty"`   // the label that it is to come back with
-	Site  string `json:"site,omitempty"` // of the thing
+	Seq   int64  `json:"seq"`            // of the state that granted it
+	Boot  string `json:"boot"`           // of the member when it was granted
+	Label string `json:"label"`          // of the member when it was granted
+	To    string `json:"to,omitempty"`   // the label that the member should return with
+	Site  string `json:"site,omitempty"` // of the member
 	Role  string `json:"role,omitempty"`
-	// Serve says that an operator wants it back as it is.
+	// Serve is set when an operator wants the member back in service with the label it has.
 	Serve  bool    `json:"serve,omitempty"`
-	OutMs  float64 `json:"out_ms"`  // since it was given, or since it is to come back with another label
-	BackMs float64 `json:"back_ms"` // since it was seen back
+	OutMs  float64 `json:"out_ms"`  // since it was granted, or since another return label was set
+	BackMs float64 `json:"back_ms"` // since the member was seen back
 }
 
-// PermitRequest is an operator's wish to take something out by hand.
+// PermitRequest is a request for a permit that has not been granted yet.
 type PermitRequest struct {
-	Seq        int64  `json:"seq"` // wishes are met in their order
+	Seq        int64  `json:"seq"` // requests by hand are granted in this order
 	By         string `json:"by,omitempty"`
-	WaitReason string `json:"wait,omitempty"` // why not yet
-	// For and To are what its permit is to be for, where that is not an operator's hand, and the label to come back with;
-	// Place its turn among those of its kind.
+	WaitReason string `json:"wait,omitempty"` // why it has not been granted yet
+	// For and To become the permit's; For is empty in an operator's request. Rank orders requests that are not an
+	// operator's.
 	For  string `json:"for,omitempty"`
 	To   string `json:"to,omitempty"`
 	Rank int    `json:"place,omitempty"`
 }
 
-// Loss is something that is out without a permit.
+// Loss is a member that is out without a permit.
 type Loss struct {
 	Why  string `json:"why"` // silent, drained, ended, lost site
 	Site string `json:"site,omitempty"`
 	Role string `json:"role,omitempty"`
 }
 
-// KnownRouter is a router that the fleet counts with until it is declared gone.
+// KnownRouter is a router that counts toward the fleet until it is declared gone.
 type KnownRouter struct {
 	Boot        string `json:"boot"`
 	Label       string `json:"label,omitempty"`
 	Site        string `json:"site,omitempty"`
-	StoreMember bool   `json:"hosts,omitempty"` // a member of the store
+	StoreMember bool   `json:"hosts,omitempty"` // it hosts a store member
 }
 
 // EndedPermit is a permit that has ended.
@@ -125,23 +124,23 @@
 	Seq    int64  `json:"seq"` // of the state that ended it
 }
 
-// maxEndedPermits is how many ended permits a state keeps.
+// maxEndedPermits limits the ended permits kept in a state.
 const maxEndedPermits = 64
 
-// Budget is what was counted.
+// Budget counts the members that exist, that may be out and that are out.
 type Budget struct {
-	Servers        int `json:"servers"`       // all that there are
-	ServersLimit   int `json:"servers_most"`  // that may be out
-	ServersOut     int `json:"servers_out"`   // permits and losses
-	Routers        int `json:"routers"`       // all that are known
-	RoutersLimit   int `json:"routers_most"`  //
-	RoutersOut     int `json:"routers_out"`   //
-	ServersLost    int `json:"servers_lost"`  // of ServersOut, without a permit
-	RoutersLost    int `json:"routers_lost"`  //
-	ServersGranted int `json:"servers_given"` // of ServersOut, permits that are not yet seen back
+	Servers        int `json:"servers"`       // all servers
+	ServersLimit   int `json:"servers_most"`  // servers that may be out
+	ServersOut     int `json:"servers_out"`   // with a permit, or lost
+	Routers        int `json:"routers"`       // all known routers
+	RoutersLimit   int `json:"routers_most"`  // routers that may be out
+	RoutersOut     int `json:"routers_out"`   // with a permit, or lost
+	ServersLost    int `json:"servers_lost"`  // part of ServersOut without a permit
+	RoutersLost    int `json:"routers_lost"`  // part of RoutersOut without a permit
+	ServersGranted int `json:"servers_given"` // part of ServersOut with a permit and not yet seen back
 }
 
-// clone is a copy that shares nothing that is changed.
+// clone copies the state deeply enough that changes to the copy do not affect the original.
 func (s *State) clone() *State {
 	if s == nil {
 		return &State{Format: Format, Permits: map[string]Permit{}, PermitRequests: map[string]PermitRequest{}, Lost: map[string]Loss{}, Known: map[string]KnownRouter{}, Leaving: map[string]Leaving{}}
@@ -164,7 +163,7 @@
 	return maps.Clone(m)
 }
 
-// endPermit notes the end of a permit.
+// endPermit removes a permit and records how it ended.
 func (s *State) endPermit(member, outcome, label string) {
 	p := s.Permits[member]
 	delete(s.Permits, member)
@@ -174,20 +173,21 @@
 	}
 }
 
-// RefusedError says that something can't be taken out, or a release can't be changed as asked.
+// RefusedError reports that a member can't be taken out, or that a release can't be changed as requested.
 type RefusedError struct {
-	Thing string // what was asked for
+	Thing string // what was requested
 	Why   string
 	Do    string
 }
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("%s: refused: %s", e.Thing, e.Why) }
 
-// Advice says what an operator can do.
+// Advice tells the operator what to do.
 func (e *RefusedError) Advice() string { return e.Do }
 
-// Drain notes an operator's wish to take a server out, or gives what is there: asked twice it is one wish. permitted tells
-// that it is out, or may be taken out now; what returns just now is neither: it is asked for once its permit has ended.
+// Drain records an operator's request to take a member out. The call is idempotent: next is nil if a permit or request
+// exists already. permitted reports whether the member may be stopped now. A member that is returning may not be; it can
+// be requested again once its permit has ended.
 func (s *State) Drain(member, by string) (next *State, permitted bool) {
 	if p, ok := s.permit(member); ok && p.Stage == Acknowledged && !p.Serve {
 		return nil, true
@@ -214,7 +214,8 @@
 	return p, ok
 }
 
-// Serve takes back a wish, or says that what was taken out by hand is to serve again as it is; nil: nothing was asked.
+// Serve withdraws a request, or marks a member drained by hand to return to service with the label it has. It returns
+// nil if there is neither.
 func (s *State) Serve(member, by string) *State {
 	if s == nil {
 		return nil
@@ -236,11 +237,11 @@
 	return next
 }
 
-// ByHand is what a permit is for that no release asked for.
+// ByHand is the purpose of a permit that an operator requested.
 const ByHand = "hand"
 
-// DeclareGone declares that a thing will not come back: its permit ends, and it is not counted any more. The caller answers
-// for its being down. nil: nothing is known of it.
+// DeclareGone records that a member will not return. Its permit ends and it no longer counts. The caller must make sure
+// that the member is down. It returns nil if the state knows nothing of the member.
 func (s *State) DeclareGone(member, by string) *State {
 	if s == nil {
 		return nil
@@ -275,7 +276,7 @@
 	return next
 }
 
-// Router gives what is known of a router.
+// Router returns what is known of a router.
 func (s *State) Router(name string) (KnownRouter, bool) {
 	if s == nil {
 		return KnownRouter{}, false
--- a/internal/decide/outage/tally.go
+++ b/internal/decide/outage/tally.go
@@ -6,20 +6,20 @@
 	"reflect"
 )
 
-// votes is what the routers say of one server.
+// votes counts what the reports say about one server.
 type votes struct {
 	listed, draining, probed, answering, silent int
-	first                                       process // what most say who began with it
+	first                                       process // the process that was reported first
 	others                                      []process
 }
 
-// process is a process of a server, and how many reports name it.
+// process is one start of a server, with the number of reports that name it.
 type process struct {
 	boot, label   string
-	reports, last int // last is the report that named it last
+	reports, last int // last is the index of the last report that names it
 }
 
-// addProcess notes that n reports name a process, the last of them at a place.
+// addProcess records that n reports name a process, the last of them at index last.
 func (t *votes) addProcess(s Observation, n, last int) {
 	if t.first.reports == 0 || t.first.boot == s.Boot && t.first.label == s.Label {
 		t.first = process{s.Boot, s.Label, t.first.reports + n, max(t.first.last, last)}
@@ -34,8 +34,8 @@
 	t.others = append(t.others, process{s.Boot, s.Label, n, last})
 }
 
-// majority is the process that most name, of equals the one that came to its number first; the last report of it is taken at its word for
-// what the server is.
+// majority returns the process that most reports name; among equals the one whose last report comes first. The last
+// report of it supplies the server's other attributes.
 func (t *votes) majority() process {
 	best := t.first
 	for _, o := range t.others {
@@ -46,15 +46,16 @@
 	return best
 }
 
-// sharedTable are reports that share a table of sights, as those do that were gathered.
+// sharedTable is a table of observations shared by several reports that were gathered together.
 type sharedTable struct {
 	table     map[string]Observation
 	reports   []int
-	awake     int             // of these, of routers that were not halted
-	differing map[string]bool // servers that some of them see differently
+	awake     int             // how many of these are from routers that were not suspended
+	differing map[string]bool // servers that some of the reports observe differently
 }
 
-// add counts what some reports say of one server: so many of them, those heard, the last one.
+// add counts n reports with the same observation of a server. awake of them are from routers that were not suspended,
+// and last is the index of the last one.
 func (t *votes) add(s Observation, m Model, n, awake, last int) {
 	t.listed += n
 	if s.Draining {
@@ -71,8 +72,9 @@
 	t.addProcess(s, n, last)
 }
 
-// countVotes counts what reports say, server by server, and tells how many there are. Each table of sights is read once, from its beginning to its end, however
-// many reports share it: with a thousand routers and two thousand servers looking names up would be most of a decision.
+// countVotes counts the reports' observations by server, and returns the number of servers. Each shared table is
+// iterated once, however many reports share it: with a thousand routers and two thousand servers, lookups by name would
+// take most of a decision's time.
 func countVotes(reports []Report, m Model) (int, iter.Seq2[string, *votes]) {
 	most := 0
 	for _, r := range reports {
@@ -144,7 +146,7 @@
 	}
 }
 
-// fleetTotals is what the servers are that a budget is counted against; it stays the same through a step.
+// fleetTotals are the totals that bounds refer to. They stay the same during a step.
 type fleetTotals struct {
 	site, role map[string]int
 	weight     float64
@@ -160,14 +162,14 @@
 	return s
 }
 
-// outCounts is what is out at one moment of a step, by permit or without.
+// outCounts counts the members out at one moment of a step, with a permit or without.
 type outCounts struct {
 	servers, routers int
 	site, role       map[string]int
-	weight           float64 // of servers
+	weight           float64 // of the servers
 }
 
-// outOfService counts what is out, once until the next permit is given.
+// outOfService counts the members out. The result is cached until the next permit is granted.
 func (d *draft) outOfService() *outCounts {
 	if d.outCache != nil {
 		return d.outCache
@@ -200,7 +202,8 @@
 	return g
 }
 
-// reservedWeight is the weight of those that keep their places beside a thing, and are not counted as out.
+// reservedWeight is the weight of the leaving servers that reserve a place against another member and are not counted as
+// out.
 func (d *draft) reservedWeight(other string) (weight float64) {
 	for member := range d.Leaving {
 		_, out := d.Permits[member]
@@ -211,7 +214,8 @@
 	return weight
 }
 
-// oldestSeq is the oldest state that any router follows which is alive or goes on serving; below all where one has not reported.
+// oldestSeq returns the oldest state that a router follows which is live or serves without its lease. It is the lowest
+// number if one of them has not reported.
 func (d *draft) oldestSeq() int64 {
 	if d.oldestCache != nil {
 		return *d.oldestCache
