--- a/internal/decide/outage/audit.go
+++ b/internal/decide/outage/audit.go
@@ -48,25 +48,25 @@
 	if s.Seq != before.Seq+1 && a.last != nil {
 		a.report(s, "follows seq %d: a state was written over another", before.Seq)
 	}
-	fresh, sites := map[Kind]bool{}, map[string]bool{}
+	grantedKinds, grantedSites := map[Kind]bool{}, map[string]bool{}
 	for _, member := range slices.Sorted(maps.Keys(s.Permits)) {
 		p := s.Permits[member]
-		was, existed := before.Permits[member]
-		if existed && was.ID == p.ID {
+		previous, existed := before.Permits[member]
+		if existed && previous.ID == p.ID {
 			continue
 		}
 		kind, _ := Split(member)
-		fresh[kind] = true
+		grantedKinds[kind] = true
 		if kind == Server && p.Site != "" {
-			sites[p.Site] = true
+			grantedSites[p.Site] = true
 		}
 		a.Permits++
 		if a.granted[p.ID] {
 			a.report(s, "permit %d was granted before", p.ID)
 		}
 		a.granted[p.ID] = true
-		if existed && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == was.ID }) {
-			a.report(s, "%s: permit %d replaced %d, which has not ended", member, p.ID, was.ID)
+		if existed && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == previous.ID }) {
+			a.report(s, "%s: permit %d replaced %d, which has not ended", member, p.ID, previous.ID)
 		}
 		if s.Release != nil && s.Release.Phase == Halted {
 			a.report(s, "%s: permit %d was granted while release %s is halted", member, p.ID, s.Release.Name)
@@ -75,12 +75,12 @@
 			a.report(s, "%s: permit %d is for %s, which is not running", member, p.ID, p.For)
 		}
 	}
-	a.checkBudget(s, before, fresh, sites)
+	a.checkBudget(s, before, grantedKinds, grantedSites)
 	a.checkCopyWaits(s)
 	a.checkEnded(s, before)
 	a.checkHindsight(s, before)
 	for member := range s.Lost {
-		if _, was := before.Lost[member]; !was {
+		if _, known := before.Lost[member]; !known {
 			a.Lost++
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // checkBudget checks a state that granted permits to members of some kinds, at some sites, against the budget.
-func (a *Auditor) checkBudget(s, before *State, fresh map[Kind]bool, sites map[string]bool) {
+func (a *Auditor) checkBudget(s, before *State, grantedKinds map[Kind]bool, grantedSites map[string]bool) {
 	m, known := a.Model(s.Version)
 	if !known {
 		return
@@ -124,19 +124,19 @@
 		add(member, p.Site)
 	}
 	for member, l := range s.Lost {
-		if _, both := s.Permits[member]; both {
+		if _, permitted := s.Permits[member]; permitted {
 			a.report(s, "%s is counted as lost and has a permit", member)
 			continue
 		}
 		add(member, l.Site)
 	}
-	if most := limit(s.serverBound(m), s.Budget.Servers); fresh[Server] && out[Server] > most {
+	if most := limit(s.serverBound(m), s.Budget.Servers); grantedKinds[Server] && out[Server] > most {
 		a.report(s, "a permit was given with %d servers out, %d may be", out[Server], most)
 	}
-	if most := limit(m.Routers, s.Budget.Routers); fresh[Router] && out[Router] > most {
+	if most := limit(m.Routers, s.Budget.Routers); grantedKinds[Router] && out[Router] > most {
 		a.report(s, "a permit was given with %d routers out, %d may be", out[Router], most)
 	}
-	for _, name := range slices.Sorted(maps.Keys(sites)) {
+	for _, name := range slices.Sorted(maps.Keys(grantedSites)) {
 		if m.WorkersSite >= 1 && site[name] > int(m.WorkersSite) {
 			a.report(s, "a permit was given with %d servers of site %s out, %g may be", site[name], name, m.WorkersSite)
 		}
@@ -145,10 +145,10 @@
 
 // checkEnded checks the permits that ended.
 func (a *Auditor) checkEnded(s, before *State) {
-	newly := map[int64]EndedPermit{}
+	endedNow := map[int64]EndedPermit{}
 	for _, p := range s.EndedPermits {
 		if p.Seq == s.Seq {
-			newly[p.ID] = p
+			endedNow[p.ID] = p
 			a.Ended++
 			if a.endCount[p.ID]++; a.endCount[p.ID] > 1 {
 				a.report(s, "permit %d has ended twice", p.ID)
@@ -156,10 +156,10 @@
 		}
 	}
 	for member, p := range before.Permits {
-		if now, stands := s.Permits[member]; stands && now.ID == p.ID {
+		if now, exists := s.Permits[member]; exists && now.ID == p.ID {
 			continue
 		}
-		end, ok := newly[p.ID]
+		end, ok := endedNow[p.ID]
 		switch {
 		case !ok:
 			a.report(s, "%s: permit %d disappeared without a recorded end", member, p.ID)
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -211,7 +211,7 @@
 		}
 	}
 	for _, member := range slices.Sorted(maps.Keys(lost)) {
-		if was, ok := d.Lost[member]; !ok || was.Why != lost[member].Why {
+		if previous, ok := d.Lost[member]; !ok || previous.Why != lost[member].Why {
 			d.note("%s is lost: %s", member, lost[member].Why)
 		}
 	}
@@ -257,8 +257,8 @@
 		}
 		switch p.Stage {
 		case Granted:
-			empty := kind != Router || d.fleet.reported[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
-			if d.acknowledged(p.Seq) && empty || d.broken == SkipsAcknowledgement {
+			drained := kind != Router || d.fleet.reported[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
+			if d.acknowledged(p.Seq) && drained || d.broken == SkipsAcknowledgement {
 				p.Stage = Acknowledged
 			}
 		}
@@ -366,17 +366,17 @@
 		d.totals = d.fleet.totals()
 	}
 	for _, b := range [...]struct {
-		what, of string
-		bound    float64
-		all, out int
-		match    func(k Kind, s, r string) bool
+		noun, qualifier string
+		bound           float64
+		all, out        int
+		match           func(k Kind, s, r string) bool
 	}{
 		{"servers", "", d.serverBound(d.model), d.Budget.Servers, outNow.servers, func(k Kind, _, _ string) bool { return k == Server }},
 		{"servers of site ", site, d.model.WorkersSite, d.totals.site[site], outNow.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
 		{"servers of role ", role, d.model.WorkersRole, d.totals.role[role], outNow.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
 	} {
 		if out, most := b.out+d.reservedCount(member, b.match), limit(b.bound, b.all); out >= most+extra {
-			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.what+b.of, most)
+			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.noun+b.qualifier, most)
 		}
 	}
 	all, left := d.totals.weight, d.totals.weight-outNow.weight-d.reservedWeight(member)
--- a/internal/decide/outage/facts.go
+++ b/internal/decide/outage/facts.go
@@ -132,9 +132,9 @@
 		f.routers = append(f.routers, r.Router)
 		f.copies = f.copies || r.Copies
 	}
-	n, tallies := countVotes(f.fresh, m)
+	n, byServer := countVotes(f.fresh, m)
 	f.servers = make(map[string]serverStatus, n)
-	for id, t := range tallies {
+	for id, t := range byServer {
 		if 2*t.listed <= len(f.fresh) && len(f.fresh) > 1 { // most routers do not list it: it was removed
 			continue
 		}
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -75,11 +75,11 @@
 		}
 		report := outage.Report{Router: name, Boot: r.boot, StateSeq: r.stateSeq, DrainedPermit: r.drainedPermit, Rev: r.rev, StoreMember: name != "d6", Applied: 1000, Copies: f.copies, Observed: map[string]outage.Observation{}}
 		for id, s := range f.servers {
-			sight := outage.Observation{Site: s.site, Role: "chat", Boot: s.boot, Label: s.label, Probed: true}
+			observation := outage.Observation{Site: s.site, Role: "chat", Boot: s.boot, Label: s.label, Probed: true}
 			if !s.up {
-				sight.SilentMs = float64((f.now - s.downAt) / time.Millisecond)
+				observation.SilentMs = float64((f.now - s.downAt) / time.Millisecond)
 			}
-			report.Observed[id] = sight
+			report.Observed[id] = observation
 		}
 		if rel := f.release(); rel != nil && name == "d1" {
 			report.Release, report.Counts = rel.Run, f.counts[rel.Run]
--- a/internal/decide/outage/halt.go
+++ b/internal/decide/outage/halt.go
@@ -29,18 +29,18 @@
 	Failed int64 `json:"failed,omitempty"`
 	Late   int64 `json:"late,omitempty"`
 	// FirstToken is a histogram of times to the first token, in powers of two of a millisecond.
-	FirstToken [FirstBuckets]int64 `json:"first,omitzero"`
+	FirstToken [FirstTokenBuckets]int64 `json:"first,omitzero"`
 }
 
-// FirstBuckets is the number of buckets in Tally.FirstToken.
-const FirstBuckets = 18
+// FirstTokenBuckets is the number of buckets in Tally.FirstToken.
+const FirstTokenBuckets = 18
 
 // Bucket returns the bucket in Tally.FirstToken of a time in milliseconds.
 func Bucket(ms float64) int {
 	if ms < 1 {
 		return 0
 	}
-	return min(int(math.Log2(ms))+1, FirstBuckets-1)
+	return min(int(math.Log2(ms))+1, FirstTokenBuckets-1)
 }
 
 // Add adds another tally.
@@ -72,10 +72,10 @@
 
 // Expected holds the numbers of events expected of the new version among those of both.
 type Expected struct {
-	Failed     float64               `json:"failed,omitempty"`
-	Calm       Calm                  `json:"calm,omitzero"`
-	Late       float64               `json:"late,omitempty"`
-	FirstToken [FirstBuckets]float64 `json:"first,omitzero"`
+	Failed     float64                    `json:"failed,omitempty"`
+	Calm       Calm                       `json:"calm,omitzero"`
+	Late       float64                    `json:"late,omitempty"`
+	FirstToken [FirstTokenBuckets]float64 `json:"first,omitzero"`
 }
 
 // Calm counts failures in stretches where few requests of either version failed. In a bad hour the random failures are
@@ -127,18 +127,18 @@
 
 // slowFirstTokens returns how many answers of each version were slower than the old version's 90th percentile, and how
 // many are expected of the new one.
-func (c Counts) slowFirstTokens() (old, new int64, expect float64) {
-	sum, at := int64(0), FirstBuckets-1
+func (c Counts) slowFirstTokens() (old, new int64, expected float64) {
+	sum, at := int64(0), FirstTokenBuckets-1
 	for i, n := range c.Old.FirstToken {
 		if sum += n; 10*sum >= 9*c.Old.N && c.Old.N > 0 {
 			at = i
 			break
 		}
 	}
-	for i := at + 1; i < FirstBuckets; i++ {
-		old, new, expect = old+c.Old.FirstToken[i], new+c.New.FirstToken[i]-c.Unpaired.FirstToken[i], expect+c.Expected.FirstToken[i]
+	for i := at + 1; i < FirstTokenBuckets; i++ {
+		old, new, expected = old+c.Old.FirstToken[i], new+c.New.FirstToken[i]-c.Unpaired.FirstToken[i], expected+c.Expected.FirstToken[i]
 	}
-	return old, new, expect
+	return old, new, expected
 }
 
 // due reports whether the sequential test makes a look now: at the first Least requests of the new version, then at
@@ -157,22 +157,22 @@
 func (h Halt) judge(c Counts, look int) (finding string) {
 	level := h.Level / math.Pow(2, float64(look+1)) / 4
 	c = c.withExpected(h.Worse)
-	oldSlow, newSlow, expectSlow := c.slowFirstTokens()
+	oldSlow, newSlow, expectedSlow := c.slowFirstTokens()
 	for _, measure := range [...]struct {
-		what     string
+		name     string
 		old, new int64
-		expect   float64
+		expected float64
 	}{{"failed", c.Old.Failed, c.New.Failed - c.Unpaired.Failed, c.Expected.Failed}, {"failed in calm hours", c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
-		{"late", c.Old.Late, c.New.Late - c.Unpaired.Late, c.Expected.Late}, {"slow to the first token", oldSlow, newSlow, expectSlow}} {
+		{"late", c.Old.Late, c.New.Late - c.Unpaired.Late, c.Expected.Late}, {"slow to the first token", oldSlow, newSlow, expectedSlow}} {
 		all := measure.old + measure.new
-		if float64(measure.new) < measure.expect+1 { // no worse; the bound on the tail probability holds from here on
+		if float64(measure.new) < measure.expected+1 { // no worse; the bound on the tail probability holds from here on
 			continue
 		}
 		// The probability of as many or more. For stretches with different shares it is at most that of their mean share
 		// (Hoeffding 1956).
-		chance := 1 - distuv.Binomial{N: float64(all), P: min(measure.expect/float64(all), 1)}.CDF(float64(measure.new-1))
-		if chance < level {
-			return fmt.Sprintf("the new version is %s: %d of %d, the old one beside it %d of %d (chance %.2g at look %d, %.2g wanted)", measure.what, measure.new, c.New.N, measure.old, c.Old.N, chance, look+1, level)
+		pValue := 1 - distuv.Binomial{N: float64(all), P: min(measure.expected/float64(all), 1)}.CDF(float64(measure.new-1))
+		if pValue < level {
+			return fmt.Sprintf("the new version is %s: %d of %d, the old one beside it %d of %d (chance %.2g at look %d, %.2g wanted)", measure.name, measure.new, c.New.N, measure.old, c.Old.N, pValue, look+1, level)
 		}
 	}
 	return ""
--- a/internal/decide/outage/hindsight.go
+++ b/internal/decide/outage/hindsight.go
@@ -41,7 +41,7 @@
 }
 
 // Counted reports whether requests served by the release's targets are counted: while it runs, and after a halt for the
-// verdict on that.
+// verdict on that halt.
 func (r *Release) Counted() bool {
 	return r.Phase == Running || r.Phase == Halted && r.HaltedFrom == Running
 }
@@ -137,9 +137,9 @@
 // measures returns failures, failures in calm stretches, late answers and slow first tokens, in the order that judge
 // uses.
 func (c Counts) measures() [4]measure {
-	oldSlow, newSlow, expectSlow := c.slowFirstTokens()
+	oldSlow, newSlow, expectedSlow := c.slowFirstTokens()
 	return [4]measure{{c.Old.Failed, max(c.New.Failed-c.Unpaired.Failed, 0), c.Expected.Failed}, {c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
-		{c.Old.Late, max(c.New.Late-c.Unpaired.Late, 0), c.Expected.Late}, {oldSlow, max(newSlow, 0), expectSlow}}
+		{c.Old.Late, max(c.New.Late-c.Unpaired.Late, 0), c.Expected.Late}, {oldSlow, max(newSlow, 0), expectedSlow}}
 }
 
 // binomial is the distribution of the new version's share of all events, if it is times as bad as tolerated.
--- a/internal/decide/outage/hindsight_test.go
+++ b/internal/decide/outage/hindsight_test.go
@@ -63,7 +63,7 @@
 // that is no worse than the old one is found worse, and none that is five times as bad is cleared.
 func TestHindsightErrorRates(t *testing.T) {
 	if os.Getenv("LAB_LONG") == "" {
-		t.Skip("a minute: LAB_LONG=1")
+		t.Skip("takes a minute; set LAB_LONG=1")
 	}
 	for _, c := range []struct {
 		rate float64
--- a/internal/decide/outage/leave.go
+++ b/internal/decide/outage/leave.go
@@ -24,15 +24,15 @@
 func (d *draft) readyForPermit(member string) bool {
 	kind, n := Split(member)
 	_, lost := d.Lost[member]
-	entry, named := d.Leaving[member]
-	if end := d.copyWaitEnd(n, entry, named); kind != Server || d.model.CopyWaitMs <= 0 || !d.fleet.copies || lost || end != "" {
-		if named {
+	entry, leaving := d.Leaving[member]
+	if end := d.copyWaitEnd(n, entry, leaving); kind != Server || d.model.CopyWaitMs <= 0 || !d.fleet.copies || lost || end != "" {
+		if leaving {
 			delete(d.Leaving, member)
 			d.note("%s: %s", member, cmp.Or(end, "no copies are waited for"))
 		}
 		return true
 	}
-	if !named {
+	if !leaving {
 		s := d.fleet.servers[n]
 		d.Leaving[member] = Leaving{Turn: d.Seq, Site: s.Site, Role: s.Role}
 		d.note("%s has its turn: %s", member, reasonCopying)
@@ -42,9 +42,9 @@
 }
 
 // copyWaitEnd returns why a server's wait for copies has ended, or "" if it has not.
-func (d *draft) copyWaitEnd(server string, entry Leaving, named bool) string {
+func (d *draft) copyWaitEnd(server string, entry Leaving, leaving bool) string {
 	switch {
-	case !named || d.broken == WaitsForever:
+	case !leaving || d.broken == WaitsForever:
 	case entry.WaitMs >= d.model.CopyWaitMs:
 		return "its wait for copies is over"
 	case d.view.CopiesDone[server] >= entry.Turn:
@@ -67,9 +67,9 @@
 // reserves reports whether a leaving member reserves its place in the budget against another one. If both are leaving,
 // the one examined first in this step does.
 func (d *draft) reserves(member, other string) bool {
-	_, named := d.Leaving[member]
-	_, otherNamed := d.Leaving[other]
-	return named && member != other && (!otherNamed || d.copyWaiters[member])
+	_, leaving := d.Leaving[member]
+	_, otherLeaving := d.Leaving[other]
+	return leaving && member != other && (!otherLeaving || d.copyWaiters[member])
 }
 
 // reservedCount counts the matching members that reserve a place in the budget against another one.
@@ -85,9 +85,9 @@
 // targetOrder returns the indices of the release's targets in the order in which they are considered: leaving ones
 // first.
 func (d *draft) targetOrder(r *Release) (order []int) {
-	for _, hasTurn := range []bool{true, false} {
+	for _, wantLeaving := range []bool{true, false} {
 		for i, t := range r.Targets {
-			if _, named := d.Leaving[ID(r.Kind, t.Name)]; named == hasTurn {
+			if _, leaving := d.Leaving[ID(r.Kind, t.Name)]; leaving == wantLeaving {
 				order = append(order, i)
 			}
 		}
@@ -98,7 +98,7 @@
 // CopyWaits measures, by the caller's clock, how long servers wait for copies. Check takes each new state, and Advance
 // the time at any moment. It is independent of the deciders.
 type CopyWaits struct {
-	LimitMs float64 // copy_wait_ms, plus what changes of the decider may add
+	LimitMs float64 // copy_wait_ms, plus the delay that a change of deciders may add
 	// Faults describes waits that exceeded the limit or were restarted midway.
 	Faults  []string
 	started map[string]copyWait
@@ -116,7 +116,7 @@
 	if a.started == nil {
 		a.started = map[string]copyWait{}
 	}
-	maps.DeleteFunc(a.started, func(member string, _ copyWait) bool { _, still := s.Leaving[member]; return !still })
+	maps.DeleteFunc(a.started, func(member string, _ copyWait) bool { _, waiting := s.Leaving[member]; return !waiting })
 	for member, l := range s.Leaving {
 		wait, known := a.started[member]
 		if !known {
--- a/internal/decide/outage/leave_test.go
+++ b/internal/decide/outage/leave_test.go
@@ -7,7 +7,8 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// enableCopyWait makes servers wait for copies before they go out; 0 disables it. The wait itself is not limited here.
+// enableCopyWait makes servers wait for copies before they go out; 0 disables it. A change of deciders may extend
+// a wait by as much again, so the checker sets no limit here.
 func (f *fleet) enableCopyWait(waitMs int) {
 	f.model.CopyWaitMs, f.copies, f.copiesDone = float64(waitMs), waitMs > 0, map[string]int64{}
 	f.waits.LimitMs = 1e12
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -8,9 +8,9 @@
 )
 
 // viewWith returns a view in which each router reports its own observation of server s1.
-func viewWith(last *outage.State, sights ...outage.Observation) outage.View {
+func viewWith(last *outage.State, observations ...outage.Observation) outage.View {
 	v := outage.View{Model: outage.Model{Workers: 2, Routers: 1, WarmMs: 1000, PauseMs: 1000}, Last: last, Routers: map[string]outage.Registration{}}
-	for i, s := range sights {
+	for i, s := range observations {
 		name := string(rune('a' + i))
 		s.Probed = true
 		v.Routers[name] = outage.Registration{Boot: "1", Live: true}
@@ -31,9 +31,9 @@
 // r1, read-aged r1, write r1, crash s1, new s1, report r2, back, read r1, write r1, read r1, write r1".
 func TestStaleListDoesNotEndRollback(t *testing.T) {
 	old, new1, new2 := outage.Observation{Boot: "1", Label: "old"}, outage.Observation{Boot: "2", Label: "new"}, outage.Observation{Boot: "3", Label: "new"}
-	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.RollingBack, WaveLeft: 1,
+	release := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.RollingBack, WaveLeft: 1,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting, Order: 1}}}
-	last := &outage.State{Format: outage.Format, Seq: 1, Release: rel}
+	last := &outage.State{Format: outage.Format, Seq: 1, Release: release}
 	next := stepAfterTwoSeconds(viewWith(last, old, new2, new1))
 	if got := next.Release.Targets[0]; got.State != outage.Waiting || got.Why == "" || len(next.Permits) > 0 {
 		t.Errorf("%+v, permits %v", got, next.Permits)
@@ -44,7 +44,7 @@
 	}
 }
 
-// A returning server may not be stopped, since routers send to it. Whoever requests it then has to wait.
+// A returning server may not be stopped, since routers send to it. A request for it then has to wait.
 func TestOnlyAcknowledgedPermitAllowsStop(t *testing.T) {
 	for stage, mayStop := range map[outage.Stage]bool{outage.Granted: false, outage.Acknowledged: true, outage.Returning: false} {
 		s := &outage.State{Permits: map[string]outage.Permit{"server/s1": {ID: 1, For: outage.ByHand, Stage: stage}}}
@@ -61,9 +61,9 @@
 // A rollback also covers a target that the release never reached but that has the new label: it may have returned under
 // an earlier permit with the old label and restarted with the new one.
 func TestRollbackIncludesTargetWithOtherLabel(t *testing.T) {
-	rel := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, HaltedFrom: outage.Running,
+	release := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, HaltedFrom: outage.Running,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting}}}
-	last, err := (&outage.State{Format: outage.Format, Seq: 1, Release: rel}).RollBack("op")
+	last, err := (&outage.State{Format: outage.Format, Seq: 1, Release: release}).RollBack("op")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/outage/meter.go
+++ b/internal/decide/outage/meter.go
@@ -25,21 +25,21 @@
 )
 
 // Cohorts returns the cohort of each server by its label. It returns nil if no release is counted.
-func (s *State) Cohorts(labels map[string]string) (run string, sides map[string]Cohort) {
+func (s *State) Cohorts(labels map[string]string) (run string, cohorts map[string]Cohort) {
 	if s == nil || s.Release == nil || !s.Release.Counted() {
 		return "", nil
 	}
-	sides = map[string]Cohort{}
+	cohorts = map[string]Cohort{}
 	for name, label := range labels {
-		if _, away := s.Permits[ID(Server, name)]; away {
+		if _, out := s.Permits[ID(Server, name)]; out {
 			continue
 		}
-		sides[name] = OldCohort
+		cohorts[name] = OldCohort
 		if label == s.Release.To {
-			sides[name] = NewCohort
+			cohorts[name] = NewCohort
 		}
 	}
-	return s.Release.Run, sides
+	return s.Release.Run, cohorts
 }
 
 // Meter counts the outcomes of one router's attempts for the current release. It is not safe for concurrent use.
@@ -61,24 +61,24 @@
 
 // Configure sets what following attempts count for: a run of a release, the cohorts, and the kinds of servers, which may
 // be nil. worse is the halt's bound on the ratio of failure rates. A new run starts from zero.
-func (m *Meter) Configure(run string, sides map[string]Cohort, kinds map[string]string, worse float64) {
+func (m *Meter) Configure(run string, cohorts map[string]Cohort, kinds map[string]string, worse float64) {
 	if run != m.run {
 		m.run, m.counts, m.open = run, Counts{}, nil
 	}
 	m.worseRatio = worse
-	if !maps.Equal(m.cohorts, sides) || !maps.Equal(m.kinds, kinds) {
+	if !maps.Equal(m.cohorts, cohorts) || !maps.Equal(m.kinds, kinds) {
 		for _, pair := range m.open {
 			m.counts.addStretch(pair[0], pair[1], m.worseRatio)
 		}
 		m.open = nil
 	}
-	m.cohorts, m.kinds = sides, kinds
+	m.cohorts, m.kinds = cohorts, kinds
 }
 
 // Record counts an attempt.
 func (m *Meter) Record(a Attempt) {
-	side := m.cohorts[a.Server]
-	if side == NoCohort {
+	cohort := m.cohorts[a.Server]
+	if cohort == NoCohort {
 		return
 	}
 	if m.open == nil {
@@ -91,10 +91,10 @@
 		m.open[kind] = pair
 	}
 	total := &m.counts.Old
-	if side == NewCohort {
+	if cohort == NewCohort {
 		total = &m.counts.New
 	}
-	for _, t := range [...]*Tally{total, &pair[side-OldCohort]} {
+	for _, t := range [...]*Tally{total, &pair[cohort-OldCohort]} {
 		t.N++
 		if a.Failed {
 			t.Failed++
--- a/internal/decide/outage/order_test.go
+++ b/internal/decide/outage/order_test.go
@@ -13,18 +13,18 @@
 		}
 		return out
 	}
-	kept := map[string]float64{"a1": 900, "b1": 200}
+	cachedTokens := map[string]float64{"a1": 900, "b1": 200}
 	for _, c := range []struct {
-		order string
-		kept  map[string]float64
-		want  string
-	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", kept, "c1 a2 b2 a3 b1 a1"}, {"name", kept, "a1 a2 a3 b1 b2 c1"}, {"site", kept, "a1 a2 a3 b1 b2 c1"}} {
+		order        string
+		cachedTokens map[string]float64
+		want         string
+	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", cachedTokens, "c1 a2 b2 a3 b1 a1"}, {"name", cachedTokens, "a1 a2 a3 b1 b2 c1"}, {"site", cachedTokens, "a1 a2 a3 b1 b2 c1"}} {
 		got := ""
-		for _, target := range sortTargets(list(), c.order, c.kept) {
+		for _, target := range sortTargets(list(), c.order, c.cachedTokens) {
 			got += " " + target.Name
 		}
 		if got != " "+c.want {
-			t.Errorf("%s %v: %s, want %s", c.order, c.kept, got, c.want)
+			t.Errorf("%s %v: %s, want %s", c.order, c.cachedTokens, got, c.want)
 		}
 	}
 }
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -78,7 +78,7 @@
 	}
 	f.waitUntil(t, "done", 5*time.Minute, func() bool { return f.phase() == outage.Done })
 	if f.labels()["v2"] != 9 || f.maxDown > 2 {
-		t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
+		t.Fatalf("%v, %d servers down at once", f.labels(), f.maxDown)
 	}
 	f.checkNoFaults(t)
 }
@@ -110,7 +110,7 @@
 		}
 		f.waitUntil(t, "rolled back", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
 		if f.labels()["v1"] != 9 || f.maxDown > 2 {
-			t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
+			t.Fatalf("%v, %d servers down at once", f.labels(), f.maxDown)
 		}
 		f.checkNoFaults(t)
 	}
@@ -164,7 +164,7 @@
 	}
 	f.waitUntil(t, "rolled back without it", 10*time.Minute, func() bool { return f.phase() == outage.RolledBack })
 	if f.labels()["v1"] != 8 || f.maxDown > 2 {
-		t.Fatalf("%v, %d down at once", f.labels(), f.maxDown)
+		t.Fatalf("%v, %d servers down at once", f.labels(), f.maxDown)
 	}
 	f.checkNoFaults(t)
 }
@@ -189,7 +189,7 @@
 	})
 	for name, r := range f.routers {
 		if r.label != "v2" {
-			t.Errorf("%s has %s", name, r.label)
+			t.Errorf("router %s has label %s", name, r.label)
 		}
 	}
 	if most != 1 {
@@ -305,7 +305,7 @@
 			}
 		})
 		if found == 0 {
-			t.Errorf("%s was not found", broken)
+			t.Errorf("%s was not detected", broken)
 		}
 	}
 }
@@ -314,7 +314,7 @@
 func TestSequentialTest(t *testing.T) {
 	h := outage.Model{}.WithDefaults().Halt
 	if h.Least == 0 || h.Level == 0 {
-		t.Fatal("no defaults")
+		t.Fatal("the defaults are not set")
 	}
 	f := newFleet(7, testModel, "")
 	runs := map[float64]int{}
@@ -383,7 +383,7 @@
 		for i := range 20 {
 			if next := d.Next(v, time.Duration(i)*time.Second); next != nil {
 				if !slices.IsSortedFunc(next.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && slices.IsSortedFunc(s.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && len(s.EndedPermits) == 0 {
-					t.Fatal("ends out of order")
+					t.Fatal("ended permits are out of order")
 				}
 				v.Last = next
 			}
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -187,7 +187,7 @@
 
 // sortTargets orders targets. The spread order takes those with the fewest cached tokens first and alternates between
 // sites among equals, so that a wave takes little capacity from each site.
-func sortTargets(list []Target, order string, kept map[string]float64) []Target {
+func sortTargets(list []Target, order string, cachedTokens map[string]float64) []Target {
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Name, b.Name)) })
 	switch order {
 	case "site":
@@ -203,7 +203,7 @@
 		nth[t.Site]++
 	}
 	slices.SortStableFunc(list, func(a, b Target) int {
-		return cmp.Or(cmp.Compare(kept[a.Name], kept[b.Name]), cmp.Compare(rank[a.Name], rank[b.Name]))
+		return cmp.Or(cmp.Compare(cachedTokens[a.Name], cachedTokens[b.Name]), cmp.Compare(rank[a.Name], rank[b.Name]))
 	})
 	return list
 }
--- a/internal/decide/outage/room.go
+++ b/internal/decide/outage/room.go
@@ -58,13 +58,13 @@
 }
 
 // bounds returns the bounds of the limit for n servers.
-func (f HeadroomLimit) bounds(n int) (least, most int) {
-	most = limit(f.Max, n)
-	least = min(max(limit(f.Min, n), 1), most)
+func (f HeadroomLimit) bounds(n int) (lowest, highest int) {
+	highest = limit(f.Max, n)
+	lowest = min(max(limit(f.Min, n), 1), highest)
 	if f.Zero {
-		least = min(limit(f.Min, n), most)
+		lowest = min(limit(f.Min, n), highest)
 	}
-	return least, most
+	return lowest, highest
 }
 
 // Headroom is the agreed limit on servers out that follows headroom.
@@ -91,8 +91,8 @@
 		capacity[s.Role] += s.Weight * inHand
 		all += s.Weight * inHand
 		for _, r := range f.fresh {
-			seen, _ := r.Observation(id)
-			load[s.Role] += float64(seen.Busy)
+			observation, _ := r.Observation(id)
+			load[s.Role] += float64(observation.Busy)
 		}
 	}
 	for role, total := range capacity {
@@ -112,15 +112,15 @@
 		return
 	}
 	n := len(d.fleet.servers)
-	least, ceiling := f.bounds(n)
+	lowest, highest := f.bounds(n)
 	used := d.fleet.utilization(f.InHand)
-	want := min(max(int(float64(n)*(1-used/f.Fill)), least), ceiling)
+	want := min(max(int(float64(n)*(1-used/f.Fill)), lowest), highest)
 	if d.Headroom == nil {
-		d.Headroom = &Headroom{Limit: least}
+		d.Headroom = &Headroom{Limit: lowest}
 	}
 	r := *d.Headroom
 	if len(d.fleet.fresh) < d.liveRouters() { // the load of routers that do not report is unknown
-		want = min(want, max(r.Limit, least))
+		want = min(want, max(r.Limit, lowest))
 	}
 	switch {
 	case d.broken == IgnoresBounds:
@@ -178,9 +178,9 @@
 	if s.Headroom == nil || !m.FollowsHeadroom() {
 		return
 	}
-	least, most := m.HeadroomLimit.bounds(s.Budget.Servers)
-	if s.Headroom.Limit < least || s.Headroom.Limit > most {
-		a.report(s, "%d servers may be out, the bounds are %d and %d", s.Headroom.Limit, least, most)
+	lowest, highest := m.HeadroomLimit.bounds(s.Budget.Servers)
+	if s.Headroom.Limit < lowest || s.Headroom.Limit > highest {
+		a.report(s, "%d servers may be out, the bounds are %d and %d", s.Headroom.Limit, lowest, highest)
 	}
 	if previous := before.Headroom; previous != nil && s.Headroom.Limit > previous.Limit && !previous.Rising && before.Budget.Servers == s.Budget.Servers {
 		a.report(s, "%d servers may be out after %d, without a period of sufficient headroom before", s.Headroom.Limit, previous.Limit)
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -77,7 +77,7 @@
 			}
 		})
 		if t.Logf("%s: found in %d random runs", broken, found); found == 0 {
-			t.Errorf("%s was not found", broken)
+			t.Errorf("%s was not detected", broken)
 		}
 	}
 }
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -118,12 +118,12 @@
 // while the step was optimised; they changed when deciders began to count the time before a written state is read back.
 // A deliberate change to a decision changes the hash with it.
 func TestDecisionHashesUnchanged(t *testing.T) {
-	want, lives := "509 states, ef87ff02aef8325d", uint64(8)
+	want, runs := "509 states, ef87ff02aef8325d", uint64(8)
 	if os.Getenv("LAB_LONG") != "" {
-		want, lives = "4099 states, 704187f779cbc2ad", 60
+		want, runs = "4099 states, 704187f779cbc2ad", 60
 	}
 	hash, states := xxhash.New(), 0
-	for seed := range lives {
+	for seed := range runs {
 		states += randomRun(seed, hash)
 	}
 	if got := fmt.Sprintf("%d states, %x", states, hash.Sum64()); got != want {
--- a/internal/decide/outage/search/search.go
+++ b/internal/decide/outage/search/search.go
@@ -81,7 +81,7 @@
 				if o.RollbackEvery > 0 && key%o.RollbackEvery == 0 {
 					out.Rollbacks++
 					if faults := successor.checkRollback(o.Broken); len(faults) > 0 {
-						return report(n, nil, append(faults, "once all is mended, on the way back"))
+						return report(n, nil, append(faults, "after recovery, during the rollback"))
 					}
 				}
 				next = append(next, frontierNode{successor, n})
@@ -140,7 +140,7 @@
 	}
 	out.Rollbacks++
 	if out.Faults = w.checkRollback(o.Broken); len(out.Faults) > 0 {
-		out.Faults = append(out.Faults, "once all is mended, on the way back")
+		out.Faults = append(out.Faults, "after recovery, during the rollback")
 		out.Trace = o.shrink(out.Trace, true)
 	}
 	return out
--- a/internal/decide/outage/search/search_test.go
+++ b/internal/decide/outage/search/search_test.go
@@ -90,7 +90,7 @@
 		o := Options{Bounds: c.bounds, Broken: c.broken, States: 30_000, RollbackEvery: 1}
 		r := o.Run()
 		if len(r.Faults) == 0 {
-			t.Errorf("%s was not found in %d states", c.broken, r.States)
+			t.Errorf("%s was not detected in %d states", c.broken, r.States)
 			continue
 		}
 		t.Logf("%s: %d states, %s: %v", c.broken, r.States, r.Trace, r.Faults)
--- a/internal/decide/outage/search/steps.go
+++ b/internal/decide/outage/search/steps.go
@@ -12,27 +12,27 @@
 type op uint8
 
 const (
-	opReport        op = iota // a router follows the state and reports what it observes
-	opRead                    // a decider reads and decides
-	opReadAged                // likewise, having seen the state for a time unit
-	opReadExpired             // likewise, ignoring reports of paused or crashed routers
-	opWrite                   // a decider writes its decision
-	opPause                   // a decider is paused
-	opUnpause                 // it continues
-	opLapse                   // a registration expires
-	opRegister                // a router registers, and reads the state before it serves
-	opRouterCrash             // a router crashes
-	opServerCrash             // a server crashes
-	opStopServer              // the deployer stops a server with an acknowledged permit
-	opStartOld                // a server starts with the old label
-	opStartNew                // a server starts with the new label
-	opRegress                 // routers see the new version fail from now on
-	opHalt                    // an operator halts the release
-	opResume                  // an operator resumes it
-	opRollBack                // an operator rolls it back
-	opCutBudget               // the policy's budget is lowered
-	opRequestPermit           // an operator requests a permit for a server
-	opServe                   // an operator returns a server to service
+	opReport      op = iota // a router follows the state and reports what it observes
+	opRead                  // a decider reads and decides
+	opReadAged              // likewise, having seen the state for a time unit
+	opReadExpired           // likewise, ignoring reports of paused or crashed routers
+	opWrite                 // a decider writes its decision
+	opPause                 // a decider is paused
+	opUnpause               // it continues
+	opLapse                 // a registration expires
+	opRegister              // a router registers, and reads the state before it serves
+	opRouterCrash           // a router crashes
+	opServerCrash           // a server crashes
+	opStopServer            // the deployer stops a server with an acknowledged permit
+	opStartOld              // a server starts with the old label
+	opStartNew              // a server starts with the new label
+	opRegress               // routers see the new version fail from now on
+	opHalt                  // an operator halts the release
+	opResume                // an operator resumes it
+	opRollBack              // an operator rolls it back
+	opCutBudget             // the policy's budget is lowered
+	opDrain                 // an operator requests a permit for a server
+	opServe                 // an operator returns a server to service
 	opCount
 )
 
@@ -147,18 +147,18 @@
 			if out && p.To != "" && p.Stage == outage.Acknowledged {
 				label = p.To
 			}
-			odd := out && p.To != "" && w.remaining.WrongLabels > 0
-			if label == "old" || odd {
+			otherLabel := out && p.To != "" && w.remaining.WrongLabels > 0
+			if label == "old" || otherLabel {
 				add(opStartOld, j)
 			}
-			if label == "new" || odd {
+			if label == "new" || otherLabel {
 				add(opStartNew, j)
 			}
 		}
 		if w.remaining.DrainRequests > 0 {
-			add(opRequestPermit, j)
+			add(opDrain, j)
 		}
-		if _, wished := w.state.PermitRequests[memberIDs[j]]; wished || out && p.For == outage.ByHand && !p.Serve {
+		if _, requested := w.state.PermitRequests[memberIDs[j]]; requested || out && p.For == outage.ByHand && !p.Serve {
 			add(opServe, j)
 		}
 	}
@@ -272,7 +272,7 @@
 	case opCutBudget:
 		w.remaining.BudgetCuts--
 		w.lowered = true
-	case opRequestPermit:
+	case opDrain:
 		w.remaining.DrainRequests--
 		next, permitted := w.state.Drain(memberIDs[e.at], "op")
 		if permitted {
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -137,11 +137,11 @@
 		}
 		report := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq, Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
 		for j, s := range r.report.servers {
-			sight := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
+			observation := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
-				sight.SilentMs = timeUnit
+				observation.SilentMs = timeUnit
 			}
-			report.Observed[serverNames[j]] = sight
+			report.Observed[serverNames[j]] = observation
 		}
 		if r.report.failingRun != "" {
 			report.Release, report.Counts = r.report.failingRun, failingCounts
@@ -155,7 +155,7 @@
 // crashed routers are too old to use.
 func (w *world) decide(i int, aged, expired bool, broken Fault) *outage.State {
 	d := outage.Decider{Me: routerNames[i], Broken: broken}
-	made := d.Step(w.view(), outage.Ages{
+	result := d.Step(w.view(), outage.Ages{
 		State: func() time.Duration {
 			if aged {
 				return timeUnit * time.Millisecond
@@ -168,10 +168,10 @@
 			}
 			return 0
 		}})
-	if !made.Quorum {
+	if !result.Quorum {
 		return nil
 	}
-	return made.Next
+	return result.Next
 }
 
 // hash hashes everything that future behaviour depends on. Growing numbers (states, permits, starts) are included by
@@ -267,10 +267,10 @@
 				b = appendFlags(b, r.report.stateSeq >= p.Seq)
 			}
 		}
-		wish, ok := s.PermitRequests[member]
+		request, ok := s.PermitRequests[member]
 		if b = appendFlags(b, ok); ok {
-			b = binary.AppendVarint(b, s.Seq-wish.Seq)
-			text(wish.WaitReason)
+			b = binary.AppendVarint(b, s.Seq-request.Seq)
+			text(request.WaitReason)
 		}
 		text(s.Lost[member].Why)
 		text(s.Lost["router/"+routerNames[i]].Why)
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -84,7 +84,7 @@
 	// Serve is set when an operator wants the member back in service with the label it has.
 	Serve  bool    `json:"serve,omitempty"`
 	OutMs  float64 `json:"out_ms"`  // since it was granted, or since another return label was set
-	BackMs float64 `json:"back_ms"` // since the member was seen back
+	BackMs float64 `json:"back_ms"` // since the member returned
 }
 
 // PermitRequest is a request for a permit that has not been granted yet.
@@ -137,7 +137,7 @@
 	RoutersOut     int `json:"routers_out"`   // with a permit, or lost
 	ServersLost    int `json:"servers_lost"`  // part of ServersOut without a permit
 	RoutersLost    int `json:"routers_lost"`  // part of RoutersOut without a permit
-	ServersGranted int `json:"servers_given"` // part of ServersOut with a permit and not yet seen back
+	ServersGranted int `json:"servers_given"` // part of ServersOut with a permit and not returning
 }
 
 // clone copies the state deeply enough that changes to the copy do not affect the original.
@@ -220,9 +220,9 @@
 	if s == nil {
 		return nil
 	}
-	_, wished := s.PermitRequests[member]
+	_, requested := s.PermitRequests[member]
 	p, out := s.Permits[member]
-	if !wished && (!out || p.Serve || p.For != ByHand) {
+	if !requested && (!out || p.Serve || p.For != ByHand) {
 		return nil
 	}
 	next := s.clone()
@@ -249,12 +249,12 @@
 	next := s.clone()
 	next.Seq++
 	next.By, next.Why = by, member+" is declared gone"
-	_, wished := next.PermitRequests[member]
+	_, requested := next.PermitRequests[member]
 	_, out := next.Permits[member]
 	_, lost := next.Lost[member]
 	kind, name := Split(member)
 	known := kind == Router && next.Known[name] != KnownRouter{}
-	if !wished && !out && !lost && !known {
+	if !requested && !out && !lost && !known {
 		return nil
 	}
 	delete(next.PermitRequests, member)
--- a/internal/decide/outage/tally.go
+++ b/internal/decide/outage/tally.go
@@ -107,30 +107,30 @@
 			continue
 		}
 		p := reflect.ValueOf(r.Table).Pointer()
-		k := byPointer[p]
-		if k == nil {
-			k = &sharedTable{table: r.Table, differing: map[string]bool{}}
-			byPointer[p] = k
-			tables = append(tables, k)
+		shared := byPointer[p]
+		if shared == nil {
+			shared = &sharedTable{table: r.Table, differing: map[string]bool{}}
+			byPointer[p] = shared
+			tables = append(tables, shared)
 		}
-		if k.reports = append(k.reports, i); !r.Stopped {
-			k.awake++
+		if shared.reports = append(shared.reports, i); !r.Stopped {
+			shared.awake++
 		}
 		for id := range r.Observed {
-			k.differing[id] = true
+			shared.differing[id] = true
 		}
 		for _, id := range r.Absent {
-			k.differing[id] = true
+			shared.differing[id] = true
 		}
 	}
-	for _, k := range tables {
-		for id, s := range k.table {
-			if !k.differing[id] {
-				votesFor(id).add(s, m, len(k.reports), k.awake, k.reports[len(k.reports)-1])
+	for _, shared := range tables {
+		for id, s := range shared.table {
+			if !shared.differing[id] {
+				votesFor(id).add(s, m, len(shared.reports), shared.awake, shared.reports[len(shared.reports)-1])
 			}
 		}
-		for id := range k.differing {
-			for _, i := range k.reports {
+		for id := range shared.differing {
+			for _, i := range shared.reports {
 				if s, ok := reports[i].Observation(id); ok {
 					addOne(i, id, s)
 				}
@@ -174,20 +174,20 @@
 	if d.outCache != nil {
 		return d.outCache
 	}
-	g := &outCounts{site: map[string]int{}, role: map[string]int{}}
+	counts := &outCounts{site: map[string]int{}, role: map[string]int{}}
 	add := func(member, site, role string, counted bool) {
 		kind, id := Split(member)
 		if kind == Server {
-			g.weight += d.fleet.servers[id].Weight
+			counts.weight += d.fleet.servers[id].Weight
 		}
 		switch {
 		case !counted:
 		case kind == Server:
-			g.servers++
-			g.site[site]++
-			g.role[role]++
+			counts.servers++
+			counts.site[site]++
+			counts.role[role]++
 		default:
-			g.routers++
+			counts.routers++
 		}
 	}
 	for member, p := range d.Permits {
@@ -198,8 +198,8 @@
 			add(member, l.Site, l.Role, d.broken != CountsReleasesOnly)
 		}
 	}
-	d.outCache = g
-	return g
+	d.outCache = counts
+	return counts
 }
 
 // reservedWeight is the weight of the leaving servers that reserve a place against another member and are not counted as
--- a/internal/world/release/day.go
+++ b/internal/world/release/day.go
@@ -14,7 +14,7 @@
 // Setting is one day and one budget. What is asked and what is lost depends on Seed alone, so that budgets can be compared.
 type Setting struct {
 	Seed  uint64
-	Model outage.Model // Follow.InHand is the world's Slots
+	Model outage.Model // HeadroomLimit.InHand is the world's Slots
 	// Peak is the part of what all servers can take that is asked at noon, Night that at midnight.
 	Peak, Night float64
 	Hour        float64       // of the day at which the release begins
