--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -173,7 +173,7 @@
 		if !r.Live {
 			continue
 		}
-		report := d.fleet.reported[name]
+		report := d.fleet.lastReports[name]
 		router := KnownRouter{Boot: r.Boot, Label: r.Label, Site: d.Known[name].Site, StoreMember: d.Known[name].StoreMember}
 		if report.Boot == r.Boot {
 			router.StoreMember = report.StoreMember
@@ -250,14 +250,14 @@
 				boot, label, answers = s.Boot, s.Label, s.answering && !s.silent && s.agreed
 			}
 		} else {
-			r, report := d.view.Routers[name], d.fleet.reported[name]
+			r, report := d.view.Routers[name], d.fleet.lastReports[name]
 			if present = r.Live; present {
 				boot, label, answers = r.Boot, r.Label, slices.Contains(d.fleet.routers, name) && report.Boot == r.Boot
 			}
 		}
 		switch p.Stage {
 		case Granted:
-			drained := kind != Router || d.fleet.reported[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
+			drained := kind != Router || d.fleet.lastReports[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
 			if d.acknowledged(p.Seq) && drained || d.broken == SkipsAcknowledgement {
 				p.Stage = Acknowledged
 			}
@@ -268,7 +268,7 @@
 			p.Stage, p.BackMs = Returning, 0
 		case p.Stage == Granted && p.Serve && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Returning && !returned: // routers send to it again, so they must acknowledge anew
+		case p.Stage == Returning && !returned: // routers send to it again, so they must acknowledge the permit again
 			p.Stage, p.Seq = Granted, d.Seq
 		}
 		d.Permits[member] = p
@@ -333,7 +333,8 @@
 
 // budgetChanged reports whether the counts changed in a way that has to be written.
 func (d *draft) budgetChanged(previous Budget) bool {
-	return previous.ServersOut != d.Budget.ServersOut || previous.RoutersOut != d.Budget.RoutersOut || previous.ServersLimit != d.Budget.ServersLimit || previous.RoutersLimit != d.Budget.RoutersLimit
+	return previous.ServersOut != d.Budget.ServersOut || previous.RoutersOut != d.Budget.RoutersOut ||
+		previous.ServersLimit != d.Budget.ServersLimit || previous.RoutersLimit != d.Budget.RoutersLimit
 }
 
 // blockReason returns why a member may not be taken out, or "" if it may.
@@ -372,8 +373,10 @@
 		match           func(k Kind, s, r string) bool
 	}{
 		{"servers", "", d.serverBound(d.model), d.Budget.Servers, outNow.servers, func(k Kind, _, _ string) bool { return k == Server }},
-		{"servers of site ", site, d.model.WorkersSite, d.totals.site[site], outNow.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
-		{"servers of role ", role, d.model.WorkersRole, d.totals.role[role], outNow.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
+		{"servers of site ", site, d.model.WorkersSite, d.totals.site[site], outNow.site[site],
+			func(k Kind, s, _ string) bool { return k == Server && s == site }},
+		{"servers of role ", role, d.model.WorkersRole, d.totals.role[role], outNow.role[role],
+			func(k Kind, _, r string) bool { return k == Server && r == role }},
 	} {
 		if out, most := b.out+d.reservedCount(member, b.match), limit(b.bound, b.all); out >= most+extra {
 			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.noun+b.qualifier, most)
--- a/internal/decide/outage/facts.go
+++ b/internal/decide/outage/facts.go
@@ -108,12 +108,12 @@
 
 // fleetStatus is the aggregate of all reports at one revision.
 type fleetStatus struct {
-	servers  map[string]serverStatus
-	fresh    []Report // recent enough, from routers with a live registration
-	routers  []string // names of the fresh reports' routers
-	storeLag string   // why no router that hosts a store member may be out; "" if one may
-	reported map[string]Report
-	copies   bool // some router takes part in copies
+	servers     map[string]serverStatus
+	fresh       []Report // recent enough, from routers with a live registration
+	routers     []string // names of the fresh reports' routers
+	storeLag    string   // why no router that hosts a store member may be out; "" if one may
+	lastReports map[string]Report
+	copies      bool // some router takes part in copies
 }
 
 // freshPeriods is the number of report periods for which a report is used.
@@ -121,9 +121,9 @@
 
 // aggregate takes, for each server, the majority of the fresh reports from live routers.
 func aggregate(v View, m Model, age func(router string, rev int64) time.Duration) fleetStatus {
-	f := fleetStatus{reported: make(map[string]Report, len(v.Reports))}
+	f := fleetStatus{lastReports: make(map[string]Report, len(v.Reports))}
 	for _, r := range v.Reports {
-		f.reported[r.Router] = r
+		f.lastReports[r.Router] = r
 		reg := v.Routers[r.Router]
 		if !reg.Live || reg.Boot != r.Boot || milliseconds(age(r.Router, r.Rev))+r.AgeMs > freshPeriods*m.ReportMs {
 			continue
@@ -140,7 +140,8 @@
 		}
 		process := t.majority()
 		o, _ := f.fresh[process.last].Observation(id)
-		status := serverStatus{Observation: o, agreed: 2*process.reports > t.listed, draining: 2*t.draining > t.listed, answering: t.probed > 0 && 2*t.answering > t.probed, silent: t.probed > 0 && 2*t.silent > t.probed}
+		status := serverStatus{Observation: o, agreed: 2*process.reports > t.listed, draining: 2*t.draining > t.listed,
+			answering: t.probed > 0 && 2*t.answering > t.probed, silent: t.probed > 0 && 2*t.silent > t.probed}
 		status.Weight = cmp.Or(status.Weight, 1)
 		f.servers[id] = status
 	}
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -66,14 +66,16 @@
 }
 
 func (f *fleet) view() outage.View {
-	v := outage.View{Model: f.model, Version: 1, Last: f.state, Routers: map[string]outage.Registration{}, LostSites: f.lostSites, CopiesDone: f.copiesDone}
+	v := outage.View{Model: f.model, Version: 1, Last: f.state, Routers: map[string]outage.Registration{},
+		LostSites: f.lostSites, CopiesDone: f.copiesDone}
 	for name, r := range f.routers {
 		live := r.up && f.now-r.lastReport < 3*time.Second || r.stopped && f.now-r.lastReport < 3*time.Second
 		v.Routers[name] = outage.Registration{Boot: r.boot, Label: r.label, Live: live}
 		if !live {
 			delete(v.Routers, name)
 		}
-		report := outage.Report{Router: name, Boot: r.boot, StateSeq: r.stateSeq, DrainedPermit: r.drainedPermit, Rev: r.rev, StoreMember: name != "d6", Applied: 1000, Copies: f.copies, Observed: map[string]outage.Observation{}}
+		report := outage.Report{Router: name, Boot: r.boot, StateSeq: r.stateSeq, DrainedPermit: r.drainedPermit,
+			Rev: r.rev, StoreMember: name != "d6", Applied: 1000, Copies: f.copies, Observed: map[string]outage.Observation{}}
 		for id, s := range f.servers {
 			observation := outage.Observation{Site: s.site, Role: "chat", Boot: s.boot, Label: s.label, Probed: true}
 			if !s.up {
@@ -218,7 +220,8 @@
 	r := f.routers[name]
 	r.boots++
 	f.rev++
-	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, lastReport: f.now, rev: f.rev, decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
+	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, lastReport: f.now, rev: f.rev,
+		decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
 }
 
 // applyOrder has an operator change the state and returns the refusal, if any.
@@ -262,7 +265,8 @@
 	return out
 }
 
-var testModel = outage.Model{Workers: 2, Routers: 1, WorkersSite: 1, PauseMs: 2000, WarmMs: 2000, ReturnMs: 15000, LostMs: 1000, Halt: outage.Halt{OverMs: 20000}}
+var testModel = outage.Model{Workers: 2, Routers: 1, WorkersSite: 1, PauseMs: 2000, WarmMs: 2000, ReturnMs: 15000,
+	LostMs: 1000, Halt: outage.Halt{OverMs: 20000}}
 
 func spec(to string) outage.Spec { return outage.Spec{Name: "r-" + to, Kind: outage.Server, To: to} }
 
--- a/internal/decide/outage/give.go
+++ b/internal/decide/outage/give.go
@@ -251,7 +251,8 @@
 	}
 	switch {
 	case open == 0 && waiting == 0:
-		r.Phase, r.Why = map[Phase]Phase{Running: Done, RollingBack: RolledBack, Halted: Done}[r.Phase], "each target has its label or is named with what holds it"
+		r.Phase, r.Why = map[Phase]Phase{Running: Done, RollingBack: RolledBack, Halted: Done}[r.Phase],
+			"each target has its label or is named with what holds it"
 		d.note("release %s is %s", r.Name, r.Phase)
 	case open == 0 && r.WaveLeft == 0 && !r.Paused:
 		r.Paused, r.PauseMs = true, 0
--- a/internal/decide/outage/halt.go
+++ b/internal/decide/outage/halt.go
@@ -44,23 +44,23 @@
 }
 
 // Add adds another tally.
-func (t *Tally) Add(o Tally) {
-	t.N, t.Failed, t.Late = t.N+o.N, t.Failed+o.Failed, t.Late+o.Late
+func (t *Tally) Add(other Tally) {
+	t.N, t.Failed, t.Late = t.N+other.N, t.Failed+other.Failed, t.Late+other.Late
 	for i := range t.FirstToken {
-		t.FirstToken[i] += o.FirstToken[i]
+		t.FirstToken[i] += other.FirstToken[i]
 	}
 }
 
 // Add adds the counts of another router.
-func (c *Counts) Add(o Counts) {
-	c.Old.Add(o.Old)
-	c.New.Add(o.New)
-	c.Expected.Add(o.Expected)
-	c.Unpaired.Add(o.Unpaired)
+func (c *Counts) Add(other Counts) {
+	c.Old.Add(other.Old)
+	c.New.Add(other.New)
+	c.Expected.Add(other.Expected)
+	c.Unpaired.Add(other.Unpaired)
 	for _, pair := range [...]struct {
 		to   *map[string]int64
 		from map[string]int64
-	}{{&c.Asked, o.Asked}, {&c.Refused, o.Refused}} {
+	}{{&c.Asked, other.Asked}, {&c.Refused, other.Refused}} {
 		for k, n := range pair.from {
 			if *pair.to == nil {
 				*pair.to = map[string]int64{}
@@ -91,11 +91,11 @@
 const calmShare = 0.05
 
 // Add adds the events expected of another stretch.
-func (e *Expected) Add(o Expected) {
-	e.Calm = Calm{e.Calm.Old + o.Calm.Old, e.Calm.New + o.Calm.New, e.Calm.Expected + o.Calm.Expected}
-	e.Failed, e.Late = e.Failed+o.Failed, e.Late+o.Late
+func (e *Expected) Add(other Expected) {
+	e.Calm = Calm{e.Calm.Old + other.Calm.Old, e.Calm.New + other.Calm.New, e.Calm.Expected + other.Calm.Expected}
+	e.Failed, e.Late = e.Failed+other.Failed, e.Late+other.Late
 	for i := range e.FirstToken {
-		e.FirstToken[i] += o.FirstToken[i]
+		e.FirstToken[i] += other.FirstToken[i]
 	}
 }
 
@@ -162,7 +162,8 @@
 		name     string
 		old, new int64
 		expected float64
-	}{{"failed", c.Old.Failed, c.New.Failed - c.Unpaired.Failed, c.Expected.Failed}, {"failed in calm hours", c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
+	}{{"failed", c.Old.Failed, c.New.Failed - c.Unpaired.Failed, c.Expected.Failed},
+		{"failed in calm hours", c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
 		{"late", c.Old.Late, c.New.Late - c.Unpaired.Late, c.Expected.Late}, {"slow to the first token", oldSlow, newSlow, expectedSlow}} {
 		all := measure.old + measure.new
 		if float64(measure.new) < measure.expected+1 { // no worse; the bound on the tail probability holds from here on
--- a/internal/decide/outage/hindsight.go
+++ b/internal/decide/outage/hindsight.go
@@ -138,7 +138,8 @@
 // uses.
 func (c Counts) measures() [4]measure {
 	oldSlow, newSlow, expectedSlow := c.slowFirstTokens()
-	return [4]measure{{c.Old.Failed, max(c.New.Failed-c.Unpaired.Failed, 0), c.Expected.Failed}, {c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
+	return [4]measure{{c.Old.Failed, max(c.New.Failed-c.Unpaired.Failed, 0), c.Expected.Failed},
+		{c.Expected.Calm.Old, c.Expected.Calm.New, c.Expected.Calm.Expected},
 		{c.Old.Late, max(c.New.Late-c.Unpaired.Late, 0), c.Expected.Late}, {oldSlow, max(newSlow, 0), expectedSlow}}
 }
 
@@ -182,10 +183,10 @@
 	return out
 }
 
-func (t Tally) minus(o Tally) Tally {
-	t.N, t.Failed, t.Late = max(t.N-o.N, 0), max(t.Failed-o.Failed, 0), max(t.Late-o.Late, 0)
+func (t Tally) minus(other Tally) Tally {
+	t.N, t.Failed, t.Late = max(t.N-other.N, 0), max(t.Failed-other.Failed, 0), max(t.Late-other.Late, 0)
 	for i := range t.FirstToken {
-		t.FirstToken[i] = max(t.FirstToken[i]-o.FirstToken[i], 0)
+		t.FirstToken[i] = max(t.FirstToken[i]-other.FirstToken[i], 0)
 	}
 	return t
 }
--- a/internal/decide/outage/leave.go
+++ b/internal/decide/outage/leave.go
@@ -111,29 +111,29 @@
 }
 
 // Check examines the state that is current from a time on, in milliseconds of any origin.
-func (a *CopyWaits) Check(s *State, nowMs float64) {
-	a.Advance(nowMs)
-	if a.started == nil {
-		a.started = map[string]copyWait{}
+func (c *CopyWaits) Check(s *State, nowMs float64) {
+	c.Advance(nowMs)
+	if c.started == nil {
+		c.started = map[string]copyWait{}
 	}
-	maps.DeleteFunc(a.started, func(member string, _ copyWait) bool { _, waiting := s.Leaving[member]; return !waiting })
+	maps.DeleteFunc(c.started, func(member string, _ copyWait) bool { _, waiting := s.Leaving[member]; return !waiting })
 	for member, l := range s.Leaving {
-		wait, known := a.started[member]
+		wait, known := c.started[member]
 		if !known {
-			a.started[member] = copyWait{turn: l.Turn, at: nowMs}
+			c.started[member] = copyWait{turn: l.Turn, at: nowMs}
 		} else if wait.turn != l.Turn {
-			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s restarted its wait for copies", s.Seq, member))
+			c.Faults = append(c.Faults, fmt.Sprintf("seq %d: %s restarted its wait for copies", s.Seq, member))
 		}
 	}
 }
 
 // Advance checks how long servers have waited by a time.
-func (a *CopyWaits) Advance(nowMs float64) {
-	for _, member := range slices.Sorted(maps.Keys(a.started)) {
-		if wait := a.started[member]; !wait.reported && nowMs-wait.at > a.LimitMs {
+func (c *CopyWaits) Advance(nowMs float64) {
+	for _, member := range slices.Sorted(maps.Keys(c.started)) {
+		if wait := c.started[member]; !wait.reported && nowMs-wait.at > c.LimitMs {
 			wait.reported = true
-			a.started[member] = wait
-			a.Faults = append(a.Faults, fmt.Sprintf("%s waited for copies for %.0f ms, %.0f at most", member, nowMs-wait.at, a.LimitMs))
+			c.started[member] = wait
+			c.Faults = append(c.Faults, fmt.Sprintf("%s waited for copies for %.0f ms, %.0f at most", member, nowMs-wait.at, c.LimitMs))
 		}
 	}
 }
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -30,7 +30,8 @@
 // write r1, report r1, report r2, report r3, read r1, write r1, take s1, new s1, report r2, report r3, read r1, write
 // r1, read-aged r1, write r1, crash s1, new s1, report r2, back, read r1, write r1, read r1, write r1".
 func TestStaleListDoesNotEndRollback(t *testing.T) {
-	old, new1, new2 := outage.Observation{Boot: "1", Label: "old"}, outage.Observation{Boot: "2", Label: "new"}, outage.Observation{Boot: "3", Label: "new"}
+	old, new1, new2 := outage.Observation{Boot: "1", Label: "old"}, outage.Observation{Boot: "2", Label: "new"},
+		outage.Observation{Boot: "3", Label: "new"}
 	release := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.RollingBack, WaveLeft: 1,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting, Order: 1}}}
 	last := &outage.State{Format: outage.Format, Seq: 1, Release: release}
@@ -61,7 +62,8 @@
 // A rollback also covers a target that the release never reached but that has the new label: it may have returned under
 // an earlier permit with the old label and restarted with the new one.
 func TestRollbackIncludesTargetWithOtherLabel(t *testing.T) {
-	release := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1", Phase: outage.Halted, HaltedFrom: outage.Running,
+	release := &outage.Release{Spec: outage.Spec{Name: "up", Kind: outage.Server, To: "new"}, Run: "up-1",
+		Phase: outage.Halted, HaltedFrom: outage.Running,
 		Targets: []outage.Target{{Name: "s1", From: "old", State: outage.Waiting}}}
 	last, err := (&outage.State{Format: outage.Format, Seq: 1, Release: release}).RollBack("op")
 	if err != nil {
--- a/internal/decide/outage/order_test.go
+++ b/internal/decide/outage/order_test.go
@@ -18,7 +18,8 @@
 		order        string
 		cachedTokens map[string]float64
 		want         string
-	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", cachedTokens, "c1 a2 b2 a3 b1 a1"}, {"name", cachedTokens, "a1 a2 a3 b1 b2 c1"}, {"site", cachedTokens, "a1 a2 a3 b1 b2 c1"}} {
+	}{{"", nil, "a1 b1 c1 a2 b2 a3"}, {"spread", cachedTokens, "c1 a2 b2 a3 b1 a1"},
+		{"name", cachedTokens, "a1 a2 a3 b1 b2 c1"}, {"site", cachedTokens, "a1 a2 a3 b1 b2 c1"}} {
 		got := ""
 		for _, target := range sortTargets(list(), c.order, c.cachedTokens) {
 			got += " " + target.Name
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -297,7 +297,8 @@
 // The auditor detects each broken decider.
 func TestAuditorDetectsBrokenDeciders(t *testing.T) {
 	standin.Steady(t)
-	for _, broken := range []outage.Fault{outage.WaitsForever, outage.ExpiresPermits, outage.CountsReleasesOnly, outage.IgnoresHalt, outage.SkipsRollback, outage.ExceedsBudget} {
+	for _, broken := range []outage.Fault{outage.WaitsForever, outage.ExpiresPermits, outage.CountsReleasesOnly,
+		outage.IgnoresHalt, outage.SkipsRollback, outage.ExceedsBudget} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
 			if found == 0 && len(randomOperations(rt, broken)) > 0 {
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -174,12 +174,14 @@
 		}
 	}
 	if len(targets) == 0 {
-		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To, "see 'sumactl release status', or set all = true"}
+		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To,
+			"see 'sumactl release status', or set all = true"}
 	}
 	next := v.Last.clone()
 	next.Seq++
 	next.By, next.Why = by, "release "+spec.Name+" begins"
-	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running, Targets: sortTargets(targets, spec.Order, v.CachedTokens), Paused: false,
+	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running,
+		Targets: sortTargets(targets, spec.Order, v.CachedTokens), Paused: false,
 		LostSites: len(v.LostSites)}
 	next.Release.WaveLeft = next.Release.waveSize()
 	return next, nil
@@ -272,7 +274,8 @@
 // first, with whatever label they have by then. The call is idempotent: it returns nil, nil if a rollback was requested
 // already.
 func (s *State) RollBack(by string) (*State, error) {
-	if s != nil && s.Release != nil && (s.Release.Phase == RollingBack || s.Release.Phase == RolledBack || s.Release.Phase == Halted && s.Release.HaltedFrom == RollingBack) {
+	if s != nil && s.Release != nil && (s.Release.Phase == RollingBack || s.Release.Phase == RolledBack ||
+		s.Release.Phase == Halted && s.Release.HaltedFrom == RollingBack) {
 		return nil, nil
 	}
 	next, err := s.change("back", by, func(r *Release) error {
--- a/internal/decide/outage/reload.go
+++ b/internal/decide/outage/reload.go
@@ -9,17 +9,17 @@
 type Reload struct{ Server, To string }
 
 // compare orders requests: an operator's first, by Seq, then reloads by Rank.
-func (p PermitRequest) compare(o PermitRequest) int {
-	if (p.For == "") != (o.For == "") {
+func (p PermitRequest) compare(other PermitRequest) int {
+	if (p.For == "") != (other.For == "") {
 		if p.For == "" {
 			return -1
 		}
 		return 1
 	}
 	if p.For != "" {
-		return cmp.Compare(p.Rank, o.Rank)
+		return cmp.Compare(p.Rank, other.Rank)
 	}
-	return cmp.Compare(p.Seq, o.Seq)
+	return cmp.Compare(p.Seq, other.Seq)
 }
 
 // RequestReloads makes the requests for reloads match those wanted now, in their order. A member that an operator
@@ -28,10 +28,10 @@
 func (s *State) RequestReloads(wanted []Reload, by string) *State {
 	next, changed := s.clone(), false
 	next.Seq++
-	want := map[string]bool{}
+	isWanted := map[string]bool{}
 	for i, r := range wanted {
 		member := ID(Server, r.Server)
-		want[member] = true
+		isWanted[member] = true
 		request, ok := next.PermitRequests[member]
 		if _, out := next.Permits[member]; out || ok && request.For == "" {
 			continue
@@ -46,7 +46,7 @@
 		next.PermitRequests[member], changed = request, true
 	}
 	for member, request := range next.PermitRequests {
-		if request.For == ForReload && !want[member] {
+		if request.For == ForReload && !isWanted[member] {
 			delete(next.PermitRequests, member)
 			changed = true
 		}
--- a/internal/decide/outage/reload_test.go
+++ b/internal/decide/outage/reload_test.go
@@ -14,7 +14,8 @@
 	}
 	requested, _ := s.Drain(ID(Server, "s3"), "operator")
 	updated := requested.RequestReloads([]Reload{{"s1", "w6"}, {"s3", "w6"}}, "d1")
-	if w := updated.PermitRequests[ID(Server, "s1")]; len(updated.PermitRequests) != 2 || w.To != "w6" || w.Rank != 0 || updated.PermitRequests[ID(Server, "s3")].For != "" {
+	if w := updated.PermitRequests[ID(Server, "s1")]; len(updated.PermitRequests) != 2 || w.To != "w6" || w.Rank != 0 ||
+		updated.PermitRequests[ID(Server, "s3")].For != "" {
 		t.Fatalf("%+v", updated.PermitRequests)
 	}
 	v := View{Model: Model{Workers: 2, WorkersSite: 2}, Last: updated, Routers: map[string]Registration{"d1": {Boot: "1", Live: true}},
--- a/internal/decide/outage/room.go
+++ b/internal/decide/outage/room.go
@@ -22,47 +22,47 @@
 }
 
 // FollowsHeadroom reports whether the limit follows headroom.
-func (f HeadroomLimit) FollowsHeadroom() bool { return f.Max > 0 }
+func (h HeadroomLimit) FollowsHeadroom() bool { return h.Max > 0 }
 
-func (f HeadroomLimit) withDefaults() HeadroomLimit {
-	if f.FollowsHeadroom() {
-		f.Fill, f.RiseMs = cmp.Or(f.Fill, 0.85), cmp.Or(f.RiseMs, 300_000)
+func (h HeadroomLimit) withDefaults() HeadroomLimit {
+	if h.FollowsHeadroom() {
+		h.Fill, h.RiseMs = cmp.Or(h.Fill, 0.85), cmp.Or(h.RiseMs, 300_000)
 	}
-	return f
+	return h
 }
 
-func (f HeadroomLimit) check() error {
-	if !f.FollowsHeadroom() {
-		if f != (HeadroomLimit{}) {
-			return &ModelError{"workers_max", f.Max, "must be set for the limit to follow headroom"}
+func (h HeadroomLimit) check() error {
+	if !h.FollowsHeadroom() {
+		if h != (HeadroomLimit{}) {
+			return &ModelError{"workers_max", h.Max, "must be set for the limit to follow headroom"}
 		}
 		return nil
 	}
 	for _, c := range []struct {
 		key string
 		v   float64
-	}{{"workers_min", f.Min}, {"workers_max", f.Max}} {
+	}{{"workers_min", h.Min}, {"workers_max", h.Max}} {
 		if c.v < 0 || math.IsNaN(c.v) || c.v > 1 && c.v != math.Trunc(c.v) {
 			return &ModelError{c.key, c.v, "must be a whole number from 1, or a share below 1"}
 		}
 	}
 	switch {
-	case !(f.InHand > 0):
-		return &ModelError{"in_hand", f.InHand, "must be positive where the limit follows headroom"}
-	case !(f.Fill >= 0 && f.Fill <= 1):
-		return &ModelError{"fill", f.Fill, "must be from 0 to 1"}
-	case !(f.RiseMs >= 0):
-		return &ModelError{"rise_ms", f.RiseMs, "must not be negative"}
+	case !(h.InHand > 0):
+		return &ModelError{"in_hand", h.InHand, "must be positive where the limit follows headroom"}
+	case !(h.Fill >= 0 && h.Fill <= 1):
+		return &ModelError{"fill", h.Fill, "must be from 0 to 1"}
+	case !(h.RiseMs >= 0):
+		return &ModelError{"rise_ms", h.RiseMs, "must not be negative"}
 	}
 	return nil
 }
 
 // bounds returns the bounds of the limit for n servers.
-func (f HeadroomLimit) bounds(n int) (lowest, highest int) {
-	highest = limit(f.Max, n)
-	lowest = min(max(limit(f.Min, n), 1), highest)
-	if f.Zero {
-		lowest = min(limit(f.Min, n), highest)
+func (h HeadroomLimit) bounds(n int) (lowest, highest int) {
+	highest = limit(h.Max, n)
+	lowest = min(max(limit(h.Min, n), 1), highest)
+	if h.Zero {
+		lowest = min(limit(h.Min, n), highest)
 	}
 	return lowest, highest
 }
@@ -106,15 +106,15 @@
 
 // updateHeadroom lowers the limit at once when headroom shrinks, and raises it once there was headroom for rise_ms.
 func (d *draft) updateHeadroom() {
-	f := d.model.HeadroomLimit
-	if !f.FollowsHeadroom() {
+	h := d.model.HeadroomLimit
+	if !h.FollowsHeadroom() {
 		d.Headroom = nil
 		return
 	}
 	n := len(d.fleet.servers)
-	lowest, highest := f.bounds(n)
-	used := d.fleet.utilization(f.InHand)
-	want := min(max(int(float64(n)*(1-used/f.Fill)), lowest), highest)
+	lowest, highest := h.bounds(n)
+	used := d.fleet.utilization(h.InHand)
+	want := min(max(int(float64(n)*(1-used/h.Fill)), lowest), highest)
 	if d.Headroom == nil {
 		d.Headroom = &Headroom{Limit: lowest}
 	}
@@ -124,9 +124,9 @@
 	}
 	switch {
 	case d.broken == IgnoresBounds:
-		want = int(float64(n) * (1 - used/f.Fill))
+		want = int(float64(n) * (1 - used/h.Fill))
 	case d.broken == RisesAtOnce && want > r.Limit:
-		r.Rising, r.RiseMs, r.LowestLimit = true, f.RiseMs, want
+		r.Rising, r.RiseMs, r.LowestLimit = true, h.RiseMs, want
 	}
 	switch {
 	case want < r.Limit:
@@ -138,7 +138,7 @@
 	case want > r.Limit && !r.Rising:
 		d.note("there is room for %d servers out, %d may be", want, r.Limit)
 		r.Rising, r.RiseMs, r.LowestLimit = true, 0, want
-	case want > r.Limit && r.RiseMs >= f.RiseMs:
+	case want > r.Limit && r.RiseMs >= h.RiseMs:
 		most := min(r.LowestLimit, want)
 		d.note("%d servers may be out, not %d: there was room for %.0f s", most, r.Limit, r.RiseMs/1000)
 		r = Headroom{Limit: most}
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -37,7 +37,8 @@
 			}
 			limit := min(max(int(10*(1-float64(busy)/10/0.8)), 1), 4)
 			looks = append(looks, sample{now, limit})
-			next := d.Next(outage.View{Model: m, Version: 1, Last: last, Reports: []outage.Report{r}, Routers: map[string]outage.Registration{"a": {Boot: "1", Live: true}}}, now)
+			next := d.Next(outage.View{Model: m, Version: 1, Last: last, Reports: []outage.Report{r},
+				Routers: map[string]outage.Registration{"a": {Boot: "1", Live: true}}}, now)
 			if next == nil {
 				continue
 			}
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -43,7 +43,8 @@
 		if last != nil {
 			for member, p := range last.Permits { // each is independent: the order does not matter
 				var i int
-				if n, _ := fmt.Sscanf(member, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" && p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
+				if n, _ := fmt.Sscanf(member, "server/s%d", &i); n == 1 && p.Stage == outage.Acknowledged && p.To != "" &&
+					p.Boot == fmt.Sprint(boots[i]) && downs[i] < 0 {
 					labels[i], downs[i] = p.To, now
 				}
 			}
@@ -51,7 +52,8 @@
 		for r := range routers {
 			name := fmt.Sprintf("d%d", r)
 			v.Routers[name] = outage.Registration{Boot: "1", Label: "v1", Live: rng.IntN(20) > 0}
-			report := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{}, Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, StoreMember: r < 3, Applied: 1000 - rng.Int64N(300)}
+			report := outage.Report{Router: name, Boot: "1", Observed: map[string]outage.Observation{},
+				Stopped: rng.IntN(15) == 0, Copies: rng.IntN(4) > 0, StoreMember: r < 3, Applied: 1000 - rng.Int64N(300)}
 			if rev++; rng.IntN(10) == 0 {
 				rev--
 			}
@@ -63,7 +65,8 @@
 				if rng.IntN(12) == 0 {
 					continue
 				}
-				s := outage.Observation{Site: string(rune('a' + i%3)), Role: []string{"x", "y"}[i%2], Weight: weights[i], Boot: fmt.Sprint(boots[i]), Label: labels[i], Probed: rng.IntN(5) > 0, Draining: rng.IntN(9) == 0 && i%7 == 0}
+				s := outage.Observation{Site: string(rune('a' + i%3)), Role: []string{"x", "y"}[i%2], Weight: weights[i],
+					Boot: fmt.Sprint(boots[i]), Label: labels[i], Probed: rng.IntN(5) > 0, Draining: rng.IntN(9) == 0 && i%7 == 0}
 				if downs[i] >= 0 && rng.IntN(8) > 0 {
 					s.SilentMs = float64((now-downs[i])/time.Millisecond) + 1
 				}
--- a/internal/decide/outage/search/search_test.go
+++ b/internal/decide/outage/search/search_test.go
@@ -15,7 +15,8 @@
 
 // allOnce allows one event of nearly every kind. Its state space is too large for a full search, so searches are
 // limited.
-var allOnce = Bounds{ServerCrashes: 1, RouterCrashes: 1, DeciderPauses: 1, WrongLabels: 1, Regressions: 1, Halts: 1, Resumes: 1, Rollbacks: 2, BudgetCuts: 1, DrainRequests: 1}
+var allOnce = Bounds{ServerCrashes: 1, RouterCrashes: 1, DeciderPauses: 1, WrongLabels: 1, Regressions: 1, Halts: 1,
+	Resumes: 1, Rollbacks: 2, BudgetCuts: 1, DrainRequests: 1}
 
 // checkNoFaults searches the unmodified decider. A fault fails the test with a trace that can be replayed.
 func checkNoFaults(t *testing.T, o Options) {
@@ -47,7 +48,8 @@
 	if os.Getenv("LAB_LONG") != "" {
 		walks = 50_000
 	}
-	steps, ways, b := 0, 0, Bounds{ServerCrashes: 4, RouterCrashes: 3, DeciderPauses: 4, WrongLabels: 2, Regressions: 2, Halts: 2, Resumes: 3, Rollbacks: 3, BudgetCuts: 1, DrainRequests: 3}
+	steps, ways, b := 0, 0, Bounds{ServerCrashes: 4, RouterCrashes: 3, DeciderPauses: 4, WrongLabels: 2, Regressions: 2,
+		Halts: 2, Resumes: 3, Rollbacks: 3, BudgetCuts: 1, DrainRequests: 3}
 	for seed := range uint64(walks) {
 		r := Options{Bounds: b}.Walk(seed, 300)
 		if steps, ways = steps+r.Steps, ways+r.Rollbacks; len(r.Faults) > 0 {
@@ -66,9 +68,12 @@
 	if n, err := strconv.Atoi(os.Getenv("STATES")); err == nil {
 		most = n
 	}
-	kinds := map[string]Bounds{"nothing": {}, "lowers": {BudgetCuts: 1}, "halts": {Halts: 1, Resumes: 1}, "hands": {DrainRequests: 1}, "backs": {Rollbacks: 2}, "crashes": {ServerCrashes: 1},
-		"odd": {WrongLabels: 1}, "worse": {Regressions: 1}, "stops": {DeciderPauses: 1}, "ends": {RouterCrashes: 1}, "crashes-backs": {ServerCrashes: 1, Rollbacks: 1}, "odd-backs": {WrongLabels: 1, Rollbacks: 1},
-		"worse-backs": {Regressions: 1, Resumes: 1, Rollbacks: 1}, "stops-ends": {DeciderPauses: 1, RouterCrashes: 1}, "hands-crashes": {DrainRequests: 2, ServerCrashes: 1}, "all": allOnce}
+	kinds := map[string]Bounds{"nothing": {}, "lowers": {BudgetCuts: 1}, "halts": {Halts: 1, Resumes: 1},
+		"hands": {DrainRequests: 1}, "backs": {Rollbacks: 2}, "crashes": {ServerCrashes: 1},
+		"odd": {WrongLabels: 1}, "worse": {Regressions: 1}, "stops": {DeciderPauses: 1}, "ends": {RouterCrashes: 1},
+		"crashes-backs": {ServerCrashes: 1, Rollbacks: 1}, "odd-backs": {WrongLabels: 1, Rollbacks: 1},
+		"worse-backs": {Regressions: 1, Resumes: 1, Rollbacks: 1}, "stops-ends": {DeciderPauses: 1, RouterCrashes: 1},
+		"hands-crashes": {DrainRequests: 2, ServerCrashes: 1}, "all": allOnce}
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
 		b := kinds[name]
 		t.Run(name, func(t *testing.T) {
@@ -85,8 +90,10 @@
 	for _, c := range []struct {
 		broken Fault
 		bounds Bounds
-	}{{outage.ExpiresPermits, Bounds{}}, {outage.CountsReleasesOnly, Bounds{DrainRequests: 2}}, {outage.IgnoresHalt, Bounds{Regressions: 1}}, {outage.IgnoresHalt, Bounds{Halts: 1}}, {outage.SkipsRollback, Bounds{Rollbacks: 1}},
-		{outage.ExceedsBudget, Bounds{DrainRequests: 2}}, {outage.SkipsAcknowledgement, Bounds{}}, {outage.NoFence, Bounds{}}, {NoRevision, Bounds{}}, {NoRegistration, Bounds{DeciderPauses: 1}}, {NoPolicy, Bounds{BudgetCuts: 1, DrainRequests: 2}}} {
+	}{{outage.ExpiresPermits, Bounds{}}, {outage.CountsReleasesOnly, Bounds{DrainRequests: 2}},
+		{outage.IgnoresHalt, Bounds{Regressions: 1}}, {outage.IgnoresHalt, Bounds{Halts: 1}}, {outage.SkipsRollback, Bounds{Rollbacks: 1}},
+		{outage.ExceedsBudget, Bounds{DrainRequests: 2}}, {outage.SkipsAcknowledgement, Bounds{}},
+		{outage.NoFence, Bounds{}}, {NoRevision, Bounds{}}, {NoRegistration, Bounds{DeciderPauses: 1}}, {NoPolicy, Bounds{BudgetCuts: 1, DrainRequests: 2}}} {
 		o := Options{Bounds: c.bounds, Broken: c.broken, States: 30_000, RollbackEvery: 1}
 		r := o.Run()
 		if len(r.Faults) == 0 {
--- a/internal/decide/outage/search/steps.go
+++ b/internal/decide/outage/search/steps.go
@@ -165,7 +165,8 @@
 	for _, limited := range [...]struct {
 		op      op
 		enabled bool
-	}{{opRegress, w.remaining.Regressions > 0 && w.failingRun != w.run()}, {opHalt, w.remaining.Halts > 0}, {opResume, w.remaining.Resumes > 0}, {opRollBack, w.remaining.Rollbacks > 0}, {opCutBudget, w.remaining.BudgetCuts > 0}} {
+	}{{opRegress, w.remaining.Regressions > 0 && w.failingRun != w.run()}, {opHalt, w.remaining.Halts > 0},
+		{opResume, w.remaining.Resumes > 0}, {opRollBack, w.remaining.Rollbacks > 0}, {opCutBudget, w.remaining.BudgetCuts > 0}} {
 		if limited.enabled {
 			add(limited.op, 0)
 		}
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -135,7 +135,8 @@
 		if r.report.boot == 0 {
 			continue
 		}
-		report := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq, Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
+		report := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq,
+			Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
 		for j, s := range r.report.servers {
 			observation := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
@@ -180,7 +181,8 @@
 	b := buf[:0]
 	b = appendFlags(b, w.lowered, w.rolledBack, w.failingRun != "" && w.run() == w.failingRun)
 	l := w.remaining
-	b = append(b, byte(l.ServerCrashes), byte(l.RouterCrashes), byte(l.DeciderPauses), byte(l.WrongLabels), byte(l.Regressions), byte(l.Halts), byte(l.Resumes), byte(l.Rollbacks), byte(l.BudgetCuts), byte(l.DrainRequests))
+	b = append(b, byte(l.ServerCrashes), byte(l.RouterCrashes), byte(l.DeciderPauses), byte(l.WrongLabels),
+		byte(l.Regressions), byte(l.Halts), byte(l.Resumes), byte(l.Rollbacks), byte(l.BudgetCuts), byte(l.DrainRequests))
 	for j := range w.servers {
 		var names [16]byte
 		n := byte(0)
@@ -205,7 +207,8 @@
 		}
 	}
 	for i, r := range w.routers {
-		b = appendFlags(b, r.up, r.paused, r.registered, r.report.boot != 0, r.report.boot == r.boot, r.report.failingRun != "" && r.report.failingRun == w.run(), r.sends[0], r.sends[1], r.sends[2],
+		b = appendFlags(b, r.up, r.paused, r.registered, r.report.boot != 0, r.report.boot == r.boot,
+			r.report.failingRun != "" && r.report.failingRun == w.run(), r.sends[0], r.sends[1], r.sends[2],
 			w.state.Known[routerNames[i]].Boot == string(r.boot))
 	}
 	b = w.appendState(b, w.state)
@@ -278,7 +281,8 @@
 		b = appendFlags(b, known)
 	}
 	g := s.Budget
-	b = append(appendFlags(b, s.OverBudget), units(s.OverBudgetMs, 2), byte(g.Servers), byte(g.Routers), byte(g.ServersLimit), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
+	b = append(appendFlags(b, s.OverBudget), units(s.OverBudgetMs, 2), byte(g.Servers), byte(g.Routers),
+		byte(g.ServersLimit), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
 	r := s.Release
 	if r == nil {
 		return b
--- a/internal/decide/outage/state.go
+++ b/internal/decide/outage/state.go
@@ -143,10 +143,12 @@
 // clone copies the state deeply enough that changes to the copy do not affect the original.
 func (s *State) clone() *State {
 	if s == nil {
-		return &State{Format: Format, Permits: map[string]Permit{}, PermitRequests: map[string]PermitRequest{}, Lost: map[string]Loss{}, Known: map[string]KnownRouter{}, Leaving: map[string]Leaving{}}
+		return &State{Format: Format, Permits: map[string]Permit{}, PermitRequests: map[string]PermitRequest{},
+			Lost: map[string]Loss{}, Known: map[string]KnownRouter{}, Leaving: map[string]Leaving{}}
 	}
 	out := *s
-	out.Permits, out.PermitRequests, out.Lost, out.Known = cloneOrEmpty(s.Permits), cloneOrEmpty(s.PermitRequests), cloneOrEmpty(s.Lost), cloneOrEmpty(s.Known)
+	out.Permits, out.PermitRequests, out.Lost, out.Known = cloneOrEmpty(s.Permits), cloneOrEmpty(s.PermitRequests),
+		cloneOrEmpty(s.Lost), cloneOrEmpty(s.Known)
 	out.EndedPermits, out.Leaving = slices.Clone(s.EndedPermits), cloneOrEmpty(s.Leaving)
 	if s.Release != nil {
 		r := *s.Release
--- a/internal/decide/outage/tally.go
+++ b/internal/decide/outage/tally.go
@@ -20,25 +20,25 @@
 }
 
 // addProcess records that n reports name a process, the last of them at index last.
-func (t *votes) addProcess(s Observation, n, last int) {
-	if t.first.reports == 0 || t.first.boot == s.Boot && t.first.label == s.Label {
-		t.first = process{s.Boot, s.Label, t.first.reports + n, max(t.first.last, last)}
+func (v *votes) addProcess(s Observation, n, last int) {
+	if v.first.reports == 0 || v.first.boot == s.Boot && v.first.label == s.Label {
+		v.first = process{s.Boot, s.Label, v.first.reports + n, max(v.first.last, last)}
 		return
 	}
-	for i := range t.others {
-		if o := &t.others[i]; o.boot == s.Boot && o.label == s.Label {
+	for i := range v.others {
+		if o := &v.others[i]; o.boot == s.Boot && o.label == s.Label {
 			o.reports, o.last = o.reports+n, max(o.last, last)
 			return
 		}
 	}
-	t.others = append(t.others, process{s.Boot, s.Label, n, last})
+	v.others = append(v.others, process{s.Boot, s.Label, n, last})
 }
 
 // majority returns the process that most reports name; among equals the one whose last report comes first. The last
 // report of it supplies the server's other attributes.
-func (t *votes) majority() process {
-	best := t.first
-	for _, o := range t.others {
+func (v *votes) majority() process {
+	best := v.first
+	for _, o := range v.others {
 		if o.reports > best.reports || o.reports == best.reports && o.last < best.last {
 			best = o
 		}
@@ -56,20 +56,20 @@
 
 // add counts n reports with the same observation of a server. awake of them are from routers that were not suspended,
 // and last is the index of the last one.
-func (t *votes) add(s Observation, m Model, n, awake, last int) {
-	t.listed += n
+func (v *votes) add(s Observation, m Model, n, awake, last int) {
+	v.listed += n
 	if s.Draining {
-		t.draining += n
+		v.draining += n
 	}
 	if s.Probed {
-		t.probed += awake
+		v.probed += awake
 		if s.SilentMs == 0 {
-			t.answering += awake
+			v.answering += awake
 		} else if s.SilentMs >= m.LostMs {
-			t.silent += awake
+			v.silent += awake
 		}
 	}
-	t.addProcess(s, n, last)
+	v.addProcess(s, n, last)
 }
 
 // countVotes counts the reports' observations by server, and returns the number of servers. Each shared table is
@@ -225,7 +225,7 @@
 		if !r.Live && !r.ServesWithoutLease {
 			continue
 		}
-		if report := d.fleet.reported[name]; report.Boot == r.Boot {
+		if report := d.fleet.lastReports[name]; report.Boot == r.Boot {
 			seq = min(seq, report.StateSeq)
 		} else {
 			seq = math.MinInt64
