--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -108,7 +108,7 @@
 		return
 	}
 	to.gatherer.Receive(r.name, Entry[outage.Report]{Boot: fmt.Sprint(r.boot), Number: int64(len(r.reportedAt)),
-		Report: outage.Report{Sees: map[string]outage.Sight{"s": {Weight: 1, Boot: "1", Asked: true}}}}, sim.now)
+		Report: outage.Report{Observed: map[string]outage.Observation{"s": {Weight: 1, Boot: "1", Probed: true}}}}, sim.now)
 	r.sender.Answered(to.name, to.gatherer.Holder(sim.store[r.region], live, sim.terms, sim.now), sim.now)
 }
 
@@ -164,7 +164,7 @@
 func (sim *simulation) decideAndCheck() (fresh map[string]bool, err error) {
 	var records []*Record[outage.Report]
 	v := outage.View{Model: outage.Model{Workers: 1, ReportMs: float64(reportValidity) / float64(4*time.Millisecond)},
-		Last: sim.state, Routers: map[string]outage.Registered{}}
+		Last: sim.state, Routers: map[string]outage.Registration{}}
 	for _, r := range sim.store {
 		records = append(records, r)
 		if sim.firstSeen[r.Rev] == 0 {
@@ -173,7 +173,7 @@
 	}
 	boots := sim.live("")
 	for name, boot := range boots {
-		v.Routers[name] = outage.Registered{Boot: boot, Live: true}
+		v.Routers[name] = outage.Registration{Boot: boot, Live: true}
 	}
 	v.Reports, fresh = Reports(records, boots, sim.broken), map[string]bool{}
 	for _, report := range v.Reports {
@@ -327,14 +327,14 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := &Record[outage.Report]{Format: 1, Region: "a", Seq: 3, By: "r1", Boot: "1", Entries: map[string]Entry[outage.Report]{}}
 	for i := range 9 {
-		report := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", Seen: 5, Sees: map[string]outage.Sight{}, Hosts: i < 3}
+		report := outage.Report{Router: fmt.Sprint("r", i), Boot: "1", StateSeq: 5, Observed: map[string]outage.Observation{}, StoreMember: i < 3}
 		for k := range 40 {
-			s := outage.Sight{Site: "x", Weight: 1, Label: "v1", Asked: true}
+			s := outage.Observation{Site: "x", Weight: 1, Label: "v1", Probed: true}
 			if rng.IntN(6) == 0 {
 				s.SilentMs = float64(rng.IntN(1000))
 			}
 			if rng.IntN(6) > 0 {
-				report.Sees[fmt.Sprint("s", k)] = s
+				report.Observed[fmt.Sprint("s", k)] = s
 			}
 		}
 		r.Entries[report.Router] = Entry[outage.Report]{Boot: "1", Number: int64(i), AgeMs: 10, Late: i == 4, Report: report}
@@ -353,7 +353,7 @@
 	}
 	dropped := 0
 	for name, entry := range reduced.Entries {
-		if entry.Report.Seen != r.Entries[name].Report.Seen || !entry.Late && len(maps.Collect(entry.Report.All)) != len(r.Entries[name].Report.Sees) {
+		if entry.Report.StateSeq != r.Entries[name].Report.StateSeq || !entry.Late && len(maps.Collect(entry.Report.All)) != len(r.Entries[name].Report.Observed) {
 			t.Errorf("%s: %+v", name, entry)
 		}
 		if entry.Late {
@@ -368,8 +368,8 @@
 		t.Fatal(err)
 	}
 	for name, entry := range decoded.Entries {
-		entry.Report.Sees = maps.Collect(entry.Report.All)
-		entry.Report.Table, entry.Report.Lacks = nil, nil
+		entry.Report.Observed = maps.Collect(entry.Report.All)
+		entry.Report.Table, entry.Report.Absent = nil, nil
 		decoded.Entries[name] = entry
 	}
 	if !reflect.DeepEqual(r, decoded) {
--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -18,7 +18,7 @@
 // themselves.
 type packed struct {
 	Record[reportDifference]
-	Table map[string]outage.Sight `json:"table"`
+	Table map[string]outage.Observation `json:"table"`
 }
 
 type reportDifference struct {
@@ -57,7 +57,7 @@
 	p := packed{Record[reportDifference]{r.Format, r.Region, r.Seq, r.By, r.Boot, map[string]Entry[reportDifference]{}, 0}, majorityTable(r)}
 	for router, entry := range r.Entries {
 		difference := reportDifference{Report: entry.Report}
-		difference.Sees = map[string]outage.Sight{}
+		difference.Observed = map[string]outage.Observation{}
 		found := 0
 		for id, s := range entry.Report.All {
 			common, ok := p.Table[id]
@@ -65,12 +65,12 @@
 				found++
 			}
 			if !ok || common != s {
-				difference.Sees[id] = s
+				difference.Observed[id] = s
 			}
 		}
 		if found < len(p.Table) {
 			for id := range p.Table {
-				if _, ok := entry.Report.Sight(id); !ok {
+				if _, ok := entry.Report.Observation(id); !ok {
 					difference.Without = append(difference.Without, id)
 				}
 			}
@@ -79,7 +79,9 @@
 		p.Entries[router] = Entry[reportDifference]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, difference}
 	}
 	byDifference := slices.SortedFunc(maps.Keys(p.Entries), func(a, b string) int {
-		size := func(name string) int { return len(p.Entries[name].Report.Sees) + len(p.Entries[name].Report.Without) }
+		size := func(name string) int {
+			return len(p.Entries[name].Report.Observed) + len(p.Entries[name].Report.Without)
+		}
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b))
 	})
 	for {
@@ -96,7 +98,7 @@
 		n := (len(byDifference) + 7) / 8
 		for _, router := range byDifference[:n] {
 			entry := p.Entries[router]
-			entry.Late, entry.Report.Sees, entry.Report.Without = true, nil, nil
+			entry.Late, entry.Report.Observed, entry.Report.Without = true, nil, nil
 			p.Entries[router] = entry
 		}
 		byDifference = byDifference[n:]
@@ -124,9 +126,9 @@
 
 // majorityTable returns the majority's observation of each server, by the majority vote of Boyer and Moore (1981). Without a
 // majority it is the observation of an arbitrary router, and the others are stored as differences.
-func majorityTable(r *Record[outage.Report]) map[string]outage.Sight {
+func majorityTable(r *Record[outage.Report]) map[string]outage.Observation {
 	type vote struct {
-		value outage.Sight
+		value outage.Observation
 		count int
 	}
 	votes := map[string]*vote{}
@@ -144,7 +146,7 @@
 			}
 		}
 	}
-	out := make(map[string]outage.Sight, len(votes))
+	out := make(map[string]outage.Observation, len(votes))
 	for id, v := range votes {
 		out[id] = v.value
 	}
@@ -167,7 +169,7 @@
 	r := &Record[outage.Report]{p.Format, p.Region, p.Seq, p.By, p.Boot, make(map[string]Entry[outage.Report], len(p.Entries)), 0}
 	for router, entry := range p.Entries {
 		report := entry.Report.Report
-		report.Table, report.Lacks = p.Table, entry.Report.Without
+		report.Table, report.Absent = p.Table, entry.Report.Without
 		r.Entries[router] = Entry[outage.Report]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, report}
 	}
 	return r, nil
@@ -188,10 +190,10 @@
 				report.AgeMs = unknownAge
 			}
 			if broken == AgedSilence {
-				report.Sees, report.Table = maps.Collect(report.All), nil
-				for id, s := range report.Sees {
+				report.Observed, report.Table = maps.Collect(report.All), nil
+				for id, s := range report.Observed {
 					s.SilentMs += entry.AgeMs
-					report.Sees[id] = s
+					report.Observed[id] = s
 				}
 			}
 			if current, ok := best[router]; ok && (current.Boot == boots[router] && report.Boot != current.Boot ||
--- a/internal/decide/outage/audit.go
+++ b/internal/decide/outage/audit.go
@@ -6,81 +6,81 @@
 	"slices"
 )
 
-// Auditor follows the states of a store's history, one revision after the other, and names each rule that one breaks. It
-// counts anew, and asks no decider.
+// Auditor checks the states of a store's history, one revision after another, and reports each rule that a state breaks.
+// It counts anew and is independent of the deciders.
 type Auditor struct {
-	Model  func(version int64) (Model, bool) // of the policy's versions
-	last   *State
-	ends   map[int64]int // by permit
-	given  map[int64]bool
-	Faults []string
-	// What was seen, for those who judge how much was tried.
+	Model    func(version int64) (Model, bool) // the model of a policy version
+	last     *State
+	endCount map[int64]int // by permit: how often it ended
+	granted  map[int64]bool
+	Faults   []string
+	// What was observed, as a measure of how much was exercised.
 	Permits, Ended, Halts, Lost int
 }
 
-func (a *Auditor) fault(s *State, format string, args ...any) {
+func (a *Auditor) report(s *State, format string, args ...any) {
 	a.Faults = append(a.Faults, fmt.Sprintf("seq %d: ", s.Seq)+fmt.Sprintf(format, args...))
 }
 
-// From has the next state judged as the one after this one, which is not judged itself.
-func (a *Auditor) From(s *State) {
-	a.last, a.ends, a.given = s, map[int64]int{}, map[int64]bool{}
+// StartFrom sets the state before the first one to check. It is not checked itself.
+func (a *Auditor) StartFrom(s *State) {
+	a.last, a.endCount, a.granted = s, map[int64]int{}, map[int64]bool{}
 	if s == nil {
 		return
 	}
 	for _, p := range s.Permits {
-		a.given[p.ID] = true
+		a.granted[p.ID] = true
 	}
-	for _, p := range s.Past {
-		a.given[p.ID], a.ends[p.ID] = true, 1
+	for _, p := range s.EndedPermits {
+		a.granted[p.ID], a.endCount[p.ID] = true, 1
 	}
 }
 
-// Take looks at the next state.
-func (a *Auditor) Take(s *State) {
-	if a.ends == nil {
-		a.ends, a.given = map[int64]int{}, map[int64]bool{}
+// Check checks the next state.
+func (a *Auditor) Check(s *State) {
+	if a.endCount == nil {
+		a.endCount, a.granted = map[int64]int{}, map[int64]bool{}
 	}
 	before := a.last
 	if before == nil {
 		before = &State{}
 	}
 	if s.Seq != before.Seq+1 && a.last != nil {
-		a.fault(s, "follows seq %d: a state was written over another", before.Seq)
+		a.report(s, "follows seq %d: a state was written over another", before.Seq)
 	}
-	fresh, sites := map[Kind]bool{}, map[string]bool{}
-	for _, thing := range slices.Sorted(maps.Keys(s.Permits)) {
-		p := s.Permits[thing]
-		was, stood := before.Permits[thing]
-		if stood && was.ID == p.ID {
+	grantedKinds, grantedSites := map[Kind]bool{}, map[string]bool{}
+	for _, member := range slices.Sorted(maps.Keys(s.Permits)) {
+		p := s.Permits[member]
+		previous, existed := before.Permits[member]
+		if existed && previous.ID == p.ID {
 			continue
 		}
-		kind, _ := Split(thing)
-		fresh[kind] = true
+		kind, _ := Split(member)
+		grantedKinds[kind] = true
 		if kind == Server && p.Site != "" {
-			sites[p.Site] = true
+			grantedSites[p.Site] = true
 		}
 		a.Permits++
-		if a.given[p.ID] {
-			a.fault(s, "permit %d was given before", p.ID)
+		if a.granted[p.ID] {
+			a.report(s, "permit %d was granted before", p.ID)
 		}
-		a.given[p.ID] = true
-		if stood && !slices.ContainsFunc(s.Past, func(e Past) bool { return e.ID == was.ID }) {
-			a.fault(s, "%s: permit %d stands in the place of %d, which has not ended", thing, p.ID, was.ID)
+		a.granted[p.ID] = true
+		if existed && !slices.ContainsFunc(s.EndedPermits, func(e EndedPermit) bool { return e.ID == previous.ID }) {
+			a.report(s, "%s: permit %d replaced %d, which has not ended", member, p.ID, previous.ID)
 		}
 		if s.Release != nil && s.Release.Phase == Halted {
-			a.fault(s, "%s: permit %d was given while release %s is halted", thing, p.ID, s.Release.Name)
+			a.report(s, "%s: permit %d was granted while release %s is halted", member, p.ID, s.Release.Name)
 		}
 		if p.For != ByHand && p.For != ForReload && (s.Release == nil || s.Release.Name != p.For) {
-			a.fault(s, "%s: permit %d is for %s, which does not run", thing, p.ID, p.For)
+			a.report(s, "%s: permit %d is for %s, which is not running", member, p.ID, p.For)
 		}
 	}
-	a.budget(s, before, fresh, sites)
-	a.turns(s)
-	a.ended(s, before)
-	a.hindsight(s, before)
-	for thing := range s.Lost {
-		if _, was := before.Lost[thing]; !was {
+	a.checkBudget(s, before, grantedKinds, grantedSites)
+	a.checkCopyWaits(s)
+	a.checkEnded(s, before)
+	a.checkHindsight(s, before)
+	for member := range s.Lost {
+		if _, known := before.Lost[member]; !known {
 			a.Lost++
 		}
 	}
@@ -90,84 +90,83 @@
 	a.last = s
 }
 
-// turns looks at those that wait for copies: no longer than the policy has them wait, and not beside a permit or while nothing may be
-// let out.
-func (a *Auditor) turns(s *State) {
+// checkCopyWaits checks that leaving servers have no permit and wait for at most copy_wait_ms.
+func (a *Auditor) checkCopyWaits(s *State) {
 	m, known := a.Model(s.Version)
-	for _, thing := range slices.Sorted(maps.Keys(s.Leaving)) {
-		_, out := s.Permits[thing]
-		switch l := s.Leaving[thing]; {
+	for _, member := range slices.Sorted(maps.Keys(s.Leaving)) {
+		_, out := s.Permits[member]
+		switch l := s.Leaving[member]; {
 		case out:
-			a.fault(s, "%s waits for copies and has a permit", thing)
+			a.report(s, "%s waits for copies and has a permit", member)
 		case known && l.WaitMs >= m.CopyWaitMs && m.CopyWaitMs > 0:
-			a.fault(s, "%s has waited for copies for %.0f ms, %.0f at most", thing, l.WaitMs, m.CopyWaitMs)
+			a.report(s, "%s has waited for copies for %.0f ms, %.0f at most", member, l.WaitMs, m.CopyWaitMs)
 		}
 	}
 }
 
-// budget counts what is out in a state that gave permits of some kinds, at some sites.
-func (a *Auditor) budget(s, before *State, fresh map[Kind]bool, sites map[string]bool) {
+// checkBudget checks a state that granted permits to members of some kinds, at some sites, against the budget.
+func (a *Auditor) checkBudget(s, before *State, grantedKinds map[Kind]bool, grantedSites map[string]bool) {
 	m, known := a.Model(s.Version)
 	if !known {
 		return
 	}
-	m = m.Filled()
-	a.room(s, before, m)
+	m = m.WithDefaults()
+	a.checkHeadroom(s, before, m)
 	out, site := map[Kind]int{}, map[string]int{}
-	add := func(thing, at string) {
-		kind, _ := Split(thing)
+	add := func(member, siteName string) {
+		kind, _ := Split(member)
 		out[kind]++
 		if kind == Server {
-			site[at]++
+			site[siteName]++
 		}
 	}
-	for thing, p := range s.Permits {
-		add(thing, p.Site)
+	for member, p := range s.Permits {
+		add(member, p.Site)
 	}
-	for thing, l := range s.Lost {
-		if _, both := s.Permits[thing]; both {
-			a.fault(s, "%s is counted as a loss beside its permit", thing)
+	for member, l := range s.Lost {
+		if _, permitted := s.Permits[member]; permitted {
+			a.report(s, "%s is counted as lost and has a permit", member)
 			continue
 		}
-		add(thing, l.Site)
+		add(member, l.Site)
 	}
-	if most := limit(s.bound(m), s.Budget.Servers); fresh[Server] && out[Server] > most {
-		a.fault(s, "a permit was given with %d servers out, %d may be", out[Server], most)
+	if most := limit(s.serverBound(m), s.Budget.Servers); grantedKinds[Server] && out[Server] > most {
+		a.report(s, "a permit was given with %d servers out, %d may be", out[Server], most)
 	}
-	if most := limit(m.Routers, s.Budget.Routers); fresh[Router] && out[Router] > most {
-		a.fault(s, "a permit was given with %d routers out, %d may be", out[Router], most)
+	if most := limit(m.Routers, s.Budget.Routers); grantedKinds[Router] && out[Router] > most {
+		a.report(s, "a permit was given with %d routers out, %d may be", out[Router], most)
 	}
-	for _, at := range slices.Sorted(maps.Keys(sites)) {
-		if m.WorkersSite >= 1 && site[at] > int(m.WorkersSite) {
-			a.fault(s, "a permit was given with %d servers of site %s out, %g may be", site[at], at, m.WorkersSite)
+	for _, name := range slices.Sorted(maps.Keys(grantedSites)) {
+		if m.WorkersSite >= 1 && site[name] > int(m.WorkersSite) {
+			a.report(s, "a permit was given with %d servers of site %s out, %g may be", site[name], name, m.WorkersSite)
 		}
 	}
 }
 
-// ended looks at the permits that are gone.
-func (a *Auditor) ended(s, before *State) {
-	newly := map[int64]Past{}
-	for _, p := range s.Past {
+// checkEnded checks the permits that ended.
+func (a *Auditor) checkEnded(s, before *State) {
+	endedNow := map[int64]EndedPermit{}
+	for _, p := range s.EndedPermits {
 		if p.Seq == s.Seq {
-			newly[p.ID] = p
+			endedNow[p.ID] = p
 			a.Ended++
-			if a.ends[p.ID]++; a.ends[p.ID] > 1 {
-				a.fault(s, "permit %d has ended twice", p.ID)
+			if a.endCount[p.ID]++; a.endCount[p.ID] > 1 {
+				a.report(s, "permit %d has ended twice", p.ID)
 			}
 		}
 	}
-	for thing, p := range before.Permits {
-		if now, stands := s.Permits[thing]; stands && now.ID == p.ID {
+	for member, p := range before.Permits {
+		if now, exists := s.Permits[member]; exists && now.ID == p.ID {
 			continue
 		}
-		end, is := newly[p.ID]
+		end, ok := endedNow[p.ID]
 		switch {
-		case !is:
-			a.fault(s, "%s: permit %d is gone without an end", thing, p.ID)
-		case end.End == "back" && p.Stage != Returning && p.Stage != Clear:
-			a.fault(s, "%s: permit %d ended at stage %s: it was not seen back", thing, p.ID, p.Stage)
-		case end.End == "back" && p.Stage == Clear:
-			a.fault(s, "%s: permit %d ended without a time in which it was seen back", thing, p.ID)
+		case !ok:
+			a.report(s, "%s: permit %d disappeared without a recorded end", member, p.ID)
+		case end.End == "back" && p.Stage != Returning && p.Stage != Acknowledged:
+			a.report(s, "%s: permit %d ended at stage %s, before the member was seen back", member, p.ID, p.Stage)
+		case end.End == "back" && p.Stage == Acknowledged:
+			a.report(s, "%s: permit %d ended without a time in which it was seen back", member, p.ID)
 		}
 	}
 }
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -10,224 +10,224 @@
 	"sumacloft/internal/decide/turn"
 )
 
-// Fault is a rule that a decider breaks on purpose, so that checkers can be shown to find it.
+// Fault is a rule that a decider breaks on purpose, to prove that checkers detect it.
 type Fault string
 
-// The faults.
 const (
-	FreesLapsed Fault = "lapse"      // a permit ends once its thing has been out for long, whatever is seen
-	CountsOwn   Fault = "own-count"  // each router counts only what itself has given
-	NoFence     Fault = "no-fence"   // writes compare nothing (the carrier breaks it)
-	NoHalt      Fault = "no-halt"    // a halt is not looked at
-	ForgetsOne  Fault = "forgets"    // the way back leaves out the target that was released last
-	StopsEarly  Fault = "not-clear"  // a thing may be stopped before all routers know that it is out
-	TwoOwners   Fault = "over-fills" // a permit is given past the budget by one
-	WaitsOn     Fault = "waits-on"   // the wait for copies never ends
-	RisesOnce   Fault = "rises-once" // the number that follows room rises at once
-	OverWall    Fault = "over-wall"  // it has no walls
+	ExpiresPermits       Fault = "lapse"      // a permit ends after its member was out for lost_ms, without evidence
+	CountsReleasesOnly   Fault = "own-count"  // losses and permits by hand are not counted
+	NoFence              Fault = "no-fence"   // writes are not fenced by revision and registration (implemented by the caller)
+	IgnoresHalt          Fault = "no-halt"    // a halted release keeps getting permits
+	SkipsRollback        Fault = "forgets"    // a rollback leaves out a target
+	SkipsAcknowledgement Fault = "not-clear"  // a member may be stopped before all routers acknowledged its permit
+	ExceedsBudget        Fault = "over-fills" // permits exceed the budget by one
+	WaitsForever         Fault = "waits-on"   // the wait for copies never ends
+	RisesAtOnce          Fault = "rises-once" // the headroom limit rises without its delay
+	IgnoresBounds        Fault = "over-wall"  // the headroom limit ignores its bounds
 )
 
-// Decider comes to states. Each router keeps one and steps it alike; whose turn it is writes.
+// Decider computes new states. Each router runs one on the same input, and the router whose turn it is writes.
 type Decider struct {
 	Me     string
 	Broken Fault
 
-	stood turn.RevisionAges
-	due   turn.WriteDelay
-	gave  struct { // the state that it gave last, and when: its times were right then
+	ages    turn.RevisionAges
+	due     turn.WriteDelay
+	written struct { // the last state it returned and when, which is when its durations were exact
 		seq int64
 		at  time.Duration
 	}
 }
 
-// step is how much later each next router writes a state that the one before it should have written.
-const step = 250 * time.Millisecond
+// turnDelay is how much later each following router writes a state that the router before it did not write.
+const turnDelay = 250 * time.Millisecond
 
-// stateKey is the state's among the records whose age is kept.
-const stateKey = "\x00state"
+// stateRecord is the key of the state among the records whose ages are tracked.
+const stateRecord = "\x00state"
 
-// Next gives the state that should take the place of the last, or nil while that may stand, another router's turn is before
-// ours, or the last is of a newer format than this program's.
+// Next returns the state that should replace the last one. It returns nil if nothing changed, if it is another router's
+// turn, if too few routers report, or if the last state has a newer format than this program's.
 func (d *Decider) Next(v View, now time.Duration) *State {
-	if !v.Model.Filled().On() || v.Last != nil && v.Last.Format > Format {
+	if !v.Model.WithDefaults().On() || v.Last != nil && v.Last.Format > Format {
 		return nil
 	}
-	reported := map[string]bool{stateKey: true}
+	reported := map[string]bool{stateRecord: true}
 	for _, r := range v.Reports {
 		reported[r.Router] = true
 	}
-	d.stood.Retain(func(key string) bool { return reported[key] })
+	d.ages.Retain(func(key string) bool { return reported[key] })
 	rev := int64(0)
 	if v.Last != nil {
 		rev = v.Last.Rev
 	}
-	state := func() time.Duration {
-		stood := d.stood.Age(stateKey, rev, now)
-		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.gave.seq { // it stood from before it was read
-			stood = max(stood, now-d.gave.at)
+	age := func() time.Duration {
+		passed := d.ages.Age(stateRecord, rev, now)
+		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // its age counts from before it was read back
+			passed = max(passed, now-d.written.at)
 		}
-		return stood
+		return passed
 	}
-	made := d.Step(v, Ages{State: state,
-		Report: func(router string, rev int64) time.Duration { return d.stood.Age(router, rev, now) }})
+	result := d.Step(v, Ages{State: age,
+		Report: func(router string, rev int64) time.Duration { return d.ages.Age(router, rev, now) }})
 	switch {
-	case made.Next == nil:
+	case result.Next == nil:
 		d.due.Clear()
 		return nil
-	case !made.Most || !d.due.Elapsed(turn.Rank("outage", d.Me, made.names), step, now):
+	case !result.Quorum || !d.due.Elapsed(turn.Rank("outage", d.Me, result.routers), turnDelay, now):
 		return nil
 	}
 	d.due.Clear()
-	d.gave.seq, d.gave.at = made.Next.Seq, now
-	return made.Next
+	d.written.seq, d.written.at = result.Next.Seq, now
+	return result.Next
 }
 
-// Ages tell for how long the state and a router's report have stood as they are, as far as a decider saw; never longer than the truth.
+// Ages returns the observed age of the state and of a router's report. An observed age is never longer than the real
+// one.
 type Ages struct {
 	State  func() time.Duration
 	Report func(router string, rev int64) time.Duration
 }
 
-// Step is what a decider makes of a view.
+// Step is the result of one decision.
 type Step struct {
-	Next  *State // nil: the last may stand
-	Most  bool   // more than half of the live routers report, so Next may be written
-	names []string
+	Next    *State // nil: the last state stays
+	Quorum  bool   // more than half of the live routers report, so Next may be written
+	routers []string
 }
 
-// Step makes a step without regard to whose turn it is; it needs no memory but the ages.
+// Step computes a decision regardless of whose turn it is. It keeps no memory except the ages.
 func (d *Decider) Step(v View, ages Ages) Step {
-	m := v.Model.Filled()
-	f := look(v, m, ages.Report)
+	m := v.Model.WithDefaults()
+	f := aggregate(v, m, ages.Report)
 	next := v.Last.clone()
 	next.Format, next.Version, next.By = Format, v.Version, d.Me
 	next.CountWrite()
-	next.age(ms(ages.State()))
-	w := &work{State: next, v: v, m: m, f: f, broken: d.Broken, me: d.Me, waits: map[string]bool{}}
-	w.Seq++
-	w.routers()
-	w.losses()
-	w.permits()
-	w.follow()
-	w.count()
-	w.release()
-	w.hindsight()
-	w.give()
-	w.stay()
-	out := Step{Most: 2*len(f.fresh) > w.live(), names: f.names}
-	if len(w.said) > 0 || v.Last == nil || w.counted(v.Last.Budget) {
-		next.Why = strings.Join(w.said, "; ")
+	next.addElapsed(milliseconds(ages.State()))
+	dr := &draft{State: next, view: v, model: m, fleet: f, broken: d.Broken, self: d.Me, copyWaiters: map[string]bool{}}
+	dr.Seq++
+	dr.updateRouters()
+	dr.updateLosses()
+	dr.updatePermits()
+	dr.updateHeadroom()
+	dr.updateBudget()
+	dr.updateRelease()
+	dr.updateHindsight()
+	dr.grantPermits()
+	dr.dropStaleLeaving()
+	out := Step{Quorum: 2*len(f.fresh) > dr.liveRouters(), routers: f.routers}
+	if len(dr.log) > 0 || v.Last == nil || dr.budgetChanged(v.Last.Budget) {
+		next.Why = strings.Join(dr.log, "; ")
 		out.Next = next
 	}
 	return out
 }
 
-// age adds to all times what has passed since the state was written, as far as was seen.
-func (s *State) age(passed float64) {
-	for thing, p := range s.Permits {
+// addElapsed adds the observed time since the state was written to all running durations.
+func (s *State) addElapsed(passed float64) {
+	for member, p := range s.Permits {
 		p.OutMs += passed
 		if p.Stage == Returning {
 			p.BackMs += passed
 		}
-		s.Permits[thing] = p
+		s.Permits[member] = p
 	}
-	if s.Over {
-		s.OverMs += passed
+	if s.OverBudget {
+		s.OverBudgetMs += passed
 	}
-	for thing, l := range s.Leaving {
+	for member, l := range s.Leaving {
 		l.WaitMs += passed
-		s.Leaving[thing] = l
+		s.Leaving[member] = l
 	}
 	if r := s.Release; r != nil && r.Paused {
 		r.PauseMs += passed
 	}
-	if s.Room != nil && s.Room.Rising {
-		r := *s.Room
+	if s.Headroom != nil && s.Headroom.Rising {
+		r := *s.Headroom
 		r.RiseMs += passed
-		s.Room = &r
+		s.Headroom = &r
 	}
 }
 
-// work is one step of a decider.
-type work struct {
+// draft is the next state while one step computes it.
+type draft struct {
 	*State
-	v      View
-	m      Model
-	f      facts
-	broken Fault
-	me     string
-	said   []string        // what has changed
-	waits  map[string]bool // who has its turn and waits for copies
+	view        View
+	model       Model
+	fleet       fleetStatus
+	broken      Fault
+	self        string
+	log         []string        // descriptions of what changed
+	copyWaiters map[string]bool // servers that would get a permit and wait for copies
 
-	whole   *stock // these are counted when they are first asked for
-	away    *gone
-	follows *int64
+	totals      *fleetTotals // computed on first use
+	outCache    *outCounts
+	oldestCache *int64
 }
 
-func (w *work) say(format string, args ...any) { w.said = append(w.said, fmt.Sprintf(format, args...)) }
+func (d *draft) note(format string, args ...any) { d.log = append(d.log, fmt.Sprintf(format, args...)) }
 
-// routers keeps who is known: a router that was ever registered is counted with until it is declared gone.
-func (w *work) routers() {
-	for _, name := range slices.Sorted(maps.Keys(w.v.Routers)) {
-		r := w.v.Routers[name]
+// updateRouters records every router that was ever registered. It counts until it is declared gone.
+func (d *draft) updateRouters() {
+	for _, name := range slices.Sorted(maps.Keys(d.view.Routers)) {
+		r := d.view.Routers[name]
 		if !r.Live {
 			continue
 		}
-		report := w.f.reported[name]
-		one := Known{Boot: r.Boot, Label: r.Label, Site: w.Known[name].Site, Hosts: w.Known[name].Hosts}
+		report := d.fleet.lastReports[name]
+		router := KnownRouter{Boot: r.Boot, Label: r.Label, Site: d.Known[name].Site, StoreMember: d.Known[name].StoreMember}
 		if report.Boot == r.Boot {
-			one.Hosts = report.Hosts
+			router.StoreMember = report.StoreMember
 		}
-		if w.Known[name] != one {
-			w.Known[name] = one
-			w.say("router %s runs as %s, label %q", name, one.Boot, one.Label)
+		if d.Known[name] != router {
+			d.Known[name] = router
+			d.note("router %s runs as %s, label %q", name, router.Boot, router.Label)
 		}
 	}
 }
 
-// losses agrees on what is out without a permit.
-func (w *work) losses() {
+// updateLosses determines the members that are out without a permit.
+func (d *draft) updateLosses() {
 	lost := map[string]Loss{}
-	for id, s := range w.f.servers {
-		thing, one := ID(Server, id), Loss{Site: s.Site, Role: s.Role}
+	for id, s := range d.fleet.servers {
+		member, loss := ID(Server, id), Loss{Site: s.Site, Role: s.Role}
 		switch {
-		case w.v.LostSites[s.Site]:
-			one.Why = "lost site"
-		case s.drains:
-			one.Why = "drained"
-		case s.silent || w.Lost[thing].Why == "silent" && !s.answers:
-			one.Why = "silent"
+		case d.view.LostSites[s.Site]:
+			loss.Why = "lost site"
+		case s.draining:
+			loss.Why = "drained"
+		case s.silent || d.Lost[member].Why == "silent" && !s.answering:
+			loss.Why = "silent"
 		default:
 			continue
 		}
-		if _, out := w.Permits[thing]; !out {
-			lost[thing] = one
+		if _, out := d.Permits[member]; !out {
+			lost[member] = loss
 		}
 	}
-	for name, k := range w.Known {
-		thing := ID(Router, name)
-		if _, out := w.Permits[thing]; !out && !w.v.Routers[name].Live {
-			lost[thing] = Loss{Why: "ended", Site: k.Site}
+	for name, k := range d.Known {
+		member := ID(Router, name)
+		if _, out := d.Permits[member]; !out && !d.view.Routers[name].Live {
+			lost[member] = Loss{Why: "ended", Site: k.Site}
 		}
 	}
-	for _, thing := range slices.Sorted(maps.Keys(lost)) {
-		if was, is := w.Lost[thing]; !is || was.Why != lost[thing].Why {
-			w.say("%s is lost: %s", thing, lost[thing].Why)
+	for _, member := range slices.Sorted(maps.Keys(lost)) {
+		if previous, ok := d.Lost[member]; !ok || previous.Why != lost[member].Why {
+			d.note("%s is lost: %s", member, lost[member].Why)
 		}
 	}
-	for _, thing := range slices.Sorted(maps.Keys(w.Lost)) {
-		if _, is := lost[thing]; !is {
-			if _, out := w.Permits[thing]; !out {
-				w.say("%s is seen back", thing)
+	for _, member := range slices.Sorted(maps.Keys(d.Lost)) {
+		if _, ok := lost[member]; !ok {
+			if _, out := d.Permits[member]; !out {
+				d.note("%s is seen back", member)
 			}
 		}
 	}
-	w.Lost = lost
+	d.Lost = lost
 }
 
-// live is how many routers are registered: less than half of them decide nothing.
-func (w *work) live() (n int) {
-	for _, r := range w.v.Routers {
+// liveRouters counts the registered routers. A decision needs reports from more than half of them.
+func (d *draft) liveRouters() (n int) {
+	for _, r := range d.view.Routers {
 		if r.Live {
 			n++
 		}
@@ -235,47 +235,47 @@
 	return n
 }
 
-// told tells whether every router that is alive follows a state from a number on.
-func (w *work) told(seq int64) bool { return w.least() >= seq }
+// acknowledged reports whether every live router follows the state seq or a later one.
+func (d *draft) acknowledged(seq int64) bool { return d.oldestSeq() >= seq }
 
-// permits moves permits on by what is seen of their things.
-func (w *work) permits() {
-	for _, thing := range slices.Sorted(maps.Keys(w.Permits)) {
-		p, was := w.Permits[thing], w.Permits[thing].Stage
-		kind, name := Split(thing)
-		boot, label, answers, there := "", "", false, false
+// updatePermits advances each permit by what is observed of its member.
+func (d *draft) updatePermits() {
+	for _, member := range slices.Sorted(maps.Keys(d.Permits)) {
+		p, oldStage := d.Permits[member], d.Permits[member].Stage
+		kind, name := Split(member)
+		boot, label, answers, present := "", "", false, false
 		if kind == Server {
-			var s fact
-			if s, there = w.f.servers[name]; there {
-				boot, label, answers = s.Boot, s.Label, s.answers && !s.silent && s.agreed
+			var s serverStatus
+			if s, present = d.fleet.servers[name]; present {
+				boot, label, answers = s.Boot, s.Label, s.answering && !s.silent && s.agreed
 			}
 		} else {
-			r, report := w.v.Routers[name], w.f.reported[name]
-			if there = r.Live; there {
-				boot, label, answers = r.Boot, r.Label, slices.Contains(w.f.names, name) && report.Boot == r.Boot
+			r, report := d.view.Routers[name], d.fleet.lastReports[name]
+			if present = r.Live; present {
+				boot, label, answers = r.Boot, r.Label, slices.Contains(d.fleet.routers, name) && report.Boot == r.Boot
 			}
 		}
 		switch p.Stage {
-		case Given:
-			empty := kind != Router || w.f.reported[name].Empty == p.ID || !w.v.Routers[name].Live
-			if w.told(p.Seq) && empty || w.broken == StopsEarly {
-				p.Stage = Clear
+		case Granted:
+			drained := kind != Router || d.fleet.lastReports[name].DrainedPermit == p.ID || !d.view.Routers[name].Live
+			if d.acknowledged(p.Seq) && drained || d.broken == SkipsAcknowledgement {
+				p.Stage = Acknowledged
 			}
 		}
-		back := there && answers && (boot != p.Boot || p.Serve)
+		returned := present && answers && (boot != p.Boot || p.Serve)
 		switch {
-		case p.Stage == Clear && back:
+		case p.Stage == Acknowledged && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Given && p.Serve && back:
+		case p.Stage == Granted && p.Serve && returned:
 			p.Stage, p.BackMs = Returning, 0
-		case p.Stage == Returning && !back: // routers send to it by now: they are told anew
-			p.Stage, p.Seq = Given, w.Seq
+		case p.Stage == Returning && !returned: // routers send to it again, so they must acknowledge the permit again
+			p.Stage, p.Seq = Granted, d.Seq
 		}
-		w.Permits[thing] = p
-		if p.Stage != was {
-			w.say("%s is %s (permit %d)", thing, p.Stage, p.ID)
+		d.Permits[member] = p
+		if p.Stage != oldStage {
+			d.note("%s is %s (permit %d)", member, p.Stage, p.ID)
 		}
-		warm := w.m.WarmMs
+		warm := d.model.WarmMs
 		if p.Serve && boot == p.Boot { // it never stopped
 			warm = 0
 		}
@@ -284,34 +284,34 @@
 			if p.Serve && boot == p.Boot {
 				end = "served"
 			}
-			w.ended(thing, end, label)
-			w.say("%s is back with label %q, its permit %d has ended", thing, label, p.ID)
-			w.came(thing, label)
-		} else if w.broken == FreesLapsed && p.Stage == Clear && p.OutMs > w.m.LostMs {
-			w.ended(thing, "back", label)
-			w.say("%s: its permit lapsed", thing)
-			w.came(thing, p.To)
+			d.endPermit(member, end, label)
+			d.note("%s is back with label %q, its permit %d has ended", member, label, p.ID)
+			d.targetReturned(member, label)
+		} else if d.broken == ExpiresPermits && p.Stage == Acknowledged && p.OutMs > d.model.LostMs {
+			d.endPermit(member, "back", label)
+			d.note("%s: its permit lapsed", member)
+			d.targetReturned(member, p.To)
 		}
 	}
 }
 
-// count counts what is out against the budget.
-func (w *work) count() {
-	b := Budget{Servers: len(w.f.servers), Routers: len(w.Known)}
-	b.ServersMost, b.RoutersMost = limit(w.bound(w.m), b.Servers), limit(w.m.Routers, b.Routers)
-	for thing := range w.Lost {
-		if k, _ := Split(thing); k == Server {
+// updateBudget counts the members that are out against the budget.
+func (d *draft) updateBudget() {
+	b := Budget{Servers: len(d.fleet.servers), Routers: len(d.Known)}
+	b.ServersLimit, b.RoutersLimit = limit(d.serverBound(d.model), b.Servers), limit(d.model.Routers, b.Routers)
+	for member := range d.Lost {
+		if k, _ := Split(member); k == Server {
 			b.ServersLost++
 		} else {
 			b.RoutersLost++
 		}
 	}
-	for thing, p := range w.Permits {
-		k, _ := Split(thing)
+	for member, p := range d.Permits {
+		k, _ := Split(member)
 		if k == Server {
 			b.ServersOut++
 			if p.Stage != Returning {
-				b.ServersGiven++
+				b.ServersGranted++
 			}
 		} else {
 			b.RoutersOut++
@@ -319,72 +319,75 @@
 	}
 	b.ServersOut += b.ServersLost
 	b.RoutersOut += b.RoutersLost
-	w.Budget = b
-	over := b.ServersMost > 0 && b.ServersLost >= b.ServersMost || b.RoutersMost > 0 && b.RoutersLost >= b.RoutersMost
-	if over != w.Over {
-		w.Over, w.OverMs = over, 0
+	d.Budget = b
+	over := b.ServersLimit > 0 && b.ServersLost >= b.ServersLimit || b.RoutersLimit > 0 && b.RoutersLost >= b.RoutersLimit
+	if over != d.OverBudget {
+		d.OverBudget, d.OverBudgetMs = over, 0
 		if over {
-			w.say("losses alone use up the budget")
+			d.note("losses alone use up the budget")
 		} else {
-			w.say("losses leave room in the budget again")
+			d.note("losses leave room in the budget again")
 		}
 	}
 }
 
-// counted tells whether what was counted differs in what is worth writing by itself.
-func (w *work) counted(was Budget) bool {
-	return was.ServersOut != w.Budget.ServersOut || was.RoutersOut != w.Budget.RoutersOut || was.ServersMost != w.Budget.ServersMost || was.RoutersMost != w.Budget.RoutersMost
+// budgetChanged reports whether the counts changed in a way that has to be written.
+func (d *draft) budgetChanged(previous Budget) bool {
+	return previous.ServersOut != d.Budget.ServersOut || previous.RoutersOut != d.Budget.RoutersOut ||
+		previous.ServersLimit != d.Budget.ServersLimit || previous.RoutersLimit != d.Budget.RoutersLimit
 }
 
-// room tells why one more thing may not be taken out; "": it may.
-func (w *work) room(thing, site, role string) string {
-	kind, _ := Split(thing)
+// blockReason returns why a member may not be taken out, or "" if it may.
+func (d *draft) blockReason(member, site, role string) string {
+	kind, _ := Split(member)
 	extra := 0
-	if l, lost := w.Lost[thing]; lost { // it counts already, and a permit for it changes nothing but who brings it back
+	if l, lost := d.Lost[member]; lost { // it counts as out already; the permit only determines who brings it back
 		if l.Why == "lost site" {
 			return "its site is lost"
 		}
 		extra = 1
 	}
-	if w.broken == TwoOwners {
+	if d.broken == ExceedsBudget {
 		extra++
 	}
-	away := w.gone()
+	outNow := d.outOfService()
 	if kind == Router {
 		switch {
-		case w.Budget.RoutersMost == 0:
+		case d.Budget.RoutersLimit == 0:
 			return "the policy lets no router out"
-		case away.routers >= w.Budget.RoutersMost+extra:
-			return fmt.Sprintf("%d of %d routers are out, %d may be", away.routers, w.Budget.Routers, w.Budget.RoutersMost)
+		case outNow.routers >= d.Budget.RoutersLimit+extra:
+			return fmt.Sprintf("%d of %d routers are out, %d may be", outNow.routers, d.Budget.Routers, d.Budget.RoutersLimit)
 		}
-		if w.Known[name(thing)].Hosts && w.f.behind != "" {
-			return w.f.behind
+		if d.Known[memberName(member)].StoreMember && d.fleet.storeLag != "" {
+			return d.fleet.storeLag
 		}
 		return ""
 	}
-	if w.whole == nil {
-		w.whole = w.f.stock()
+	if d.totals == nil {
+		d.totals = d.fleet.totals()
 	}
 	for _, b := range [...]struct {
-		what, of string
-		bound    float64
-		all, out int
-		is       func(k Kind, s, r string) bool
+		noun, qualifier string
+		bound           float64
+		all, out        int
+		match           func(k Kind, s, r string) bool
 	}{
-		{"servers", "", w.bound(w.m), w.Budget.Servers, away.servers, func(k Kind, _, _ string) bool { return k == Server }},
-		{"servers of site ", site, w.m.WorkersSite, w.whole.site[site], away.site[site], func(k Kind, s, _ string) bool { return k == Server && s == site }},
-		{"servers of role ", role, w.m.WorkersRole, w.whole.role[role], away.role[role], func(k Kind, _, r string) bool { return k == Server && r == role }},
+		{"servers", "", d.serverBound(d.model), d.Budget.Servers, outNow.servers, func(k Kind, _, _ string) bool { return k == Server }},
+		{"servers of site ", site, d.model.WorkersSite, d.totals.site[site], outNow.site[site],
+			func(k Kind, s, _ string) bool { return k == Server && s == site }},
+		{"servers of role ", role, d.model.WorkersRole, d.totals.role[role], outNow.role[role],
+			func(k Kind, _, r string) bool { return k == Server && r == role }},
 	} {
-		if out, most := b.out+w.leaving(thing, b.is), limit(b.bound, b.all); out >= most+extra {
-			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.what+b.of, most)
+		if out, most := b.out+d.reservedCount(member, b.match), limit(b.bound, b.all); out >= most+extra {
+			return fmt.Sprintf("%d of %d %s are out, %d may be", out, b.all, b.noun+b.qualifier, most)
 		}
 	}
-	all, left := w.whole.weight, w.whole.weight-away.weight-w.keeping(thing)
-	_, out := w.Permits[thing]
-	if _, lost := w.Lost[thing]; !out && !lost {
-		left -= w.f.servers[name(thing)].Weight
+	all, left := d.totals.weight, d.totals.weight-outNow.weight-d.reservedWeight(member)
+	_, out := d.Permits[member]
+	if _, lost := d.Lost[member]; !out && !lost {
+		left -= d.fleet.servers[memberName(member)].Weight
 	}
-	for _, k := range w.m.Classes {
+	for _, k := range d.model.Classes {
 		if left < k.Part*all {
 			return fmt.Sprintf("class %s would have %.0f%% of the servers' weight, %.0f%% must stay", k.Name, 100*left/all, 100*k.Part)
 		}
@@ -392,4 +395,4 @@
 	return ""
 }
 
-func name(thing string) string { _, n := Split(thing); return n }
+func memberName(member string) string { _, n := Split(member); return n }
--- a/internal/decide/outage/give.go
+++ b/internal/decide/outage/give.go
@@ -7,237 +7,238 @@
 	"slices"
 )
 
-// permit gives a permit; what it is of is known to be there.
-func (w *work) permit(thing, why, to string) {
-	kind, n := Split(thing)
-	w.Next++
-	p := Permit{ID: w.Next, For: why, Stage: Given, Seq: w.Seq, To: to}
+// grant records a permit for a member that is known to exist.
+func (d *draft) grant(member, purpose, to string) {
+	kind, n := Split(member)
+	d.LastPermitID++
+	p := Permit{ID: d.LastPermitID, For: purpose, Stage: Granted, Seq: d.Seq, To: to}
 	if kind == Server {
-		s := w.f.servers[n]
+		s := d.fleet.servers[n]
 		p.Boot, p.Label, p.Site, p.Role = s.Boot, s.Label, s.Site, s.Role
 	} else {
-		k := w.Known[n]
+		k := d.Known[n]
 		p.Boot, p.Label, p.Site = k.Boot, k.Label, k.Site
 	}
-	w.Permits[thing] = p
-	delete(w.Lost, thing)
-	w.away = nil
-	w.say("%s may go out (permit %d for %s)", thing, p.ID, why)
-	w.count()
+	d.Permits[member] = p
+	delete(d.Lost, member)
+	d.outCache = nil
+	d.note("%s may go out (permit %d for %s)", member, p.ID, purpose)
+	d.updateBudget()
 }
 
-// disagree is why nothing is done with a server whose list is behind at some routers: what one of them says of its start or
-// label may be over by now.
-const disagree = "most routers do not yet have the same start and label of it"
+// reasonNoMajority is the reason to wait for a server on which routers' lists disagree: some lists are outdated, and the
+// boot or label they report may no longer be current.
+const reasonNoMajority = "most routers do not yet have the same start and label of it"
 
-// give gives permits: to wishes by hand first, in their order, then to the release, to reloads with what is left.
-func (w *work) give() {
-	halted := w.Release != nil && w.Release.Phase == Halted && w.broken != NoHalt
-	things := slices.SortedFunc(maps.Keys(w.Wishes), func(a, b string) int { return w.Wishes[a].before(w.Wishes[b]) })
-	meet := func(thing string) {
-		wish := w.Wishes[thing]
-		kind, n := Split(thing)
-		s, there := w.f.servers[n]
+// grantPermits grants permits to requests by hand first, in their order, then to the release, then to reloads.
+func (d *draft) grantPermits() {
+	halted := d.Release != nil && d.Release.Phase == Halted && d.broken != IgnoresHalt
+	pending := slices.SortedFunc(maps.Keys(d.PermitRequests), func(a, b string) int { return d.PermitRequests[a].compare(d.PermitRequests[b]) })
+	grantOrWait := func(member string) {
+		request := d.PermitRequests[member]
+		kind, n := Split(member)
+		s, present := d.fleet.servers[n]
 		if kind == Router {
-			_, there = w.Known[n]
+			_, present = d.Known[n]
 		}
-		_, out := w.Permits[thing]
-		wait := ""
+		_, out := d.Permits[member]
+		reason := ""
 		switch {
 		case out:
-			delete(w.Wishes, thing)
+			delete(d.PermitRequests, member)
 			return
-		case wish.For == ForReload && s.agreed && s.Label == wish.To:
-			delete(w.Wishes, thing)
-			w.say("%s has label %q already", thing, wish.To)
+		case request.For == ForReload && s.agreed && s.Label == request.To:
+			delete(d.PermitRequests, member)
+			d.note("%s has label %q already", member, request.To)
 			return
 		case halted:
-			wait = "release " + w.Release.Name + " is halted: " + w.Release.Why
-		case !there:
-			wait = "most routers do not have it in their lists"
+			reason = "release " + d.Release.Name + " is halted: " + d.Release.Why
+		case !present:
+			reason = "most routers do not have it in their lists"
 		case kind == Server && !s.agreed:
-			wait = disagree
+			reason = reasonNoMajority
 		default:
-			wait = w.room(thing, s.Site, s.Role)
+			reason = d.blockReason(member, s.Site, s.Role)
 		}
-		if wait == "" && !w.ready(thing) {
-			wait = copying
+		if reason == "" && !d.readyForPermit(member) {
+			reason = reasonCopying
 		}
-		if wait == "" {
-			delete(w.Wishes, thing)
-			w.permit(thing, cmp.Or(wish.For, ByHand), wish.To)
+		if reason == "" {
+			delete(d.PermitRequests, member)
+			d.grant(member, cmp.Or(request.For, ByHand), request.To)
 			return
 		}
-		if wish.Wait != wait {
-			wish.Wait = wait
-			w.Wishes[thing] = wish
-			w.say("%s waits: %s", thing, wait)
+		if request.WaitReason != reason {
+			request.WaitReason = reason
+			d.PermitRequests[member] = request
+			d.note("%s waits: %s", member, reason)
 		}
 	}
-	hand := 0
-	for hand < len(things) && w.Wishes[things[hand]].For == "" {
-		hand++
+	manual := 0
+	for manual < len(pending) && d.PermitRequests[pending[manual]].For == "" {
+		manual++
 	}
-	for _, thing := range things[:hand] {
-		meet(thing)
+	for _, member := range pending[:manual] {
+		grantOrWait(member)
 	}
-	if r := w.Release; r != nil && (r.Phase == Running || r.Phase == Back || r.Phase == Halted && w.broken == NoHalt) {
-		w.wave(r)
+	if r := d.Release; r != nil && (r.Phase == Running || r.Phase == RollingBack || r.Phase == Halted && d.broken == IgnoresHalt) {
+		d.runWave(r)
 	}
-	for _, thing := range things[hand:] {
-		meet(thing)
+	for _, member := range pending[manual:] {
+		grantOrWait(member)
 	}
 }
 
-// few tells whether too little was seen of the new version for the next wave, and how much; "" if it was enough.
-func (w *work) few(r *Release) string {
-	if w.m.Halt.Seen <= 0 || r.Phase != Running || r.Kind != Server {
+// evidenceShortfall describes the missing requests if too few of the new version were seen for the next wave. It returns
+// "" if there were enough.
+func (d *draft) evidenceShortfall(r *Release) string {
+	if d.model.Halt.Seen <= 0 || r.Phase != Running || r.Kind != Server {
 		return ""
 	}
-	if c, _ := w.counts(r); c.New.N < w.m.Halt.Seen {
-		return fmt.Sprintf("%d of %d requests of the new version were seen", c.New.N, w.m.Halt.Seen)
+	if c, _ := d.counts(r); c.New.N < d.model.Halt.Seen {
+		return fmt.Sprintf("%d of %d requests of the new version were seen", c.New.N, d.model.Halt.Seen)
 	}
 	return ""
 }
 
-// wave lets targets of the wave out while there is room.
-func (w *work) wave(r *Release) {
+// runWave grants permits to targets of the current wave while the budget allows.
+func (d *draft) runWave(r *Release) {
 	if r.Paused {
-		if r.PauseMs < w.m.PauseMs {
+		if r.PauseMs < d.model.PauseMs {
 			return
 		}
-		if few := w.few(r); few != "" {
-			if r.PauseMs < w.m.PauseMs+w.m.Halt.SeenMs {
+		if shortfall := d.evidenceShortfall(r); shortfall != "" {
+			if r.PauseMs < d.model.PauseMs+d.model.Halt.SeenMs {
 				return
 			}
-			w.say("%s, and release %s has waited for more long enough", few, r.Name)
+			d.note("%s, and release %s has waited for more long enough", shortfall, r.Name)
 		}
 		r.Paused, r.PauseMs = false, 0
 		r.Wave++
-		r.Left = r.wave()
-		w.say("wave %d of release %s begins", r.Wave+1, r.Name)
+		r.WaveLeft = r.waveSize()
+		d.note("wave %d of release %s begins", r.Wave+1, r.Name)
 	}
-	waiting := 0 // that have their turn in this wave
-	for _, i := range w.turns(r) {
+	waiting := 0 // targets of this wave that wait for copies
+	for _, i := range d.targetOrder(r) {
 		t := &r.Targets[i]
-		if r.Left == waiting {
+		if r.WaveLeft == waiting {
 			break
 		}
 		if t.State != Waiting {
 			continue
 		}
-		thing := ID(r.Kind, t.Name)
-		if p, out := w.Permits[thing]; out { // by hand: what brings it back may as well bring the label
+		member := ID(r.Kind, t.Name)
+		if p, out := d.Permits[member]; out { // out by hand: it can return with the new label
 			if !p.Serve && p.Stage != Returning {
-				p.For, p.To, p.OutMs = r.Name, r.want(*t), 0
-				w.Permits[thing] = p
+				p.For, p.To, p.OutMs = r.Name, r.wantedLabel(*t), 0
+				d.Permits[member] = p
 				t.State, t.Why = Out, ""
-				r.Left--
-				w.say("%s is out already, and goes along with release %s", thing, r.Name)
+				r.WaveLeft--
+				d.note("%s is out already, and goes along with release %s", member, r.Name)
 			}
 			continue
 		}
 		why := ""
 		if r.Kind == Server {
-			s, there := w.f.servers[t.Name]
-			if !there {
+			s, present := d.fleet.servers[t.Name]
+			if !present {
 				why = "most routers do not have it in their lists"
 			} else if !s.agreed {
-				why = disagree
-			} else if s.Label == r.want(*t) {
+				why = reasonNoMajority
+			} else if s.Label == r.wantedLabel(*t) {
 				t.State = Reached
-				w.say("%s has label %q already", thing, s.Label)
+				d.note("%s has label %q already", member, s.Label)
 				continue
 			} else {
-				why = w.room(thing, s.Site, s.Role)
+				why = d.blockReason(member, s.Site, s.Role)
 			}
-		} else if w.Known[t.Name].Label == r.want(*t) && w.v.Routers[t.Name].Live {
+		} else if d.Known[t.Name].Label == r.wantedLabel(*t) && d.view.Routers[t.Name].Live {
 			t.State = Reached
-			w.say("%s has label %q already", thing, r.want(*t))
+			d.note("%s has label %q already", member, r.wantedLabel(*t))
 			continue
 		} else {
-			why = w.room(thing, w.Known[t.Name].Site, "")
+			why = d.blockReason(member, d.Known[t.Name].Site, "")
 		}
-		if why == "" && !w.ready(thing) {
-			why = copying
+		if why == "" && !d.readyForPermit(member) {
+			why = reasonCopying
 			waiting++
 		}
 		if why == "" {
 			t.State, t.Why = Out, ""
-			r.Left--
-			w.permit(thing, r.Name, r.want(*t))
+			r.WaveLeft--
+			d.grant(member, r.Name, r.wantedLabel(*t))
 		} else if t.Why != why {
 			t.Why = why
-			w.say("%s waits: %s", thing, why)
+			d.note("%s waits: %s", member, why)
 		}
 	}
 }
 
-// came notes for the release that a thing's permit has ended with a label.
-func (w *work) came(thing, label string) {
-	r := w.Release
+// targetReturned records for the release that a target's permit has ended with a label.
+func (d *draft) targetReturned(member, label string) {
+	r := d.Release
 	if r == nil {
 		return
 	}
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		if ID(r.Kind, t.Name) != thing || t.State != Out {
+		if ID(r.Kind, t.Name) != member || t.State != Out {
 			continue
 		}
-		switch want := r.want(*t); {
+		switch want := r.wantedLabel(*t); {
 		case label == want:
 			r.Reached++
-			t.State, t.Why, t.Nth = Reached, "", r.Reached
-		case r.Phase == Back || r.Before == Back && r.Phase == Halted: // it was on its way when the way back began
+			t.State, t.Why, t.Order = Reached, "", r.Reached
+		case r.Phase == RollingBack || r.HaltedFrom == RollingBack && r.Phase == Halted: // it was out when the rollback began
 			r.Reached++
-			t.State, t.Why, t.Nth = Waiting, "", r.Reached
-			if len(r.Targets) > 1 && w.broken == ForgetsOne {
+			t.State, t.Why, t.Order = Waiting, "", r.Reached
+			if len(r.Targets) > 1 && d.broken == SkipsRollback {
 				t.State = Reached
 			}
 		default:
-			t.State, t.Why = Held, fmt.Sprintf("came back with label %q, not %q", label, want)
-			w.halt(thing + " " + t.Why)
+			t.State, t.Why = Blocked, fmt.Sprintf("came back with label %q, not %q", label, want)
+			d.haltRelease(member + " " + t.Why)
 		}
 	}
 }
 
-func (w *work) halt(why string) {
-	r := w.Release
+func (d *draft) haltRelease(why string) {
+	r := d.Release
 	if r == nil || r.Phase != Running {
 		return
 	}
 	r.halt(why)
-	r.HaltSeq = w.Seq
-	w.say("release %s is halted: %s", r.Name, why)
+	r.HaltSeq = d.Seq
+	d.note("release %s is halted: %s", r.Name, why)
 }
 
-// release looks at the release: whether it must be halted, whether a wave or all of it is over.
-func (w *work) release() {
-	r := w.Release
-	if r == nil || r.Phase.Over() {
+// updateRelease checks whether the release must be halted, and whether a wave or the whole release is finished.
+func (d *draft) updateRelease() {
+	r := d.Release
+	if r == nil || r.Phase.Finished() {
 		return
 	}
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		thing := ID(r.Kind, t.Name)
-		p, out := w.Permits[thing]
-		if t.State == Out && out && p.Stage != Returning && p.OutMs > w.m.ReturnMs && t.Why == "" {
+		member := ID(r.Kind, t.Name)
+		p, out := d.Permits[member]
+		if t.State == Out && out && p.Stage != Returning && p.OutMs > d.model.ReturnMs && t.Why == "" {
 			t.Why = fmt.Sprintf("has not come back for %.0f s", p.OutMs/1000)
-			w.say("%s %s", thing, t.Why)
-			if r.Phase == Back {
-				t.State = Held
+			d.note("%s %s", member, t.Why)
+			if r.Phase == RollingBack {
+				t.State = Blocked
 			}
-			w.halt(thing + " " + t.Why)
+			d.haltRelease(member + " " + t.Why)
 		}
 	}
-	w.evidence(r)
-	if r.Phase == Halted && w.broken != NoHalt {
+	d.checkEvidence(r)
+	if r.Phase == Halted && d.broken != IgnoresHalt {
 		return
 	}
-	w.strayed(r)
+	d.retryStrayed(r)
 	open, waiting := 0, 0
 	for i, t := range r.Targets {
-		if w.broken == ForgetsOne && r.Phase == Back && i == 0 && t.State == Waiting {
+		if d.broken == SkipsRollback && r.Phase == RollingBack && i == 0 && t.State == Waiting {
 			r.Targets[i].State = Reached
 			continue
 		}
@@ -250,40 +251,41 @@
 	}
 	switch {
 	case open == 0 && waiting == 0:
-		r.Phase, r.Why = map[Phase]Phase{Running: Done, Back: Undone, Halted: Done}[r.Phase], "each target has its label or is named with what holds it"
-		w.say("release %s is %s", r.Name, r.Phase)
-	case open == 0 && r.Left == 0 && !r.Paused:
+		r.Phase, r.Why = map[Phase]Phase{Running: Done, RollingBack: RolledBack, Halted: Done}[r.Phase],
+			"each target has its label or is named with what holds it"
+		d.note("release %s is %s", r.Name, r.Phase)
+	case open == 0 && r.WaveLeft == 0 && !r.Paused:
 		r.Paused, r.PauseMs = true, 0
-		w.say("wave %d of release %s is over", r.Wave+1, r.Name)
+		d.note("wave %d of release %s is over", r.Wave+1, r.Name)
 	}
 }
 
-// evidence halts a release that does harm, or that meets with what it can't go on in.
-func (w *work) evidence(r *Release) {
+// checkEvidence halts the release if its new version does harm, or if the fleet lost too much for it to continue.
+func (d *draft) checkEvidence(r *Release) {
 	if r.Phase != Running {
 		return
 	}
-	c, raw := w.counts(r)
-	lost := len(w.v.LostSites)
+	c, raw := d.counts(r)
+	lost := len(d.view.LostSites)
 	switch {
-	case lost > r.LostAt:
-		w.halt(fmt.Sprintf("%d sites are lost", lost))
-	case w.Over && w.OverMs > w.m.Halt.OverMs:
-		w.halt(fmt.Sprintf("losses have used up the budget for %.0f s", w.OverMs/1000))
-	case w.m.Halt.refuses(c) != "":
+	case lost > r.LostSites:
+		d.haltRelease(fmt.Sprintf("%d sites are lost", lost))
+	case d.OverBudget && d.OverBudgetMs > d.model.Halt.OverMs:
+		d.haltRelease(fmt.Sprintf("losses have used up the budget for %.0f s", d.OverBudgetMs/1000))
+	case d.model.Halt.excessRefusals(c) != "":
 		r.Evidence = c
-		w.halt(w.m.Halt.refuses(c))
-	case w.m.Halt.due(c, r.Looks):
-		bad := w.m.Halt.judge(c, r.Looks)
+		d.haltRelease(d.model.Halt.excessRefusals(c))
+	case d.model.Halt.due(c, r.Looks):
+		finding := d.model.Halt.judge(c, r.Looks)
 		r.Looks++
 		r.Evidence = c
-		w.say("look %d at release %s: %d requests of the new version", r.Looks, r.Name, c.New.N)
-		if bad != "" {
-			w.halt(bad)
-			w.doubt(raw)
+		d.note("look %d at release %s: %d requests of the new version", r.Looks, r.Name, c.New.N)
+		if finding != "" {
+			d.haltRelease(finding)
+			d.openHalt(raw)
 		}
 	}
-	if lost < r.LostAt {
-		r.LostAt = lost
+	if lost < r.LostSites {
+		r.LostSites = lost
 	}
 }
--- a/internal/decide/outage/leave.go
+++ b/internal/decide/outage/leave.go
@@ -7,86 +7,87 @@
 	"slices"
 )
 
-// Leaving is a server that has its turn and whose permit waits for copies of what it holds.
+// Leaving is a server that would get a permit now, and waits until its KV cache has been copied.
 type Leaving struct {
-	Turn   int64   `json:"turn"`    // Seq of the state that named it: what is said of an older turn is not about this one
-	WaitMs float64 `json:"wait_ms"` // since then
+	Turn   int64   `json:"turn"`    // Seq of the state that put it here; reports about an earlier turn do not apply
+	WaitMs float64 `json:"wait_ms"` // since Turn
 	Site   string  `json:"site,omitempty"`
 	Role   string  `json:"role,omitempty"`
 }
 
-// copying is why something waits that has its turn.
-const copying = "copies of what it holds are made first"
+// reasonCopying is the reason to wait for a server whose KV cache is being copied.
+const reasonCopying = "copies of what it holds are made first"
 
-// ready tells whether a thing that has its turn and for which there is room gets its permit now. A server is named as leaving
-// first, until whoever decides on copies has said that nothing that pays is under way from it any more, or for copy_wait_ms. Who
-// is lost already, or whose fleet makes no copies, is not waited for.
-func (w *work) ready(thing string) bool {
-	kind, n := Split(thing)
-	_, lost := w.Lost[thing]
-	one, named := w.Leaving[thing]
-	if over := w.over(n, one, named); kind != Server || w.m.CopyWaitMs <= 0 || !w.f.copies || lost || over != "" {
-		if named {
-			delete(w.Leaving, thing)
-			w.say("%s: %s", thing, cmp.Or(over, "no copies are waited for"))
+// readyForPermit reports whether a member that the budget allows to go out gets its permit now. A server is listed as
+// leaving first. It stays there until the copy decider reports that no copy worth making remains, for at most
+// copy_wait_ms. There is no wait for a lost server, or in a fleet that makes no copies.
+func (d *draft) readyForPermit(member string) bool {
+	kind, n := Split(member)
+	_, lost := d.Lost[member]
+	entry, leaving := d.Leaving[member]
+	if end := d.copyWaitEnd(n, entry, leaving); kind != Server || d.model.CopyWaitMs <= 0 || !d.fleet.copies || lost || end != "" {
+		if leaving {
+			delete(d.Leaving, member)
+			d.note("%s: %s", member, cmp.Or(end, "no copies are waited for"))
 		}
 		return true
 	}
-	if !named {
-		s := w.f.servers[n]
-		w.Leaving[thing] = Leaving{Turn: w.Seq, Site: s.Site, Role: s.Role}
-		w.say("%s has its turn: %s", thing, copying)
+	if !leaving {
+		s := d.fleet.servers[n]
+		d.Leaving[member] = Leaving{Turn: d.Seq, Site: s.Site, Role: s.Role}
+		d.note("%s has its turn: %s", member, reasonCopying)
 	}
-	w.waits[thing] = true
+	d.copyWaiters[member] = true
 	return false
 }
 
-// over tells why a server's wait for copies is over, or "".
-func (w *work) over(server string, one Leaving, named bool) string {
+// copyWaitEnd returns why a server's wait for copies has ended, or "" if it has not.
+func (d *draft) copyWaitEnd(server string, entry Leaving, leaving bool) string {
 	switch {
-	case !named || w.broken == WaitsOn:
-	case one.WaitMs >= w.m.CopyWaitMs:
+	case !leaving || d.broken == WaitsForever:
+	case entry.WaitMs >= d.model.CopyWaitMs:
 		return "its wait for copies is over"
-	case w.v.Copied[server] >= one.Turn:
+	case d.view.CopiesDone[server] >= entry.Turn:
 		return "nothing that pays is to be copied from it any more"
 	}
 	return ""
 }
 
-// stay ends the waits of those that do not have their turn any more: their wish was withdrawn or met, a release was halted, or
-// losses have taken the room.
-func (w *work) stay() {
-	for _, thing := range slices.Sorted(maps.Keys(w.Leaving)) {
-		if !w.waits[thing] {
-			delete(w.Leaving, thing)
-			w.say("%s does not have its turn any more", thing)
+// dropStaleLeaving ends the waits of servers that are no longer next: their request was withdrawn or granted, the
+// release was halted, or losses used up the budget.
+func (d *draft) dropStaleLeaving() {
+	for _, member := range slices.Sorted(maps.Keys(d.Leaving)) {
+		if !d.copyWaiters[member] {
+			delete(d.Leaving, member)
+			d.note("%s does not have its turn any more", member)
 		}
 	}
 }
 
-// keeps tells whether a thing's place in the budget is taken beside another that asks for one: it has its turn, and of two that have
-// theirs the one that was looked at first.
-func (w *work) keeps(thing, beside string) bool {
-	_, named := w.Leaving[thing]
-	_, both := w.Leaving[beside]
-	return named && thing != beside && (!both || w.waits[thing])
+// reserves reports whether a leaving member reserves its place in the budget against another one. If both are leaving,
+// the one examined first in this step does.
+func (d *draft) reserves(member, other string) bool {
+	_, leaving := d.Leaving[member]
+	_, otherLeaving := d.Leaving[other]
+	return leaving && member != other && (!otherLeaving || d.copyWaiters[member])
 }
 
-// leaving counts those that keep their places beside a thing, of those that a test names.
-func (w *work) leaving(beside string, is func(k Kind, site, role string) bool) (n int) {
-	for thing, l := range w.Leaving {
-		if k, _ := Split(thing); is(k, l.Site, l.Role) && w.keeps(thing, beside) {
+// reservedCount counts the matching members that reserve a place in the budget against another one.
+func (d *draft) reservedCount(other string, match func(k Kind, site, role string) bool) (n int) {
+	for member, l := range d.Leaving {
+		if k, _ := Split(member); match(k, l.Site, l.Role) && d.reserves(member, other) {
 			n++
 		}
 	}
 	return n
 }
 
-// turns are the places of a release's targets in the order in which they are looked at: first those that have their turn.
-func (w *work) turns(r *Release) (order []int) {
-	for _, has := range []bool{true, false} {
+// targetOrder returns the indices of the release's targets in the order in which they are considered: leaving ones
+// first.
+func (d *draft) targetOrder(r *Release) (order []int) {
+	for _, wantLeaving := range []bool{true, false} {
 		for i, t := range r.Targets {
-			if _, named := w.Leaving[ID(r.Kind, t.Name)]; named == has {
+			if _, leaving := d.Leaving[ID(r.Kind, t.Name)]; leaving == wantLeaving {
 				order = append(order, i)
 			}
 		}
@@ -94,45 +95,45 @@
 	return order
 }
 
-// Waits follows, by a clock of whoever looks, for how long servers are held back for copies: Took is told of each state, Passed of
-// the time at any moment. It asks no decider.
-type Waits struct {
-	Most float64 // copy_wait_ms, and what changes of deciders may add
-	// Faults are the waits that were longer, and those that another began in the middle of.
-	Faults []string
-	since  map[string]begun
+// CopyWaits measures, by the caller's clock, how long servers wait for copies. Check takes each new state, and Advance
+// the time at any moment. It is independent of the deciders.
+type CopyWaits struct {
+	LimitMs float64 // copy_wait_ms, plus the delay that a change of deciders may add
+	// Faults describes waits that exceeded the limit or were restarted midway.
+	Faults  []string
+	started map[string]copyWait
 }
 
-type begun struct {
-	turn   int64
-	at     float64
-	judged bool
+type copyWait struct {
+	turn     int64
+	at       float64
+	reported bool
 }
 
-// Took looks at the state that stands from a time on, in milliseconds of any origin.
-func (a *Waits) Took(s *State, nowMs float64) {
-	a.Passed(nowMs)
-	if a.since == nil {
-		a.since = map[string]begun{}
+// Check examines the state that is current from a time on, in milliseconds of any origin.
+func (c *CopyWaits) Check(s *State, nowMs float64) {
+	c.Advance(nowMs)
+	if c.started == nil {
+		c.started = map[string]copyWait{}
 	}
-	maps.DeleteFunc(a.since, func(thing string, _ begun) bool { _, still := s.Leaving[thing]; return !still })
-	for thing, l := range s.Leaving {
-		one, known := a.since[thing]
+	maps.DeleteFunc(c.started, func(member string, _ copyWait) bool { _, waiting := s.Leaving[member]; return !waiting })
+	for member, l := range s.Leaving {
+		wait, known := c.started[member]
 		if !known {
-			a.since[thing] = begun{turn: l.Turn, at: nowMs}
-		} else if one.turn != l.Turn {
-			a.Faults = append(a.Faults, fmt.Sprintf("seq %d: %s has its turn anew while it has it", s.Seq, thing))
+			c.started[member] = copyWait{turn: l.Turn, at: nowMs}
+		} else if wait.turn != l.Turn {
+			c.Faults = append(c.Faults, fmt.Sprintf("seq %d: %s restarted its wait for copies", s.Seq, member))
 		}
 	}
 }
 
-// Passed looks at how long servers have waited by a time.
-func (a *Waits) Passed(nowMs float64) {
-	for _, thing := range slices.Sorted(maps.Keys(a.since)) {
-		if one := a.since[thing]; !one.judged && nowMs-one.at > a.Most {
-			one.judged = true
-			a.since[thing] = one
-			a.Faults = append(a.Faults, fmt.Sprintf("%s is held back for %.0f ms, %.0f at most", thing, nowMs-one.at, a.Most))
+// Advance checks how long servers have waited by a time.
+func (c *CopyWaits) Advance(nowMs float64) {
+	for _, member := range slices.Sorted(maps.Keys(c.started)) {
+		if wait := c.started[member]; !wait.reported && nowMs-wait.at > c.LimitMs {
+			wait.reported = true
+			c.started[member] = wait
+			c.Faults = append(c.Faults, fmt.Sprintf("%s waited for copies for %.0f ms, %.0f at most", member, nowMs-wait.at, c.LimitMs))
 		}
 	}
 }
--- a/internal/decide/outage/leave_test.go
+++ b/internal/decide/outage/leave_test.go
@@ -7,83 +7,85 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// copying has servers that have their turn wait for copies; 0: not at all. Deciders that change may add as much again.
-func (f *fleet) copying(waitMs int) {
-	f.model.CopyWaitMs, f.copies, f.copied = float64(waitMs), waitMs > 0, map[string]int64{}
-	f.waits.Most = 1e12
+// enableCopyWait makes servers wait for copies before they go out; 0 disables it. A change of deciders may extend
+// a wait by as much again, so the checker sets no limit here.
+func (f *fleet) enableCopyWait(waitMs int) {
+	f.model.CopyWaitMs, f.copies, f.copiesDone = float64(waitMs), waitMs > 0, map[string]int64{}
+	f.waits.LimitMs = 1e12
 }
 
-// asked has s1 wished out in a fleet that waits for copies for 3 s, and gives the time at which that is written.
-func asked(t *testing.T, seed uint64, broken outage.Fault) (*fleet, time.Duration) {
+// fleetWithRequest returns a fleet that waits up to 3 s for copies, with a request for s1, and the time at which s1
+// started to wait or got its permit.
+func fleetWithRequest(t *testing.T, seed uint64, broken outage.Fault) (*fleet, time.Duration) {
 	t.Helper()
-	f := newFleet(seed, plain, broken)
-	f.copying(3000)
-	f.waits.Most = 4500 // and a turn of a router or two, who see steps of half a second
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	_ = f.order(func(v outage.View) (*outage.State, error) {
-		next, _ := v.Last.Ask("server/s1", "op")
+	f := newFleet(seed, testModel, broken)
+	f.enableCopyWait(3000)
+	f.waits.LimitMs = 4500 // plus the turns of one or two routers, which decide every half second
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	_ = f.applyOrder(func(v outage.View) (*outage.State, error) {
+		next, _ := v.Last.Drain("server/s1", "op")
 		return next, nil
 	})
-	f.until(t, "its turn", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
+	f.waitUntil(t, "s1 leaves", 5*time.Second, func() bool { return len(f.state.Leaving)+len(f.state.Permits) > 0 })
 	return f, f.now
 }
 
-func out(f *fleet) bool { return f.state.Permits["server/s1"].ID > 0 }
+func hasPermit(f *fleet) bool { return f.state.Permits["server/s1"].ID > 0 }
 
-// A server's permit waits until copies are made, no longer than the policy says, and not where nobody makes any. A withdrawn wish, a lost
-// site, a halt and losses that take the room end the wait without one.
+// A server's permit waits until copies are made, for at most the policy's limit, and not in a fleet that makes no
+// copies. A withdrawn request, a lost site, a halt, and losses that use up the budget end the wait without a permit.
 func TestPermitWaitsForCopies(t *testing.T) {
 	soon, long := 1500*time.Millisecond, 3*time.Second
 	turn := func(f *fleet) int64 { return f.state.Leaving["server/s1"].Turn }
 	for name, c := range map[string]struct {
-		then        func(f *fleet)
-		least, most time.Duration // 0: never
+		action          func(f *fleet)
+		atLeast, atMost time.Duration // 0: never
 	}{
-		"nothing is said":     {func(*fleet) {}, long, long + soon},
-		"of an earlier turn":  {func(f *fleet) { f.copied["s1"] = turn(f) - 1 }, long, long + soon},
-		"copies are made":     {func(f *fleet) { f.copied["s1"] = turn(f) }, 0, soon},
-		"copies are no more":  {func(f *fleet) { f.copies = false }, 0, soon},
-		"the policy is other": {func(f *fleet) { f.model.CopyWaitMs = 0 }, 0, soon},
-		"it is lost":          {func(f *fleet) { f.kill("s1") }, 0, long},
+		"no report":                 {func(*fleet) {}, long, long + soon},
+		"report of an earlier turn": {func(f *fleet) { f.copiesDone["s1"] = turn(f) - 1 }, long, long + soon},
+		"copies are done":           {func(f *fleet) { f.copiesDone["s1"] = turn(f) }, 0, soon},
+		"no router copies any more": {func(f *fleet) { f.copies = false }, 0, soon},
+		"the policy has no wait":    {func(f *fleet) { f.model.CopyWaitMs = 0 }, 0, soon},
+		"the server is lost":        {func(f *fleet) { f.kill("s1") }, 0, long},
 		"withdrawn": {func(f *fleet) {
-			_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
+			_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Serve("server/s1", "op"), nil })
 		}, 0, 0},
-		"its site is lost": {func(f *fleet) { f.lost = map[string]bool{"a": true} }, 0, 0},
+		"its site is lost": {func(f *fleet) { f.lostSites = map[string]bool{"a": true} }, 0, 0},
 		"losses":           {func(f *fleet) { f.kill("s4"); f.kill("s7") }, 0, 0},
 		"halt": {func(f *fleet) {
-			_ = f.order(start(f, spec("v2")))
-			_ = f.order(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
+			_ = f.applyOrder(startRelease(f, spec("v2")))
+			_ = f.applyOrder(func(v outage.View) (*outage.State, error) { return v.Last.Halt("op", "") })
 		}, 0, 0},
 	} {
-		f, began := asked(t, 1, "")
-		if out(f) {
-			t.Errorf("%s: it is out at once", name)
+		f, began := fleetWithRequest(t, 1, "")
+		if hasPermit(f) {
+			t.Errorf("%s: s1 is out at once", name)
 		}
 		f.deployer = false
-		if c.then(f); c.most == 0 {
+		if c.action(f); c.atMost == 0 {
 			for range 80 {
 				f.step()
 			}
-			if out(f) || len(f.state.Leaving) > 0 {
+			if hasPermit(f) || len(f.state.Leaving) > 0 {
 				t.Errorf("%s: %+v %+v", name, f.state.Permits, f.state.Leaving)
 			}
 		} else {
-			f.until(t, name, time.Minute, func() bool { return out(f) })
-			if took := f.now - began; took < c.least || took > c.most {
-				t.Errorf("%s: out after %s, from %s to %s", name, took, c.least, c.most)
+			f.waitUntil(t, name, time.Minute, func() bool { return hasPermit(f) })
+			if took := f.now - began; took < c.atLeast || took > c.atMost {
+				t.Errorf("%s: out after %s, from %s to %s", name, took, c.atLeast, c.atMost)
 			}
 		}
-		f.clean(t)
+		f.checkNoFaults(t)
 	}
 }
 
-// Deciders that are lost in turn have a server wait longer by no more than each took to see the state, and a wait that never ends is
-// found.
+// Losing one decider after another extends a server's wait by no more than the time each takes to see the state. A wait
+// that never ends is detected.
 func TestWaitForCopiesIsBounded(t *testing.T) {
 	for seed := range uint64(10) {
-		f, _ := asked(t, seed, "")
-		f.waits.Most = 3000 + 6*500 + 1500
-		for i := 0; !out(f); i++ {
+		f, _ := fleetWithRequest(t, seed, "")
+		f.waits.LimitMs = 3000 + 6*500 + 1500
+		for i := 0; !hasPermit(f); i++ {
 			if i < 6 {
 				name := []string{"d1", "d2", "d3", "d4", "d5", "d6"}[i]
 				f.routers[name].up = false
@@ -93,43 +95,43 @@
 				t.Fatalf("seed %d: not out after six lost deciders", seed)
 			}
 		}
-		f.clean(t)
+		f.checkNoFaults(t)
 	}
-	f, _ := asked(t, 1, outage.WaitsOn)
+	f, _ := fleetWithRequest(t, 1, outage.WaitsForever)
 	for range 20 {
 		f.step()
 	}
-	if len(f.waits.Faults) != 1 || out(f) {
-		t.Errorf("a wait without end: %v", f.waits.Faults)
+	if len(f.waits.Faults) != 1 || hasPermit(f) {
+		t.Errorf("an endless wait: %v", f.waits.Faults)
 	}
-	f.kill("s9") // a state is written, and says how long it was
-	f.until(t, "the loss", 10*time.Second, func() bool { return len(f.state.Lost) > 0 })
+	f.kill("s9") // the next state shows how long the wait was
+	f.waitUntil(t, "the loss", 10*time.Second, func() bool { return len(f.state.Lost) > 0 })
 	if len(f.audit.Faults) == 0 {
-		t.Error("the auditor does not see how long a server has waited")
+		t.Error("the auditor did not detect the endless wait")
 	}
 }
 
-// In a release those that wait for copies take places in the budget and in their wave; it comes to its end.
+// Servers of a release that wait for copies count against the budget and their wave, and the release finishes.
 func TestReleaseWaitsForCopies(t *testing.T) {
-	f := newFleet(3, plain, "")
-	f.copying(3000)
-	f.waits.Most = 4500
-	f.until(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
-	if err := f.order(start(f, spec("v2"))); err != nil {
+	f := newFleet(3, testModel, "")
+	f.enableCopyWait(3000)
+	f.waits.LimitMs = 4500
+	f.waitUntil(t, "known", time.Minute, func() bool { return f.state != nil && len(f.state.Known) == 6 })
+	if err := f.applyOrder(startRelease(f, spec("v2"))); err != nil {
 		t.Fatal(err)
 	}
 	waited := map[string]bool{}
-	f.until(t, "done", 10*time.Minute, func() bool {
-		for thing := range f.state.Leaving {
-			waited[thing] = true
+	f.waitUntil(t, "done", 10*time.Minute, func() bool {
+		for member := range f.state.Leaving {
+			waited[member] = true
 		}
 		if n := len(f.state.Leaving) + len(f.state.Permits); n > 2 {
-			t.Fatalf("%d are out or have their turn", n)
+			t.Fatalf("%d are out or leaving", n)
 		}
 		return f.phase() == outage.Done
 	})
 	if len(waited) != 9 || f.labels()["v2"] != 9 {
 		t.Errorf("%d waited, %v", len(waited), f.labels())
 	}
-	f.clean(t)
+	f.checkNoFaults(t)
 }
--- a/internal/decide/outage/meter.go
+++ b/internal/decide/outage/meter.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// Attempt is an attempt at a server that ended by itself.
+// Attempt is an attempt at a server that ended on its own.
 type Attempt struct {
-	Server string
-	Heard  bool // it answered, whatever it said
-	InTime bool
-	Failed bool
-	First  time.Duration // until its answer began
+	Server     string
+	Answered   bool // with any status
+	InTime     bool
+	Failed     bool
+	FirstToken time.Duration // until its answer began
 }
 
-// Side is whether a server's answers are the old version's or the new one's.
-type Side uint8
+// Cohort is the version that a server's answers count for.
+type Cohort uint8
 
-// The sides. What is out, or comes back just now, is on neither.
+// The cohorts. A server that is out or returning belongs to neither version.
 const (
-	Neither Side = iota
-	OldSide
-	NewSide
+	NoCohort Cohort = iota
+	OldCohort
+	NewCohort
 )
 
-// Sides tells of which version servers are, given their labels; nil: no release runs, and nothing is counted.
-func (s *State) Sides(labels map[string]string) (run string, sides map[string]Side) {
+// Cohorts returns the cohort of each server by its label. It returns nil if no release is counted.
+func (s *State) Cohorts(labels map[string]string) (run string, cohorts map[string]Cohort) {
 	if s == nil || s.Release == nil || !s.Release.Counted() {
 		return "", nil
 	}
-	sides = map[string]Side{}
+	cohorts = map[string]Cohort{}
 	for name, label := range labels {
-		if _, away := s.Permits[ID(Server, name)]; away {
+		if _, out := s.Permits[ID(Server, name)]; out {
 			continue
 		}
-		sides[name] = OldSide
+		cohorts[name] = OldCohort
 		if label == s.Release.To {
-			sides[name] = NewSide
+			cohorts[name] = NewCohort
 		}
 	}
-	return s.Release.Run, sides
+	return s.Release.Run, cohorts
 }
 
-// Meter counts for the release that runs what a router's attempts came to. It is not safe for use by several at once.
+// Meter counts the outcomes of one router's attempts for the current release. It is not safe for concurrent use.
 //
-// How many of all failures may be the new version's is counted apart for each stretch in which the sides stay the same, and for
-// each kind of server: rates of several hours, or of quick and slow servers, are not put together where the versions' parts of
-// the requests differ between them. Otherwise a version that had most of its requests in a bad hour would look worse.
+// The expected number of the new version's failures is computed separately for each stretch in which the cohorts stay
+// the same, and for each kind of server. Pooling hours or kinds of servers in which the cohorts' shares of the requests
+// differ would be misleading: a version that received most of its requests in a bad hour would look worse.
 type Meter struct {
-	run    string
-	worse  float64
-	sides  map[string]Side
-	kinds  map[string]string
-	counts Counts // Expect of what is over
-	open   map[string]*[2]Tally
+	run        string
+	worseRatio float64
+	cohorts    map[string]Cohort
+	kinds      map[string]string
+	counts     Counts // Expected covers the closed stretches
+	open       map[string]*[2]Tally
 }
 
-// stretch is how many requests each side must have for a stretch to end before the sides change.
-const stretch = 20
+// stretchRequests is the number of requests of each cohort that closes a stretch before the cohorts change.
+const stretchRequests = 20
 
-// Count has what comes from now on counted for a run of a release, as the halt's bound on the old version's rate says; kinds may be nil.
-// Another run begins anew.
-func (m *Meter) Count(run string, sides map[string]Side, kinds map[string]string, worse float64) {
+// Configure sets what following attempts count for: a run of a release, the cohorts, and the kinds of servers, which may
+// be nil. worse is the halt's bound on the ratio of failure rates. A new run starts from zero.
+func (m *Meter) Configure(run string, cohorts map[string]Cohort, kinds map[string]string, worse float64) {
 	if run != m.run {
 		m.run, m.counts, m.open = run, Counts{}, nil
 	}
-	m.worse = worse
-	if !maps.Equal(m.sides, sides) || !maps.Equal(m.kinds, kinds) {
+	m.worseRatio = worse
+	if !maps.Equal(m.cohorts, cohorts) || !maps.Equal(m.kinds, kinds) {
 		for _, pair := range m.open {
-			m.counts.beside(pair[0], pair[1], m.worse)
+			m.counts.addStretch(pair[0], pair[1], m.worseRatio)
 		}
 		m.open = nil
 	}
-	m.sides, m.kinds = sides, kinds
+	m.cohorts, m.kinds = cohorts, kinds
 }
 
-// Tried counts an attempt.
-func (m *Meter) Tried(a Attempt) {
-	side := m.sides[a.Server]
-	if side == Neither {
+// Record counts an attempt.
+func (m *Meter) Record(a Attempt) {
+	cohort := m.cohorts[a.Server]
+	if cohort == NoCohort {
 		return
 	}
 	if m.open == nil {
@@ -91,10 +91,10 @@
 		m.open[kind] = pair
 	}
 	total := &m.counts.Old
-	if side == NewSide {
+	if cohort == NewCohort {
 		total = &m.counts.New
 	}
-	for _, t := range [...]*Tally{total, &pair[side-OldSide]} {
+	for _, t := range [...]*Tally{total, &pair[cohort-OldCohort]} {
 		t.N++
 		if a.Failed {
 			t.Failed++
@@ -103,16 +103,16 @@
 		if !a.InTime {
 			t.Late++
 		}
-		t.First[Bucket(ms(a.First))]++
+		t.FirstToken[Bucket(milliseconds(a.FirstToken))]++
 	}
-	if pair[0].N >= stretch && pair[1].N >= stretch {
-		m.counts.beside(pair[0], pair[1], m.worse)
+	if pair[0].N >= stretchRequests && pair[1].N >= stretchRequests {
+		m.counts.addStretch(pair[0], pair[1], m.worseRatio)
 		delete(m.open, kind)
 	}
 }
 
-// Class counts a request of a class, or one that was refused.
-func (m *Meter) Class(name string, refused bool) {
+// RecordClass counts a request of a class, or a refused one.
+func (m *Meter) RecordClass(name string, refused bool) {
 	if m.run == "" {
 		return
 	}
@@ -126,11 +126,11 @@
 	}
 }
 
-// Cut gives what was counted, for a report.
-func (m *Meter) Cut() (run string, c Counts) {
+// Snapshot returns the counts so far, for a report.
+func (m *Meter) Snapshot() (run string, c Counts) {
 	c = m.counts
 	for _, pair := range m.open {
-		c.beside(pair[0], pair[1], m.worse)
+		c.addStretch(pair[0], pair[1], m.worseRatio)
 	}
 	c.Asked, c.Refused = maps.Clone(c.Asked), maps.Clone(c.Refused)
 	return m.run, c
--- a/internal/decide/outage/release.go
+++ b/internal/decide/outage/release.go
@@ -7,107 +7,106 @@
 	"strconv"
 )
 
-// Spec is a release as an operator writes it.
+// Spec describes a release, as an operator writes it.
 type Spec struct {
 	Name  string   `toml:"name" json:"name"`
 	Kind  Kind     `toml:"kind" json:"kind"`
-	To    string   `toml:"to" json:"to"` // the label that its targets are to come back with
+	To    string   `toml:"to" json:"to"` // the label that its targets should return with
 	Names []string `toml:"names,omitempty" json:"names,omitempty"`
 	Sites []string `toml:"sites,omitempty" json:"sites,omitempty"`
 	Roles []string `toml:"roles,omitempty" json:"roles,omitempty"`
-	// Order is spread (by default: what holds least for others first, of equals the sites take turns), site (one site after the other) or name.
+	// Order is the order of targets: spread, site or name. Spread, the default, takes the servers with the least cached
+	// for others first and alternates between sites; site finishes one site after the other.
 	Order string `toml:"order,omitempty" json:"order,omitempty"`
-	// Waves are their sizes, each a number or a share of the targets; the last one repeats. One canary, then twos, if
-	// there are none.
+	// Waves are the wave sizes, each a number or a share of the targets. The last one repeats. Without any, one canary
+	// is followed by waves of two.
 	Waves []float64 `toml:"waves,omitempty" json:"waves,omitempty"`
-	// Rest releases things that bear its label already, too.
+	// All includes members that have the label already.
 	All bool `toml:"all,omitempty" json:"all,omitempty"`
 }
 
-// Phase is how far a release has come.
+// Phase is the phase of a release.
 type Phase string
 
-// The phases of a release.
 const (
-	Running Phase = "running"
-	Halted  Phase = "halted"
-	Back    Phase = "back"     // its targets are taken back to the labels they had
-	Done    Phase = "done"     // every target has its label, or is named with what holds it
-	Undone  Phase = "returned" // every target has its old label, or is named with what holds it
+	Running     Phase = "running"
+	Halted      Phase = "halted"
+	RollingBack Phase = "back"     // its targets are returned to their previous labels
+	Done        Phase = "done"     // every target has the new label, or is recorded with what blocks it
+	RolledBack  Phase = "returned" // every target has its previous label, or is recorded with what blocks it
 )
 
-// Over tells whether nothing more is to be done.
-func (p Phase) Over() bool { return p == Done || p == Undone }
+// Finished reports whether nothing remains to be done.
+func (p Phase) Finished() bool { return p == Done || p == RolledBack }
 
-// Progress is how far a target has come.
+// Progress is the progress of one target.
 type Progress string
 
-// The progress of a target.
 const (
 	Waiting Progress = "waiting"
-	Out     Progress = "out" // under a permit
+	Out     Progress = "out" // with a permit
 	Reached Progress = "reached"
-	Held    Progress = "held" // something keeps it from its label
+	Blocked Progress = "held" // something prevents it from reaching its label
 )
 
-func (p Progress) over() bool { return p == Reached || p == Held }
+func (p Progress) finished() bool { return p == Reached || p == Blocked }
 
-// Target is one thing of a release.
+// Target is one member of a release.
 type Target struct {
 	Name  string   `json:"name"`
 	Site  string   `json:"site,omitempty"`
-	From  string   `json:"from,omitempty"` // its label before
+	From  string   `json:"from,omitempty"` // its label before the release
 	State Progress `json:"state"`
 	Why   string   `json:"why,omitempty"`
-	Nth   int64    `json:"nth,omitempty"`  // in which order targets reached the label
-	Gone  bool     `json:"gone,omitempty"` // an operator said so: nothing is tried with it again
+	Order int64    `json:"nth,omitempty"`  // order in which targets reached the label
+	Gone  bool     `json:"gone,omitempty"` // declared gone by an operator; not tried again
 }
 
-// Release is a release under way, or the last one.
+// Release is the current release, or the last one.
 type Release struct {
 	Spec
-	Run      string   `json:"run"` // names this run of it
-	Phase    Phase    `json:"phase"`
-	Targets  []Target `json:"targets"`
-	Wave     int      `json:"wave"`       // counted from 0
-	Left     int      `json:"left"`       // targets that may still go out in this wave
-	PauseMs  float64  `json:"pause_ms"`   // since the last wave ended
-	Paused   bool     `json:"paused"`     // between two waves
-	Reached  int64    `json:"reached"`    // how many times a target reached the label
-	Looks    int      `json:"looks"`      // of the sequential test
-	Halts    int      `json:"halts"`      // how often it was halted
-	Why      string   `json:"why"`        // the reason of its phase
-	HaltSeq  int64    `json:"halt_seq"`   // of the state that halted it last
-	Before   Phase    `json:"before"`     // that a halt interrupted
-	LostAt   int      `json:"lost_sites"` // that were lost when it began, or was resumed
-	ByHand   bool     `json:"by_hand,omitempty"`
-	Evidence Counts   `json:"evidence,omitzero"` // that the last look was made on
-	Doubt    *Doubt   `json:"doubt,omitempty"`   // a halt by a version's counts that is not settled
+	Run        string         `json:"run"` // identifies this run of it
+	Phase      Phase          `json:"phase"`
+	Targets    []Target       `json:"targets"`
+	Wave       int            `json:"wave"`       // counted from 0
+	WaveLeft   int            `json:"left"`       // targets that may still go out in this wave
+	PauseMs    float64        `json:"pause_ms"`   // since the last wave ended
+	Paused     bool           `json:"paused"`     // between two waves
+	Reached    int64          `json:"reached"`    // how often a target reached the label
+	Looks      int            `json:"looks"`      // looks made by the sequential test
+	Halts      int            `json:"halts"`      // how often it was halted
+	Why        string         `json:"why"`        // the reason for its phase
+	HaltSeq    int64          `json:"halt_seq"`   // of the state that halted it last
+	HaltedFrom Phase          `json:"before"`     // the phase that a halt interrupted
+	LostSites  int            `json:"lost_sites"` // sites that were lost when it began or was resumed
+	ByHand     bool           `json:"by_hand,omitempty"`
+	Evidence   Counts         `json:"evidence,omitzero"` // the counts of the last look
+	Unsettled  *UnsettledHalt `json:"doubt,omitempty"`   // a halt by the version's own counts, not yet settled
 }
 
-// ReleaseError names a key of a release's file that can't hold.
+// ReleaseError reports an invalid key of a release file.
 type ReleaseError struct{ Key, Why string }
 
 func (e *ReleaseError) Error() string { return "release: " + e.Key + ": " + e.Why }
 
-// Advice says what an operator can do.
+// Advice tells the operator how to correct the key.
 func (e *ReleaseError) Advice() string {
 	return "correct the key in the release's file and start it again"
 }
 
-// Check names the first key that can't hold.
+// Check reports the first invalid key.
 func (s Spec) Check() error {
 	switch {
 	case s.Name == "" || s.Name == ByHand:
-		return &ReleaseError{"name", "must be there, and not \"" + ByHand + "\""}
+		return &ReleaseError{"name", "must be set, and not be \"" + ByHand + "\""}
 	case s.Kind != Server && s.Kind != Router:
 		return &ReleaseError{"kind", fmt.Sprintf("%q is neither %s nor %s", s.Kind, Server, Router)}
 	case s.To == "":
-		return &ReleaseError{"to", "the label to be reached is missing"}
+		return &ReleaseError{"to", "the label to reach is missing"}
 	case !slices.Contains([]string{"", "spread", "site", "name"}, s.Order):
-		return &ReleaseError{"order", fmt.Sprintf("%q is none of spread, site and name", s.Order)}
+		return &ReleaseError{"order", fmt.Sprintf("%q is not one of spread, site and name", s.Order)}
 	case s.Kind == Router && len(s.Roles) > 0:
-		return &ReleaseError{"roles", "routers have none"}
+		return &ReleaseError{"roles", "routers have no roles"}
 	}
 	for i, w := range s.Waves {
 		if !(w > 0) || w > 1 && w != float64(int(w)) {
@@ -117,15 +116,15 @@
 	return nil
 }
 
-// wave is the size of a wave.
-func (r *Release) wave() int {
+// waveSize returns the size of the current wave.
+func (r *Release) waveSize() int {
 	if len(r.Waves) == 0 {
 		return min(r.Wave+1, 2)
 	}
 	return max(limit(r.Waves[min(r.Wave, len(r.Waves)-1)], len(r.Targets)), 1)
 }
 
-// Start begins a release over what the routers see. It is refused while another one has not come to its end.
+// Start begins a release over what the routers observe. It is refused while another release is not finished.
 func (v View) Start(spec Spec, by string) (*State, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
@@ -133,62 +132,64 @@
 	if !v.Model.On() {
 		return nil, &RefusedError{spec.Name, "the policy has no [outage]", "add a budget to the policy and apply it"}
 	}
-	if r := v.Last.clone().Release; r != nil && !r.Phase.Over() {
-		return nil, &RefusedError{spec.Name, fmt.Sprintf("release %s (to %s) is %s and has not come to its end", r.Name, r.To, r.Phase),
-			"wait for it, or take it back: sumactl release back"}
+	if r := v.Last.clone().Release; r != nil && !r.Phase.Finished() {
+		return nil, &RefusedError{spec.Name, fmt.Sprintf("release %s (to %s) is %s and not finished", r.Name, r.To, r.Phase),
+			"wait until it finishes, or roll it back: sumactl release back"}
 	}
 	var targets []Target
-	in := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+	selected := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	add := func(name, site, role, label string) {
-		if in(spec.Names, name) && in(spec.Sites, site) && in(spec.Roles, role) && (label != spec.To || spec.All) {
+		if selected(spec.Names, name) && selected(spec.Sites, site) && selected(spec.Roles, role) && (label != spec.To || spec.All) {
 			targets = append(targets, Target{Name: name, Site: site, From: label, State: Waiting})
 		}
 	}
-	named := map[string]bool{}
+	known := map[string]bool{}
 	switch spec.Kind {
 	case Server:
-		seen, count := map[string]Sight{}, map[[2]string]int{}
+		observed, votes := map[string]Observation{}, map[[2]string]int{}
 		for _, r := range v.Reports {
 			for id, s := range r.All {
 				if !v.Routers[r.Router].Live {
 					continue
 				}
-				count[[2]string{id, s.Label}]++ // the label that most have: a list may be behind
-				if one, is := seen[id]; !is || count[[2]string{id, s.Label}] > count[[2]string{id, one.Label}] {
-					seen[id] = s
+				votes[[2]string{id, s.Label}]++ // use the majority's label: some lists may be outdated
+				if best, ok := observed[id]; !ok || votes[[2]string{id, s.Label}] > votes[[2]string{id, best.Label}] {
+					observed[id] = s
 				}
 			}
 		}
-		for id, s := range seen {
-			named[id] = true
+		for id, s := range observed {
+			known[id] = true
 			add(id, s.Site, s.Role, s.Label)
 		}
 	case Router:
 		for name, k := range v.Last.clone().Known {
-			named[name] = true
+			known[name] = true
 			add(name, k.Site, "", k.Label)
 		}
 	}
 	for _, name := range spec.Names {
-		if !named[name] {
+		if !known[name] {
 			return nil, &ReleaseError{"names", fmt.Sprintf("no %s is named %q", spec.Kind, name)}
 		}
 	}
 	if len(targets) == 0 {
-		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To, "see 'sumactl release status', or say all = true"}
+		return nil, &RefusedError{spec.Name, "no " + string(spec.Kind) + " that it names lacks the label " + spec.To,
+			"see 'sumactl release status', or set all = true"}
 	}
 	next := v.Last.clone()
 	next.Seq++
 	next.By, next.Why = by, "release "+spec.Name+" begins"
-	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running, Targets: arranged(targets, spec.Order, v.Kept), Paused: false,
-		LostAt: len(v.LostSites)}
-	next.Release.Left = next.Release.wave()
+	next.Release = &Release{Spec: spec, Run: spec.Name + "-" + strconv.FormatInt(next.Seq, 10), Phase: Running,
+		Targets: sortTargets(targets, spec.Order, v.CachedTokens), Paused: false,
+		LostSites: len(v.LostSites)}
+	next.Release.WaveLeft = next.Release.waveSize()
 	return next, nil
 }
 
-// arranged orders targets: with spread those that hold least for others go first, and of equals the sites take turns, so that a
-// wave takes little from each.
-func arranged(list []Target, order string, kept map[string]float64) []Target {
+// sortTargets orders targets. The spread order takes those with the fewest cached tokens first and alternates between
+// sites among equals, so that a wave takes little capacity from each site.
+func sortTargets(list []Target, order string, cachedTokens map[string]float64) []Target {
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Name, b.Name)) })
 	switch order {
 	case "site":
@@ -204,34 +205,34 @@
 		nth[t.Site]++
 	}
 	slices.SortStableFunc(list, func(a, b Target) int {
-		return cmp.Or(cmp.Compare(kept[a.Name], kept[b.Name]), cmp.Compare(rank[a.Name], rank[b.Name]))
+		return cmp.Or(cmp.Compare(cachedTokens[a.Name], cachedTokens[b.Name]), cmp.Compare(rank[a.Name], rank[b.Name]))
 	})
 	return list
 }
 
-// change is the state with its release changed; refused where there is none under way.
-func (s *State) change(did, by string, how func(r *Release) error) (*State, error) {
+// change returns a copy of the state with its release changed. It is refused if there is no release.
+func (s *State) change(action, by string, apply func(r *Release) error) (*State, error) {
 	next := s.clone()
 	r := next.Release
 	if r == nil {
-		return nil, &RefusedError{did, "there is no release", "start one: sumactl release start FILE"}
+		return nil, &RefusedError{action, "there is no release", "start one: sumactl release start FILE"}
 	}
-	if err := how(r); err != nil {
+	if err := apply(r); err != nil {
 		return nil, err
 	}
 	next.Seq++
-	next.By, next.Why = by, "release "+r.Name+": "+did
+	next.By, next.Why = by, "release "+r.Name+": "+action
 	return next, nil
 }
 
-// Halt halts the release that runs, by hand. Asked twice it is one halt: nil, nil.
+// Halt halts the release by hand. The call is idempotent: it returns nil, nil if the release is halted already.
 func (s *State) Halt(by, why string) (*State, error) {
 	if s != nil && s.Release != nil && s.Release.Phase == Halted {
 		return nil, nil
 	}
 	next, err := s.change("halt", by, func(r *Release) error {
-		if r.Phase.Over() {
-			return &RefusedError{"halt", "release " + r.Name + " has come to its end", "nothing is to be done"}
+		if r.Phase.Finished() {
+			return &RefusedError{"halt", "release " + r.Name + " is finished", "nothing needs to be done"}
 		}
 		r.halt(cmp.Or(why, "by hand"))
 		r.ByHand = true
@@ -244,24 +245,24 @@
 }
 
 func (r *Release) halt(why string) {
-	r.Before, r.Phase, r.Why = r.Phase, Halted, why
+	r.HaltedFrom, r.Phase, r.Why = r.Phase, Halted, why
 	r.Halts++
 }
 
-// Resume has a halted release go on where it stopped: targets that were held are tried again, and what was counted
-// until now is not held against it any more.
+// Resume continues a halted release where it stopped. Blocked targets are tried again, and counts from before the resume
+// no longer count against the version.
 func (v View) Resume(by string) (*State, error) {
-	if v.Last != nil && v.Last.Release != nil && (v.Last.Release.Phase == Running || v.Last.Release.Phase == Back) {
+	if v.Last != nil && v.Last.Release != nil && (v.Last.Release.Phase == Running || v.Last.Release.Phase == RollingBack) {
 		return nil, nil
 	}
 	return v.Last.change("resume", by, func(r *Release) error {
 		if r.Phase != Halted {
 			return &RefusedError{"resume", "release " + r.Name + " is " + string(r.Phase) + ", not halted", "see 'sumactl release status'"}
 		}
-		r.Phase, r.Why, r.ByHand, r.Looks, r.LostAt = r.Before, "", false, 0, len(v.LostSites)
+		r.Phase, r.Why, r.ByHand, r.Looks, r.LostSites = r.HaltedFrom, "", false, 0, len(v.LostSites)
 		r.Run = r.Name + "-" + strconv.FormatInt(v.Last.Seq+1, 10)
 		for i := range r.Targets {
-			if r.Targets[i].State == Held && !r.Targets[i].Gone {
+			if r.Targets[i].State == Blocked && !r.Targets[i].Gone {
 				r.Targets[i].State, r.Targets[i].Why = Waiting, ""
 			}
 		}
@@ -269,71 +270,72 @@
 	})
 }
 
-// TakeBack returns what was released to the labels that it had, the newest first; what is on its way comes in first, with
-// whatever label it has by then.
-// Asked twice it is one way back: nil, nil.
-func (s *State) TakeBack(by string) (*State, error) {
-	if s != nil && s.Release != nil && (s.Release.Phase == Back || s.Release.Phase == Undone || s.Release.Phase == Halted && s.Release.Before == Back) {
+// RollBack returns the release's targets to their previous labels, the last released first. Targets that are out return
+// first, with whatever label they have by then. The call is idempotent: it returns nil, nil if a rollback was requested
+// already.
+func (s *State) RollBack(by string) (*State, error) {
+	if s != nil && s.Release != nil && (s.Release.Phase == RollingBack || s.Release.Phase == RolledBack ||
+		s.Release.Phase == Halted && s.Release.HaltedFrom == RollingBack) {
 		return nil, nil
 	}
 	next, err := s.change("back", by, func(r *Release) error {
-		r.Phase, r.Why, r.Paused, r.Wave = Back, "taken back by "+by, false, 0
+		r.Phase, r.Why, r.Paused, r.Wave = RollingBack, "taken back by "+by, false, 0
 		var reached, rest []Target
 		for _, t := range r.Targets {
 			switch {
 			case t.Gone:
 				rest = append(rest, t)
-			case t.State == Reached || t.State == Held:
+			case t.State == Reached || t.State == Blocked:
 				t.State, t.Why = Waiting, ""
 				reached = append(reached, t)
 			case t.State == Out:
-				reached = append(reached, t) // it is let come in, then taken back
+				reached = append(reached, t) // it returns first and is rolled back then
 			default:
 				t.State = Reached // it never left its label
 				rest = append(rest, t)
 			}
 		}
-		slices.SortStableFunc(reached, func(a, b Target) int { return cmp.Compare(cmp.Or(b.Nth, 1<<62), cmp.Or(a.Nth, 1<<62)) })
+		slices.SortStableFunc(reached, func(a, b Target) int { return cmp.Compare(cmp.Or(b.Order, 1<<62), cmp.Or(a.Order, 1<<62)) })
 		r.Targets = append(reached, rest...)
-		r.Left = r.wave()
+		r.WaveLeft = r.waveSize()
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	for _, t := range next.Release.Targets { // what never came back with the new label is to come with the old one
-		thing := ID(next.Release.Kind, t.Name)
-		if p, out := next.Permits[thing]; out && t.State == Out {
+	for _, t := range next.Release.Targets { // targets that are out should return with their previous label
+		member := ID(next.Release.Kind, t.Name)
+		if p, out := next.Permits[member]; out && t.State == Out {
 			p.To, p.OutMs = t.From, 0
-			next.Permits[thing] = p
+			next.Permits[member] = p
 		}
 	}
 	return next, nil
 }
 
-// strayed has targets that are called back, and are seen with another label than their old one, taken back again.
-func (w *work) strayed(r *Release) {
+// retryStrayed puts targets of a rollback back in the queue if they are seen with another label than their previous one.
+func (d *draft) retryStrayed(r *Release) {
 	for i := range r.Targets {
 		t := &r.Targets[i]
-		thing := ID(r.Kind, t.Name)
-		if _, out := w.Permits[thing]; out || t.State != Reached || r.Phase != Back || w.broken == ForgetsOne {
+		member := ID(r.Kind, t.Name)
+		if _, out := d.Permits[member]; out || t.State != Reached || r.Phase != RollingBack || d.broken == SkipsRollback {
 			continue
 		}
-		s := w.f.servers[t.Name]
-		label, sure := s.Label, s.agreed
+		s := d.fleet.servers[t.Name]
+		label, certain := s.Label, s.agreed
 		if r.Kind == Router {
-			label, sure = w.Known[t.Name].Label, w.v.Routers[t.Name].Live
+			label, certain = d.Known[t.Name].Label, d.view.Routers[t.Name].Live
 		}
-		if sure && label != t.From {
+		if certain && label != t.From {
 			t.State = Waiting
-			w.say("%s has label %q: it is to go back all the same", thing, label)
+			d.note("%s has label %q: it is to go back all the same", member, label)
 		}
 	}
 }
 
-// want is the label that a target is to have now.
-func (r *Release) want(t Target) string {
-	if r.Phase == Back || r.Phase == Undone || r.Phase == Halted && r.Before == Back {
+// wantedLabel returns the label that a target should have in the current phase.
+func (r *Release) wantedLabel(t Target) string {
+	if r.Phase == RollingBack || r.Phase == RolledBack || r.Phase == Halted && r.HaltedFrom == RollingBack {
 		return t.From
 	}
 	return r.To
--- a/internal/decide/outage/reload.go
+++ b/internal/decide/outage/reload.go
@@ -2,55 +2,56 @@
 
 import "cmp"
 
-// ForReload is what a permit is for that tuning asked for: its server is to load other weights.
+// ForReload is the purpose of a permit requested by tuning, so that its server loads other weights.
 const ForReload = "reload"
 
-// Reload is a server that should come back with another label.
+// Reload is a server that should return with another label.
 type Reload struct{ Server, To string }
 
-// before orders wishes: an operator's first, as they came, then reloads by their turns.
-func (w Wish) before(o Wish) int {
-	if (w.For == "") != (o.For == "") {
-		if w.For == "" {
+// compare orders requests: an operator's first, by Seq, then reloads by Rank.
+func (p PermitRequest) compare(other PermitRequest) int {
+	if (p.For == "") != (other.For == "") {
+		if p.For == "" {
 			return -1
 		}
 		return 1
 	}
-	if w.For != "" {
-		return cmp.Compare(w.Place, o.Place)
+	if p.For != "" {
+		return cmp.Compare(p.Rank, other.Rank)
 	}
-	return cmp.Compare(w.Seq, o.Seq)
+	return cmp.Compare(p.Seq, other.Seq)
 }
 
-// Reloads has the wishes for reloads be those that are wanted now, in their order: who is wished out already, or out, is
-// not wished again, and who is not wanted any more is withdrawn. nil: they are as wanted.
-func (s *State) Reloads(wanted []Reload, by string) *State {
-	next, news := s.clone(), false
+// RequestReloads makes the requests for reloads match those wanted now, in their order. A member that an operator
+// requested or that is out already is not requested again, and reloads no longer wanted are withdrawn. It returns nil if
+// nothing changes.
+func (s *State) RequestReloads(wanted []Reload, by string) *State {
+	next, changed := s.clone(), false
 	next.Seq++
-	want := map[string]bool{}
+	isWanted := map[string]bool{}
 	for i, r := range wanted {
-		thing := ID(Server, r.Server)
-		want[thing] = true
-		w, is := next.Wishes[thing]
-		if _, out := next.Permits[thing]; out || is && w.For == "" {
+		member := ID(Server, r.Server)
+		isWanted[member] = true
+		request, ok := next.PermitRequests[member]
+		if _, out := next.Permits[member]; out || ok && request.For == "" {
 			continue
 		}
-		if is && w.To == r.To && w.Place == i {
+		if ok && request.To == r.To && request.Rank == i {
 			continue
 		}
-		if !is {
-			w = Wish{Seq: next.Seq, By: by, For: ForReload, Wait: "not looked at yet"}
+		if !ok {
+			request = PermitRequest{Seq: next.Seq, By: by, For: ForReload, WaitReason: "not looked at yet"}
 		}
-		w.To, w.Place = r.To, i
-		next.Wishes[thing], news = w, true
+		request.To, request.Rank = r.To, i
+		next.PermitRequests[member], changed = request, true
 	}
-	for thing, w := range next.Wishes {
-		if w.For == ForReload && !want[thing] {
-			delete(next.Wishes, thing)
-			news = true
+	for member, request := range next.PermitRequests {
+		if request.For == ForReload && !isWanted[member] {
+			delete(next.PermitRequests, member)
+			changed = true
 		}
 	}
-	if !news {
+	if !changed {
 		return nil
 	}
 	next.By, next.Why = by, "reloads are wished for"
--- a/internal/decide/outage/search/search.go
+++ b/internal/decide/outage/search/search.go
@@ -7,168 +7,168 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// Options say what is searched.
+// Options configures a search.
 type Options struct {
 	Bounds Bounds `json:"bounds"`
 	Broken Fault  `json:"broken,omitempty"`
-	// Depth and States end a search early; 0: it goes to its end.
+	// Depth and States end a search early; 0 means no limit.
 	Depth  int `json:"most_depth,omitempty"`
 	States int `json:"most_states,omitempty"`
-	// Finish has a way back tried to its end from one state in so many; 0: from none.
-	Finish uint64 `json:"finish,omitempty"`
-	// Level is told of each depth that was searched.
-	Level func(Result) `json:"-"`
+	// RollbackEvery tries a rollback to its end from one state in so many; 0: from none.
+	RollbackEvery uint64 `json:"finish,omitempty"`
+	// OnLevel is called after each depth that was searched.
+	OnLevel func(Result) `json:"-"`
 }
 
-// Result is what was searched and found.
+// Result is the outcome of a search or a random walk.
 type Result struct {
-	States int      `json:"states"` // that differ
-	Steps  int      `json:"steps"`  // that were taken
-	Depth  int      `json:"depth"`  // of the deepest state
-	Ways   int      `json:"ways"`   // ways back that were tried to their end
-	Whole  bool     `json:"whole"`  // there is no state that was not looked at
-	Faults []string `json:"faults,omitempty"`
-	Trace  Trace    `json:"-"` // to the first finding, the shortest there is
+	States    int      `json:"states"`           // distinct states
+	Steps     int      `json:"steps"`            // events applied
+	Depth     int      `json:"depth"`            // of the deepest state
+	Rollbacks int      `json:"ways"`             // rollbacks tried to their end
+	Complete  bool     `json:"whole"`            // every reachable state was searched
+	Faults    []string `json:"faults,omitempty"` // rules that were broken
+	Trace     Trace    `json:"-"`                // the events leading to the first fault; the shortest such trace if found by a search
 }
 
-// node is how a state was come to.
+// node records how a state was reached.
 type node struct {
-	from int32
-	by   event
+	parent int32
+	event  event
 }
 
-// Run searches. It ends at the first finding.
+// Run searches breadth-first and stops at the first fault.
 func (o Options) Run() Result {
-	w := first(o.Bounds)
-	key, buf := w.key(nil)
+	w := initialWorld(o.Bounds)
+	key, buf := w.hash(nil)
 	seen := map[uint64]struct{}{key: {}}
-	nodes := []node{{from: -1}}
-	type open struct {
+	nodes := []node{{parent: -1}}
+	type frontierNode struct {
 		world
-		at int32
+		node int32
 	}
-	level := []open{{w, 0}}
+	frontier := []frontierNode{{w, 0}}
 	out := Result{States: 1}
-	found := func(at int32, last Trace, faults []string) Result {
+	report := func(leaf int32, last Trace, faults []string) Result {
 		out.Faults = faults
-		for ; nodes[at].from >= 0; at = nodes[at].from {
-			out.Trace = append(Trace{nodes[at].by}, out.Trace...)
+		for ; nodes[leaf].parent >= 0; leaf = nodes[leaf].parent {
+			out.Trace = append(Trace{nodes[leaf].event}, out.Trace...)
 		}
 		out.Trace = append(out.Trace, last...)
 		return out
 	}
-	var may []event
-	for len(level) > 0 && (o.Depth == 0 || out.Depth < o.Depth) {
-		var next []open
-		for i := range level {
-			at := level[i]
-			level[i] = open{}
-			may = at.events(may)
-			for _, e := range may {
-				one := at.world
+	var enabled []event
+	for len(frontier) > 0 && (o.Depth == 0 || out.Depth < o.Depth) {
+		var next []frontierNode
+		for i := range frontier {
+			current := frontier[i]
+			frontier[i] = frontierNode{}
+			enabled = current.events(enabled)
+			for _, e := range enabled {
+				successor := current.world
 				out.Steps++
-				if faults := one.happen(e, o.Broken); len(faults) > 0 {
-					return found(at.at, Trace{e}, faults)
+				if faults := successor.apply(e, o.Broken); len(faults) > 0 {
+					return report(current.node, Trace{e}, faults)
 				}
-				one.doomed(o.Broken)
-				key, buf = one.key(buf)
-				if _, is := seen[key]; is {
+				successor.dropStaleWrites(o.Broken)
+				key, buf = successor.hash(buf)
+				if _, ok := seen[key]; ok {
 					continue
 				}
 				seen[key] = struct{}{}
-				nodes = append(nodes, node{at.at, e})
+				nodes = append(nodes, node{current.node, e})
 				n := int32(len(nodes) - 1)
-				if o.Finish > 0 && key%o.Finish == 0 {
-					out.Ways++
-					if faults := one.ends(o.Broken); len(faults) > 0 {
-						return found(n, nil, append(faults, "once all is mended, on the way back"))
+				if o.RollbackEvery > 0 && key%o.RollbackEvery == 0 {
+					out.Rollbacks++
+					if faults := successor.checkRollback(o.Broken); len(faults) > 0 {
+						return report(n, nil, append(faults, "after recovery, during the rollback"))
 					}
 				}
-				next = append(next, open{one, n})
+				next = append(next, frontierNode{successor, n})
 				if out.States++; o.States > 0 && out.States >= o.States {
 					return out
 				}
 			}
 		}
-		if level = next; len(level) > 0 {
+		if frontier = next; len(frontier) > 0 {
 			out.Depth++
 		}
-		if o.Level != nil {
-			o.Level(out)
+		if o.OnLevel != nil {
+			o.OnLevel(out)
 		}
 	}
-	out.Whole = len(level) == 0
+	out.Complete = len(frontier) == 0
 	return out
 }
 
-// Replay has a trace happen again; it gives the states that were written, and the rules that the last of its events broke.
+// Replay applies a trace again. It returns the states that were written, and the rules that the last event broke.
 func (o Options) Replay(t Trace) (states []*outage.State, faults []string) {
-	w := first(o.Bounds)
+	w := initialWorld(o.Bounds)
 	states = append(states, w.state)
 	for _, e := range t {
-		faults = w.happen(e, o.Broken)
+		faults = w.apply(e, o.Broken)
 		if w.state != states[len(states)-1] {
 			states = append(states, w.state)
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	if len(faults) == 0 && o.Finish > 0 {
-		faults = w.ends(o.Broken)
+	if len(faults) == 0 && o.RollbackEvery > 0 {
+		faults = w.checkRollback(o.Broken)
 	}
 	return states, faults
 }
 
-// Walk has events happen as a seed draws them, deeper than a search comes; what breaks a rule is cut down to the events
-// that it takes, by leaving out one after the other.
+// Walk applies random events drawn from a seed, to greater depth than a search reaches. A trace that breaks a rule is
+// reduced to the events it needs, by removing one after another.
 func (o Options) Walk(seed uint64, length int) (out Result) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := first(o.Bounds)
-	var may []event
+	w := initialWorld(o.Bounds)
+	var enabled []event
 	for range length {
-		may = w.events(may)
-		e := may[rng.IntN(len(may))]
-		if e.op > opEnter && e.op != opTake && rng.IntN(4) > 0 { // what happens rarely is not to be over at once
+		enabled = w.events(enabled)
+		e := enabled[rng.IntN(len(enabled))]
+		if e.op > opRegister && e.op != opStopServer && rng.IntN(4) > 0 { // do not use up rare events early
 			continue
 		}
 		out.Trace = append(out.Trace, e)
 		out.Steps++
-		if out.Faults = w.happen(e, o.Broken); len(out.Faults) > 0 {
-			out.Trace = o.shorter(out.Trace, false)
+		if out.Faults = w.apply(e, o.Broken); len(out.Faults) > 0 {
+			out.Trace = o.shrink(out.Trace, false)
 			return out
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	out.Ways++
-	if out.Faults = w.ends(o.Broken); len(out.Faults) > 0 {
-		out.Faults = append(out.Faults, "once all is mended, on the way back")
-		out.Trace = o.shorter(out.Trace, true)
+	out.Rollbacks++
+	if out.Faults = w.checkRollback(o.Broken); len(out.Faults) > 0 {
+		out.Faults = append(out.Faults, "after recovery, during the rollback")
+		out.Trace = o.shrink(out.Trace, true)
 	}
 	return out
 }
 
-// shorter leaves out events as long as a rule is broken all the same.
-func (o Options) shorter(t Trace, mended bool) Trace {
+// shrink removes events as long as a rule is still broken.
+func (o Options) shrink(t Trace, recovered bool) Trace {
 	for i := len(t) - 1; i >= 0; i-- {
-		less := slices.Delete(slices.Clone(t), i, i+1)
-		if o.possible(less, mended) {
-			t = less
+		shorter := slices.Delete(slices.Clone(t), i, i+1)
+		if o.reproduces(shorter, recovered) {
+			t = shorter
 		}
 	}
 	return t
 }
 
-// possible tells whether a trace's events may all happen, and the last of them breaks a rule, or the way back that follows once
-// all is mended.
-func (o Options) possible(t Trace, mended bool) bool {
-	w := first(o.Bounds)
+// reproduces reports whether the events of a trace are all possible and the last one breaks a rule, or, after recovery,
+// the rollback that follows does.
+func (o Options) reproduces(t Trace, recovered bool) bool {
+	w := initialWorld(o.Bounds)
 	for i, e := range t {
 		if !slices.Contains(w.events(nil), e) {
 			return false
 		}
-		if faults := w.happen(e, o.Broken); len(faults) > 0 {
-			return !mended && i == len(t)-1
+		if faults := w.apply(e, o.Broken); len(faults) > 0 {
+			return !recovered && i == len(t)-1
 		}
-		w.doomed(o.Broken)
+		w.dropStaleWrites(o.Broken)
 	}
-	return mended && len(w.ends(o.Broken)) > 0
+	return recovered && len(w.checkRollback(o.Broken)) > 0
 }
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -1,10 +1,11 @@
-// Package search walks all states that a small fleet can come to under the real decider of outages: three routers of which
-// two decide, three servers under one release, and whatever may happen between a reading and its writing. It is breadth-first,
-// so what it finds first is found by the fewest steps, and each finding is a line of words that can be played again.
+// Package search explores all states that a small fleet can reach under the real outage decider: three routers of which
+// two decide, three servers under one release, and any event between a read and the write that follows. The search is
+// breadth-first, so a fault is found by the fewest events, and its trace can be replayed.
 //
-// Time is abstract: between any two steps as much may pass as one likes, so each reading is tried with the state just seen
-// and with it seen for a unit, which is as long as the model's bounds but return_ms (two units). Whose turn it is is left out:
-// whoever decides may write at any time, which turns only make rarer. So all that a fleet of this size does is among what is searched.
+// Time is abstract. Any amount may pass between two steps, so each read is tried with a state just seen and with one
+// seen for a time unit. The unit equals the model's durations, except return_ms, which is two units. Turns are not
+// modelled: either decider may write at any time. Turns only rule out some of these interleavings, so every behaviour of
+// a fleet of this size is searched.
 package search
 
 import (
@@ -16,170 +17,172 @@
 	"sumacloft/internal/decide/outage"
 )
 
-// Size of the fleet: routers and servers, and how many of the routers decide.
+// Number of routers and of servers, and how many of the routers decide.
 const (
-	Size     = 3
-	Deciders = 2
+	FleetSize = 3
+	Deciders  = 2
 )
 
-// Fault is a rule that the carrier of the decider breaks on purpose; those of the decider are its own.
+// Fault is a rule broken on purpose, by the decider or by its caller.
 type Fault = outage.Fault
 
-// The carrier's faults, besides outage.NoFence, which has both.
+// Faults of the caller, which writes the state. outage.NoFence combines the first two.
 const (
-	NoRegistration Fault = "no-registration" // a write does not compare the writer's registration
-	NoRevision     Fault = "no-revision"     // a write does not compare the state's revision
-	NoPolicy       Fault = "no-policy"       // a write does not compare the policy that its budget is from
+	NoRegistration Fault = "no-registration" // a write is not fenced by the writer's registration
+	NoRevision     Fault = "no-revision"     // a write is not fenced by the state's revision
+	NoPolicy       Fault = "no-policy"       // a write is not fenced by the policy that its budget is from
 )
 
-// Bounds say how often each thing may happen in one life, so that there is an end of states.
+// Bounds limits how often each kind of event may happen, so that the state space is finite.
 type Bounds struct {
-	Crashes int8 `json:"crashes"` // deaths of a server; it may return at any time, or never
-	Ends    int8 `json:"ends"`    // deaths of a router; likewise
-	Stops   int8 `json:"stops"`   // stops of a decider, with its registration lost meanwhile or not
-	Odd     int8 `json:"odd"`     // returns under a permit with another label than the permit's
-	Worse   int8 `json:"worse"`   // times that the new version is seen to fail
-	Halts   int8 `json:"halts"`   // by an operator
-	Resumes int8 `json:"resumes"`
-	Backs   int8 `json:"backs"`
-	Lowers  int8 `json:"lowers"` // of the budget from two servers to one
-	Hands   int8 `json:"hands"`  // wishes by hand, each of which may be taken back
+	ServerCrashes int8 `json:"crashes"` // of a server; it may restart at any time, or never
+	RouterCrashes int8 `json:"ends"`    // of a router; it may restart at any time, or never
+	DeciderPauses int8 `json:"stops"`   // of a decider, with or without losing its registration meanwhile
+	WrongLabels   int8 `json:"odd"`     // restarts under a permit with another label than the permit's
+	Regressions   int8 `json:"worse"`   // times that the new version starts to fail
+	Halts         int8 `json:"halts"`   // by an operator
+	Resumes       int8 `json:"resumes"`
+	Rollbacks     int8 `json:"backs"`
+	BudgetCuts    int8 `json:"lowers"` // from two servers to one
+	DrainRequests int8 `json:"hands"`  // requests by hand; each may be withdrawn
 }
 
-const unit = 1000.0 // ms
+const timeUnit = 1000.0 // ms
 
-// model is the policy's; lowered, its budget is less.
+// model returns the policy's model, with a smaller budget if it was lowered.
 func model(lowered bool) outage.Model {
-	m := outage.Model{Workers: 2, Routers: 1, PauseMs: unit, LostMs: unit, WarmMs: unit, ReturnMs: 2 * unit, ReportMs: 500,
-		Halt: outage.Halt{OverMs: unit, Least: 20}}
+	m := outage.Model{Workers: 2, Routers: 1, PauseMs: timeUnit, LostMs: timeUnit, WarmMs: timeUnit, ReturnMs: 2 * timeUnit, ReportMs: 500,
+		Halt: outage.Halt{OverMs: timeUnit, Least: 20}}
 	if lowered {
 		m.Workers = 1
 	}
 	return m
 }
 
-// server is what is true of a server, or what a router's report says of it.
+// server is the state of a server, either the true one or as a router reports it.
 type server struct {
-	boot byte // '1' and on
-	next bool // it has the new label
-	up   bool
+	boot     byte // from '1'
+	newLabel bool // it has the new label
+	up       bool
 }
 
 func (s server) label() string {
-	if s.next {
+	if s.newLabel {
 		return "new"
 	}
 	return "old"
 }
 
-type report struct {
-	boot  byte // 0: none was written
-	seen  int64
-	sees  [Size]server
-	worse string // the run for which it counted that the new version fails
+type routerReport struct {
+	boot       byte // 0: there is no report
+	stateSeq   int64
+	servers    [FleetSize]server
+	failingRun string // the run in which it counted failures of the new version
 }
 
 type router struct {
-	up, stopped bool
-	live        bool // its registration stands
-	boot        byte
-	follows     int64      // number of the state that it goes by
-	sends       [Size]bool // by that state, to which servers
-	report      report
+	up, paused bool
+	registered bool // its registration is valid
+	boot       byte
+	stateSeq   int64           // Seq of the state that it follows
+	sends      [FleetSize]bool // servers it sends to under that state
+	report     routerReport
 }
 
-// pending is a decision that was made and not yet written.
-type pending struct {
+// pendingWrite is a decision that was made and not written yet.
+type pendingWrite struct {
 	next    *outage.State
-	from    int64 // revision that was read
-	lowered bool  // the budget that was read
-	said    said
+	readRev int64 // revision that was read
+	lowered bool  // whether the lowered budget was read
+	labels  labels
 }
 
-// said are the labels that most routers reported of servers: "", "old" or "new".
-type said [Size]string
+// labels holds the label that most routers reported for each server: "", "old" or "new".
+type labels [FleetSize]string
 
-// world is one state of the whole: what is true, what the store has, and what deciders are about to write.
+// world is one state of the model: the true fleet, the stored state, and the writes that deciders are about to make.
 type world struct {
-	state   *outage.State // never changed, only replaced
-	rev     int64
-	lowered bool
-	servers [Size]server
-	routers [Size]router
-	pending [Deciders]pending
-	worse   string // the run in which the new version fails
-	taken   bool   // back was asked for and done
-	left    Bounds
+	state      *outage.State // immutable; replaced as a whole
+	rev        int64
+	lowered    bool
+	servers    [FleetSize]server
+	routers    [FleetSize]router
+	pending    [Deciders]pendingWrite
+	failingRun string // the run in which the new version fails
+	rolledBack bool   // a rollback was requested and accepted
+	remaining  Bounds
 }
 
 var (
-	serverNames = [Size]string{"s1", "s2", "s3"}
-	routerNames = [Size]string{"r1", "r2", "r3"}
-	things      = [Size]string{"server/s1", "server/s2", "server/s3"}
+	serverNames = [FleetSize]string{"s1", "s2", "s3"}
+	routerNames = [FleetSize]string{"r1", "r2", "r3"}
+	memberIDs   = [FleetSize]string{"server/s1", "server/s2", "server/s3"}
 )
 
-// bad are counts that any look halts at.
-var bad = outage.Counts{Old: outage.Tally{N: 1000}, New: outage.Tally{N: 20, Failed: 20}}
+// failingCounts are counts at which any look halts the release.
+var failingCounts = outage.Counts{Old: outage.Tally{N: 1000}, New: outage.Tally{N: 20, Failed: 20}}
 
-// view is what a reading of the store gives.
+// view returns what a read of the store returns.
 func (w *world) view() outage.View {
-	v := outage.View{Model: model(w.lowered), Version: 1, Last: w.state, Routers: make(map[string]outage.Registered, Size)}
+	v := outage.View{Model: model(w.lowered), Version: 1, Last: w.state, Routers: make(map[string]outage.Registration, FleetSize)}
 	if w.lowered {
 		v.Version = 2
 	}
 	for i, r := range w.routers {
-		if r.live {
-			v.Routers[routerNames[i]] = outage.Registered{Boot: string(r.boot), Label: "p", Live: true}
+		if r.registered {
+			v.Routers[routerNames[i]] = outage.Registration{Boot: string(r.boot), Label: "p", Live: true}
 		}
 		if r.report.boot == 0 {
 			continue
 		}
-		one := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), Seen: r.report.seen, Sees: make(map[string]outage.Sight, Size), Rev: 1}
-		for j, s := range r.report.sees {
-			sight := outage.Sight{Boot: string(s.boot), Label: s.label(), Asked: true}
+		report := outage.Report{Router: routerNames[i], Boot: string(r.report.boot), StateSeq: r.report.stateSeq,
+			Observed: make(map[string]outage.Observation, FleetSize), Rev: 1}
+		for j, s := range r.report.servers {
+			observation := outage.Observation{Boot: string(s.boot), Label: s.label(), Probed: true}
 			if !s.up {
-				sight.SilentMs = unit
+				observation.SilentMs = timeUnit
 			}
-			one.Sees[serverNames[j]] = sight
+			report.Observed[serverNames[j]] = observation
 		}
-		if r.report.worse != "" {
-			one.Release, one.Counts = r.report.worse, bad
+		if r.report.failingRun != "" {
+			report.Release, report.Counts = r.report.failingRun, failingCounts
 		}
-		v.Reports = append(v.Reports, one)
+		v.Reports = append(v.Reports, report)
 	}
 	return v
 }
 
-// read has a router make a decision: aged, the state has stood for a unit; deaf, the reports of stopped routers are not
-// believed any more.
-func (w *world) read(i int, aged, deaf bool, broken Fault) *outage.State {
+// decide has a router make a decision. If aged, the state was seen for a time unit. If expired, reports of paused or
+// crashed routers are too old to use.
+func (w *world) decide(i int, aged, expired bool, broken Fault) *outage.State {
 	d := outage.Decider{Me: routerNames[i], Broken: broken}
-	made := d.Step(w.view(), outage.Ages{
+	result := d.Step(w.view(), outage.Ages{
 		State: func() time.Duration {
 			if aged {
-				return unit * time.Millisecond
+				return timeUnit * time.Millisecond
 			}
 			return 0
 		},
 		Report: func(name string, _ int64) time.Duration {
-			if r := w.routers[name[1]-'1']; deaf && (r.stopped || !r.up) {
+			if r := w.routers[name[1]-'1']; expired && (r.paused || !r.up) {
 				return time.Hour
 			}
 			return 0
 		}})
-	if !made.Most {
+	if !result.Quorum {
 		return nil
 	}
-	return made.Next
+	return result.Next
 }
 
-// key is a hash of all that what follows depends on. Numbers that only grow (states, permits, starts) go in by how they
-// compare; times by how they stand to the model's bounds; what is only said, not at all.
-func (w *world) key(buf []byte) (uint64, []byte) {
+// hash hashes everything that future behaviour depends on. Growing numbers (states, permits, starts) are included by
+// comparison only, and durations relative to the model's bounds. Descriptive texts are left out.
+func (w *world) hash(buf []byte) (uint64, []byte) {
 	b := buf[:0]
-	b = flags(b, w.lowered, w.taken, w.worse != "" && w.run() == w.worse)
-	l := w.left
-	b = append(b, byte(l.Crashes), byte(l.Ends), byte(l.Stops), byte(l.Odd), byte(l.Worse), byte(l.Halts), byte(l.Resumes), byte(l.Backs), byte(l.Lowers), byte(l.Hands))
+	b = appendFlags(b, w.lowered, w.rolledBack, w.failingRun != "" && w.run() == w.failingRun)
+	l := w.remaining
+	b = append(b, byte(l.ServerCrashes), byte(l.RouterCrashes), byte(l.DeciderPauses), byte(l.WrongLabels),
+		byte(l.Regressions), byte(l.Halts), byte(l.Resumes), byte(l.Rollbacks), byte(l.BudgetCuts), byte(l.DrainRequests))
 	for j := range w.servers {
 		var names [16]byte
 		n := byte(0)
@@ -190,28 +193,29 @@
 			}
 			return names[c&15]
 		}
-		one := func(s server) { b = flags(append(b, boot(s.boot)), s.next, s.up) }
-		one(w.servers[j])
+		addServer := func(s server) { b = appendFlags(append(b, boot(s.boot)), s.newLabel, s.up) }
+		addServer(w.servers[j])
 		for _, r := range w.routers {
 			if r.report.boot != 0 {
-				one(r.report.sees[j])
+				addServer(r.report.servers[j])
 			}
 		}
 		for _, s := range w.states() {
-			if p, is := s.Permits[things[j]]; is {
+			if p, ok := s.Permits[memberIDs[j]]; ok {
 				b = append(b, boot(p.Boot[0]))
 			}
 		}
 	}
 	for i, r := range w.routers {
-		b = flags(b, r.up, r.stopped, r.live, r.report.boot != 0, r.report.boot == r.boot, r.report.worse != "" && r.report.worse == w.run(), r.sends[0], r.sends[1], r.sends[2],
+		b = appendFlags(b, r.up, r.paused, r.registered, r.report.boot != 0, r.report.boot == r.boot,
+			r.report.failingRun != "" && r.report.failingRun == w.run(), r.sends[0], r.sends[1], r.sends[2],
 			w.state.Known[routerNames[i]].Boot == string(r.boot))
 	}
-	b = w.keyOf(b, w.state)
+	b = w.appendState(b, w.state)
 	for _, p := range w.pending {
-		if b = flags(b, p.next != nil, p.from == w.rev, p.lowered); p.next != nil {
-			b = w.keyOf(b, p.next)
-			for _, label := range p.said {
+		if b = appendFlags(b, p.next != nil, p.readRev == w.rev, p.lowered); p.next != nil {
+			b = w.appendState(b, p.next)
+			for _, label := range p.labels {
 				b = append(append(b, label...), 0)
 			}
 		}
@@ -219,7 +223,7 @@
 	return xxhash.Sum64(b), b
 }
 
-// states are those in the store and those about to be written.
+// states returns the stored state and those about to be written.
 func (w *world) states() []*outage.State {
 	out := append(make([]*outage.State, 0, 1+Deciders), w.state)
 	for _, p := range w.pending {
@@ -237,7 +241,7 @@
 	return w.state.Release.Run
 }
 
-func flags(b []byte, list ...bool) []byte {
+func appendFlags(b []byte, list ...bool) []byte {
 	out := uint16(0)
 	for i, f := range list {
 		if f {
@@ -247,15 +251,15 @@
 	return append(b, byte(out), byte(out>>8))
 }
 
-// units is a time by how many units it has, up to a most.
-func units(ms float64, most int) byte { return byte(min(int(ms/unit), most)) }
+// units returns a duration in time units, up to a maximum.
+func units(ms float64, most int) byte { return byte(min(int(ms/timeUnit), most)) }
 
-// keyOf adds what follows depends on of one state.
-func (w *world) keyOf(b []byte, s *outage.State) []byte {
+// appendState appends what future behaviour depends on in one state.
+func (w *world) appendState(b []byte, s *outage.State) []byte {
 	text := func(t string) { b = append(append(b, t...), 0) }
-	for i, thing := range things {
-		p, out := s.Permits[thing]
-		b = flags(b, out, p.Serve)
+	for i, member := range memberIDs {
+		p, out := s.Permits[member]
+		b = appendFlags(b, out, p.Serve)
 		if out {
 			text(string(p.Stage))
 			text(p.To)
@@ -263,28 +267,29 @@
 			text(p.For)
 			b = append(b, units(p.OutMs, 3), units(p.BackMs, 1))
 			for _, r := range w.routers {
-				b = flags(b, r.report.seen >= p.Seq)
+				b = appendFlags(b, r.report.stateSeq >= p.Seq)
 			}
 		}
-		wish, is := s.Wishes[thing]
-		if b = flags(b, is); is {
-			b = binary.AppendVarint(b, s.Seq-wish.Seq)
-			text(wish.Wait)
+		request, ok := s.PermitRequests[member]
+		if b = appendFlags(b, ok); ok {
+			b = binary.AppendVarint(b, s.Seq-request.Seq)
+			text(request.WaitReason)
 		}
-		text(s.Lost[thing].Why)
+		text(s.Lost[member].Why)
 		text(s.Lost["router/"+routerNames[i]].Why)
 		_, known := s.Known[routerNames[i]]
-		b = flags(b, known)
+		b = appendFlags(b, known)
 	}
 	g := s.Budget
-	b = append(flags(b, s.Over), units(s.OverMs, 2), byte(g.Servers), byte(g.Routers), byte(g.ServersMost), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
+	b = append(appendFlags(b, s.OverBudget), units(s.OverBudgetMs, 2), byte(g.Servers), byte(g.Routers),
+		byte(g.ServersLimit), byte(g.ServersOut), byte(g.RoutersOut), byte(g.ServersLost), byte(g.RoutersLost))
 	r := s.Release
 	if r == nil {
 		return b
 	}
 	text(string(r.Phase))
-	text(string(r.Before))
-	b = append(flags(b, r.Paused, r.ByHand), units(r.PauseMs, 1), byte(min(r.Wave, len(r.Waves)-1)), byte(r.Left), byte(r.Looks))
+	text(string(r.HaltedFrom))
+	b = append(appendFlags(b, r.Paused, r.ByHand), units(r.PauseMs, 1), byte(min(r.Wave, len(r.Waves)-1)), byte(r.WaveLeft), byte(r.Looks))
 	for _, t := range r.Targets {
 		text(t.Name)
 		text(t.From)
@@ -292,11 +297,11 @@
 		text(t.Why)
 		nth := byte(0)
 		for _, o := range r.Targets {
-			if o.Nth < t.Nth {
+			if o.Order < t.Order {
 				nth++
 			}
 		}
-		b = flags(append(b, nth), t.Gone, t.Nth != 0)
+		b = appendFlags(append(b, nth), t.Gone, t.Order != 0)
 	}
 	return b
 }
--- a/internal/decide/outage/tally.go
+++ b/internal/decide/outage/tally.go
@@ -6,227 +6,231 @@
 	"reflect"
 )
 
-// tally is what the routers say of one server.
-type tally struct {
-	knows, drains, asked, answers, silent int
-	first                                 start // what most say who began with it
-	more                                  []start
+// votes counts what the reports say about one server.
+type votes struct {
+	listed, draining, probed, answering, silent int
+	first                                       process // the process that was reported first
+	others                                      []process
 }
 
-// start is a process of a server, and how many reports name it.
-type start struct {
-	boot, label string
-	n, last     int // last is the report that named it last
+// process is one start of a server, with the number of reports that name it.
+type process struct {
+	boot, label   string
+	reports, last int // last is the index of the last report that names it
 }
 
-// named notes that n reports name a process, the last of them at a place.
-func (t *tally) named(s Sight, n, last int) {
-	if t.first.n == 0 || t.first.boot == s.Boot && t.first.label == s.Label {
-		t.first = start{s.Boot, s.Label, t.first.n + n, max(t.first.last, last)}
+// addProcess records that n reports name a process, the last of them at index last.
+func (v *votes) addProcess(s Observation, n, last int) {
+	if v.first.reports == 0 || v.first.boot == s.Boot && v.first.label == s.Label {
+		v.first = process{s.Boot, s.Label, v.first.reports + n, max(v.first.last, last)}
 		return
 	}
-	for i := range t.more {
-		if o := &t.more[i]; o.boot == s.Boot && o.label == s.Label {
-			o.n, o.last = o.n+n, max(o.last, last)
+	for i := range v.others {
+		if o := &v.others[i]; o.boot == s.Boot && o.label == s.Label {
+			o.reports, o.last = o.reports+n, max(o.last, last)
 			return
 		}
 	}
-	t.more = append(t.more, start{s.Boot, s.Label, n, last})
+	v.others = append(v.others, process{s.Boot, s.Label, n, last})
 }
 
-// said is the process that most name, of equals the one that came to its number first; the last report of it is taken at its word for
-// what the server is.
-func (t *tally) said() start {
-	best := t.first
-	for _, o := range t.more {
-		if o.n > best.n || o.n == best.n && o.last < best.last {
+// majority returns the process that most reports name; among equals the one whose last report comes first. The last
+// report of it supplies the server's other attributes.
+func (v *votes) majority() process {
+	best := v.first
+	for _, o := range v.others {
+		if o.reports > best.reports || o.reports == best.reports && o.last < best.last {
 			best = o
 		}
 	}
 	return best
 }
 
-// kin are reports that share a table of sights, as those do that were gathered.
-type kin struct {
-	table   map[string]Sight
-	reports []int
-	heard   int             // of these, of routers that were not halted
-	apart   map[string]bool // servers that some of them see differently
+// sharedTable is a table of observations shared by several reports that were gathered together.
+type sharedTable struct {
+	table     map[string]Observation
+	reports   []int
+	awake     int             // how many of these are from routers that were not suspended
+	differing map[string]bool // servers that some of the reports observe differently
 }
 
-// add counts what some reports say of one server: so many of them, those heard, the last one.
-func (t *tally) add(s Sight, m Model, n, heard, last int) {
-	t.knows += n
-	if s.Drains {
-		t.drains += n
-	}
-	if s.Asked {
-		t.asked += heard
+// add counts n reports with the same observation of a server. awake of them are from routers that were not suspended,
+// and last is the index of the last one.
+func (v *votes) add(s Observation, m Model, n, awake, last int) {
+	v.listed += n
+	if s.Draining {
+		v.draining += n
+	}
+	if s.Probed {
+		v.probed += awake
 		if s.SilentMs == 0 {
-			t.answers += heard
+			v.answering += awake
 		} else if s.SilentMs >= m.LostMs {
-			t.silent += heard
+			v.silent += awake
 		}
 	}
-	t.named(s, n, last)
+	v.addProcess(s, n, last)
 }
 
-// tallied counts what reports say, server by server, and tells how many there are. Each table of sights is read once, from its beginning to its end, however
-// many reports share it: with a thousand routers and two thousand servers looking names up would be most of a decision.
-func tallied(reports []Report, m Model) (int, iter.Seq2[string, *tally]) {
+// countVotes counts the reports' observations by server, and returns the number of servers. Each shared table is
+// iterated once, however many reports share it: with a thousand routers and two thousand servers, lookups by name would
+// take most of a decision's time.
+func countVotes(reports []Report, m Model) (int, iter.Seq2[string, *votes]) {
 	most := 0
 	for _, r := range reports {
-		most = max(most, len(r.Sees), len(r.Table))
+		most = max(most, len(r.Observed), len(r.Table))
 	}
-	index, tallies := make(map[string]int, most), make([]tally, 0, most)
-	at := func(id string) *tally {
-		i, is := index[id]
-		if !is {
+	index, tallies := make(map[string]int, most), make([]votes, 0, most)
+	votesFor := func(id string) *votes {
+		i, ok := index[id]
+		if !ok {
 			i = len(tallies)
 			index[id] = i
-			tallies = append(tallies, tally{})
+			tallies = append(tallies, votes{})
 		}
 		return &tallies[i]
 	}
-	one := func(i int, id string, s Sight) {
-		heard := 1
+	addOne := func(i int, id string, s Observation) {
+		awake := 1
 		if reports[i].Stopped {
-			heard = 0
+			awake = 0
 		}
-		at(id).add(s, m, 1, heard, i)
+		votesFor(id).add(s, m, 1, awake, i)
 	}
-	var all []*kin
-	known := map[uintptr]*kin{}
+	var tables []*sharedTable
+	byPointer := map[uintptr]*sharedTable{}
 	for i, r := range reports {
 		if len(r.Table) == 0 {
-			for id, s := range r.Sees {
-				one(i, id, s)
+			for id, s := range r.Observed {
+				addOne(i, id, s)
 			}
 			continue
 		}
 		p := reflect.ValueOf(r.Table).Pointer()
-		k := known[p]
-		if k == nil {
-			k = &kin{table: r.Table, apart: map[string]bool{}}
-			known[p] = k
-			all = append(all, k)
+		shared := byPointer[p]
+		if shared == nil {
+			shared = &sharedTable{table: r.Table, differing: map[string]bool{}}
+			byPointer[p] = shared
+			tables = append(tables, shared)
 		}
-		if k.reports = append(k.reports, i); !r.Stopped {
-			k.heard++
+		if shared.reports = append(shared.reports, i); !r.Stopped {
+			shared.awake++
 		}
-		for id := range r.Sees {
-			k.apart[id] = true
+		for id := range r.Observed {
+			shared.differing[id] = true
 		}
-		for _, id := range r.Lacks {
-			k.apart[id] = true
+		for _, id := range r.Absent {
+			shared.differing[id] = true
 		}
 	}
-	for _, k := range all {
-		for id, s := range k.table {
-			if !k.apart[id] {
-				at(id).add(s, m, len(k.reports), k.heard, k.reports[len(k.reports)-1])
+	for _, shared := range tables {
+		for id, s := range shared.table {
+			if !shared.differing[id] {
+				votesFor(id).add(s, m, len(shared.reports), shared.awake, shared.reports[len(shared.reports)-1])
 			}
 		}
-		for id := range k.apart {
-			for _, i := range k.reports {
-				if s, is := reports[i].Sight(id); is {
-					one(i, id, s)
+		for id := range shared.differing {
+			for _, i := range shared.reports {
+				if s, ok := reports[i].Observation(id); ok {
+					addOne(i, id, s)
 				}
 			}
 		}
 	}
-	return len(tallies), func(yield func(string, *tally) bool) {
-		for id, at := range index {
-			if !yield(id, &tallies[at]) {
+	return len(tallies), func(yield func(string, *votes) bool) {
+		for id, i := range index {
+			if !yield(id, &tallies[i]) {
 				return
 			}
 		}
 	}
 }
 
-// stock is what the servers are that a budget is counted against; it stays the same through a step.
-type stock struct {
+// fleetTotals are the totals that bounds refer to. They stay the same during a step.
+type fleetTotals struct {
 	site, role map[string]int
 	weight     float64
 }
 
-func (f facts) stock() *stock {
-	s := &stock{site: map[string]int{}, role: map[string]int{}}
-	for _, one := range f.servers {
-		s.site[one.Site]++
-		s.role[one.Role]++
-		s.weight += one.Weight
+func (f fleetStatus) totals() *fleetTotals {
+	s := &fleetTotals{site: map[string]int{}, role: map[string]int{}}
+	for _, server := range f.servers {
+		s.site[server.Site]++
+		s.role[server.Role]++
+		s.weight += server.Weight
 	}
 	return s
 }
 
-// gone is what is out at one moment of a step, by permit or without.
-type gone struct {
+// outCounts counts the members out at one moment of a step, with a permit or without.
+type outCounts struct {
 	servers, routers int
 	site, role       map[string]int
-	weight           float64 // of servers
+	weight           float64 // of the servers
 }
 
-// gone counts what is out, once until the next permit is given.
-func (w *work) gone() *gone {
-	if w.away != nil {
-		return w.away
-	}
-	g := &gone{site: map[string]int{}, role: map[string]int{}}
-	add := func(thing, site, role string, counts bool) {
-		kind, id := Split(thing)
+// outOfService counts the members out. The result is cached until the next permit is granted.
+func (d *draft) outOfService() *outCounts {
+	if d.outCache != nil {
+		return d.outCache
+	}
+	counts := &outCounts{site: map[string]int{}, role: map[string]int{}}
+	add := func(member, site, role string, counted bool) {
+		kind, id := Split(member)
 		if kind == Server {
-			g.weight += w.f.servers[id].Weight
+			counts.weight += d.fleet.servers[id].Weight
 		}
 		switch {
-		case !counts:
+		case !counted:
 		case kind == Server:
-			g.servers++
-			g.site[site]++
-			g.role[role]++
+			counts.servers++
+			counts.site[site]++
+			counts.role[role]++
 		default:
-			g.routers++
+			counts.routers++
 		}
 	}
-	for thing, p := range w.Permits {
-		add(thing, p.Site, p.Role, w.broken != CountsOwn || p.For != ByHand)
+	for member, p := range d.Permits {
+		add(member, p.Site, p.Role, d.broken != CountsReleasesOnly || p.For != ByHand)
 	}
-	for thing, l := range w.Lost {
-		if _, both := w.Permits[thing]; !both {
-			add(thing, l.Site, l.Role, w.broken != CountsOwn)
+	for member, l := range d.Lost {
+		if _, permitted := d.Permits[member]; !permitted {
+			add(member, l.Site, l.Role, d.broken != CountsReleasesOnly)
 		}
 	}
-	w.away = g
-	return g
+	d.outCache = counts
+	return counts
 }
 
-// keeping is the weight of those that keep their places beside a thing, and are not counted as out.
-func (w *work) keeping(beside string) (weight float64) {
-	for thing := range w.Leaving {
-		_, out := w.Permits[thing]
-		if _, lost := w.Lost[thing]; !out && !lost && w.keeps(thing, beside) {
-			weight += w.f.servers[name(thing)].Weight
+// reservedWeight is the weight of the leaving servers that reserve a place against another member and are not counted as
+// out.
+func (d *draft) reservedWeight(other string) (weight float64) {
+	for member := range d.Leaving {
+		_, out := d.Permits[member]
+		if _, lost := d.Lost[member]; !out && !lost && d.reserves(member, other) {
+			weight += d.fleet.servers[memberName(member)].Weight
 		}
 	}
 	return weight
 }
 
-// least is the oldest state that any router follows which is alive or goes on serving; below all where one has not reported.
-func (w *work) least() int64 {
-	if w.follows != nil {
-		return *w.follows
+// oldestSeq returns the oldest state that a router follows which is live or serves without its lease. It is the lowest
+// number if one of them has not reported.
+func (d *draft) oldestSeq() int64 {
+	if d.oldestCache != nil {
+		return *d.oldestCache
 	}
 	seq := int64(math.MaxInt64)
-	for name, r := range w.v.Routers {
-		if !r.Live && !r.Keeps {
+	for name, r := range d.view.Routers {
+		if !r.Live && !r.ServesWithoutLease {
 			continue
 		}
-		if report := w.f.reported[name]; report.Boot == r.Boot {
-			seq = min(seq, report.Seen)
+		if report := d.fleet.lastReports[name]; report.Boot == r.Boot {
+			seq = min(seq, report.StateSeq)
 		} else {
 			seq = math.MinInt64
 		}
 	}
-	w.follows = &seq
+	d.oldestCache = &seq
 	return seq
 }
