--- a/cmd/fleetd/disk_test.go
+++ b/cmd/fleetd/disk_test.go
@@ -46,16 +46,16 @@
 	files, err := disklog.OS(folder)
 	c.Assert(err, qt.IsNil)
 	_, err = partition.Open(partition.Config{
-		Self:     consensus.Member{Address: self.Address, Node: self.Node},
-		Founders: []consensus.Member{self},
-		First:    true,
-		Voters:   1,
-		Files:    files,
-		Sizes:    disklog.Options{SegmentBytes: 64 << 10},
-		Client:   rpc.NewClient(network.System{}),
-		Log:      zerolog.Nop(),
-		Machines: map[partition.Group]partition.StateMachine{0: still{}, 1: still{}, 2: still{}},
-		Controls: func() []string { return nil },
+		Self:      consensus.Member{Address: self.Address, Node: self.Node},
+		Founders:  []consensus.Member{self},
+		Bootstrap: true,
+		Voters:    1,
+		Files:     files,
+		Sizes:     disklog.Options{SegmentBytes: 64 << 10},
+		Client:    rpc.NewClient(network.System{}),
+		Log:       zerolog.Nop(),
+		Machines:  map[partition.Group]partition.StateMachine{0: still{}, 1: still{}, 2: still{}},
+		Controls:  func() []string { return nil },
 	})
 	c.Assert(err, qt.IsNil)
 	before := contentsOf(c, folder)
--- a/internal/control/member/leave.go
+++ b/internal/control/member/leave.go
@@ -31,7 +31,7 @@
 
 // ending lists what this member, told to end, still waits for.
 func (m *Member) ending() []status.Wait {
-	holds := m.host.Ending()
+	holds := m.host.LeaveHolds()
 	var waits []status.Wait
 	for _, number := range slices.Sorted(maps.Keys(holds)) {
 		why := holds[number].String()
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -129,17 +129,17 @@
 		m.coordination = newCoordinator(m)
 	}
 	config := partition.Config{
-		Self:     consensus.Member{Address: m.address, Node: m.settings.Node},
-		Founders: m.founders(),
-		First:    m.settings.FirstRun,
-		Voters:   m.voters(),
-		Files:    files,
-		Sizes:    m.sizes(),
-		Client:   m.client,
-		Log:      m.log,
-		Machines: m.machines(),
-		Controls: m.members.ControlAddresses,
-		Faults:   m.faults.Partitions,
+		Self:      consensus.Member{Address: m.address, Node: m.settings.Node},
+		Founders:  m.founders(),
+		Bootstrap: m.settings.FirstRun,
+		Voters:    m.voters(),
+		Files:     files,
+		Sizes:     m.sizes(),
+		Client:    m.client,
+		Log:       m.log,
+		Machines:  m.machines(),
+		Controls:  m.members.ControlAddresses,
+		Faults:    m.faults.Partitions,
 	}
 	for {
 		m.host, err = partition.Open(config)
@@ -262,7 +262,7 @@
 // isLed tells whether, within the limit, this member heard of the leaders of all partitions and is heard itself: by a
 // majority, if it leads, or by another member that is led.
 func (m *Member) isLed(limit time.Duration) bool {
-	return m.host.Led(limit) && (m.host.Leads() || m.members.InContact(leaderless))
+	return m.host.HasLeaders(limit) && (m.host.Leads() || m.members.InContact(leaderless))
 }
 
 // standing is what stands behind this member's copy of the fleet's state.
--- a/internal/control/member/recall.go
+++ b/internal/control/member/recall.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		panic(err) // plain structs can always be encoded
 	}
-	m.host.Keep(note)
+	m.host.SetNote(note)
 }
 
 // remember takes the workers that the disk knows. Those that are gone by now lapse like any other.
--- a/internal/control/member/remains.go
+++ b/internal/control/member/remains.go
@@ -15,7 +15,7 @@
 // Remains is what the disk of a stopped control member holds, for operators who lost a majority of the disks. Use
 // OpenRemains, then Close.
 type Remains struct {
-	held     *partition.Remains
+	held     *partition.OfflineDisk
 	settings *settingsMachine
 }
 
@@ -28,7 +28,7 @@
 		now := func() time.Duration { return 0 } // nothing lapses while the member is stopped
 		machines[firstCoordinationGroup+number] = newCoordinationMachine(now, zerolog.Nop(), coordination.Faults{})
 	}
-	held, err := partition.OpenRemains(files, machines)
+	held, err := partition.OpenOfflineDisk(files, machines)
 	if err != nil {
 		return nil, err
 	}
@@ -43,12 +43,12 @@
 func (r *Remains) Self() consensus.Member { return r.held.Self() }
 
 // Groups lists what it holds of each partition.
-func (r *Remains) Groups() []partition.GroupRemains { return r.held.Groups() }
+func (r *Remains) Groups() []partition.OfflineGroup { return r.held.Groups() }
 
 // Name says what a partition holds.
 func (r *Remains) Name(number partition.Group) string { return partitionName(number) }
 
-// Restore makes the disk the only member of all partitions, with all that it holds; see partition.Remains. It gives the
+// Restore makes the disk the only member of all partitions, with all that it holds; see partition.OfflineDisk. It gives the
 // configuration in force from then on.
 func (r *Remains) Restore() (status.Configuration, error) {
 	if err := r.held.Restore(); err != nil {
--- a/internal/control/partition/answer_test.go
+++ b/internal/control/partition/answer_test.go
@@ -15,25 +15,25 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// nothing is a state machine without a state.
-type nothing struct{}
+// statelessMachine is a state machine without a state.
+type statelessMachine struct{}
 
-func (nothing) Apply(uint64, []byte) any { return nil }
-func (nothing) Snapshot() []byte         { return nil }
-func (nothing) Restore([]byte) error     { return nil }
+func (statelessMachine) Apply(uint64, []byte) any { return nil }
+func (statelessMachine) Snapshot() []byte         { return nil }
+func (statelessMachine) Restore([]byte) error     { return nil }
 
 // openFollower opens a member of one partition that another founder is to lead.
 func openFollower(c *qt.C, self, leader consensus.Member) *Host {
 	host, err := Open(Config{
-		Self:     consensus.Member{Address: self.Address, Node: self.Node},
-		Founders: []consensus.Member{self, leader},
-		First:    true,
-		Voters:   2,
-		Files:    memdisk.New(),
-		Client:   rpc.NewClient(network.System{}),
-		Log:      zerolog.Nop(),
-		Machines: map[Group]StateMachine{0: nothing{}},
-		Controls: func() []string { return nil },
+		Self:      consensus.Member{Address: self.Address, Node: self.Node},
+		Founders:  []consensus.Member{self, leader},
+		Bootstrap: true,
+		Voters:    2,
+		Files:     memdisk.New(),
+		Client:    rpc.NewClient(network.System{}),
+		Log:       zerolog.Nop(),
+		Machines:  map[Group]StateMachine{0: statelessMachine{}},
+		Controls:  func() []string { return nil },
 	})
 	c.Assert(err, qt.IsNil)
 	return host
@@ -44,7 +44,7 @@
 	return consensus.Member{ID: FounderID(address), Address: address, Node: address}
 }
 
-func TestAnswersRideBackOnTheCall(t *testing.T) {
+func TestStepAnswerCarriesMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		// Given a member that follows a leader
@@ -52,11 +52,11 @@
 		host := openFollower(c, self, leader)
 		ctx, cancel := context.WithCancel(context.Background())
 		go host.Run(ctx)
-		beat := Item{Message: consensus.Message{Kind: consensus.MessageHeartbeat, From: leader.ID, To: self.ID, Term: 2}}
-		call := &Step{Items: []Item{beat}, From: leader.Address}
+		heartbeat := Item{Message: consensus.Message{Kind: consensus.MessageHeartbeat, From: leader.ID, To: self.ID, Term: 2}}
+		call := &Step{Items: []Item{heartbeat}, From: leader.Address}
 		_, err := host.answerStep(ctx, call) // its answer waits for the new term to be on disk
 		c.Assert(err, qt.IsNil)
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 		// when the leader's next heartbeat comes
 		answer, err := host.answerStep(ctx, call)
 		c.Assert(err, qt.IsNil)
@@ -64,7 +64,7 @@
 		c.Assert(answer.Items, qt.HasLen, 1)
 		c.Assert(answer.Items[0].Message.Kind, qt.Equals, consensus.MessageHeartbeatAnswer)
 		// A caller that does not say where it listens gets an answer without messages.
-		answer, err = host.answerStep(ctx, &Step{Items: []Item{beat}})
+		answer, err = host.answerStep(ctx, &Step{Items: []Item{heartbeat}})
 		c.Assert(err, qt.IsNil)
 		c.Assert(answer.Items, qt.HasLen, 0)
 		// Once the member has ended, its callers are told so at once.
--- a/internal/control/partition/apply.go
+++ b/internal/control/partition/apply.go
@@ -5,7 +5,7 @@
 // applyEarly applies what the disk knows to be committed: a member that starts can tell what was in force while there is
 // no leader yet.
 func (g *group) applyEarly(disk *diskGroup) {
-	g.noted = disk.committed
+	g.committedOnDisk = disk.committed
 	for _, entry := range disk.entries {
 		if entry.Index <= disk.snapshot.Index || entry.Index > disk.committed {
 			continue
@@ -13,7 +13,7 @@
 		if entry.Kind == consensus.EntryCommand {
 			g.machine.Apply(uint64(entry.Index), entry.Data)
 		}
-		g.early = entry.Index
+		g.appliedEarly = entry.Index
 	}
 }
 
@@ -24,27 +24,27 @@
 		return
 	}
 	g.applied = snapshot.Index
-	g.early = 0
-	g.entries, g.bytes = 0, 0
+	g.appliedEarly = 0
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 }
 
 // apply applies an entry and answers who proposed it.
 func (h *Host) apply(g *group, entry consensus.Entry) {
 	var value any
-	if entry.Kind == consensus.EntryCommand && entry.Index > g.early {
+	if entry.Kind == consensus.EntryCommand && entry.Index > g.appliedEarly {
 		value = g.machine.Apply(uint64(entry.Index), entry.Data)
 	}
-	g.changed = g.changed || entry.Kind == consensus.EntryMembership
+	g.membershipChanged = g.membershipChanged || entry.Kind == consensus.EntryMembership
 	g.applied = entry.Index
-	g.entries++
-	g.bytes += len(entry.Data)
-	waiting := g.waiting[entry.Index]
+	g.entriesSinceSnapshot++
+	g.bytesSinceSnapshot += len(entry.Data)
+	waiting := g.proposals[entry.Index]
 	if waiting == nil {
 		return
 	}
-	delete(g.waiting, entry.Index)
+	delete(g.proposals, entry.Index)
 	if waiting.term != entry.Term {
-		waiting.done <- result{err: ErrUnclear.New("another leader took over")}
+		waiting.done <- result{err: ErrOutcomeUnknown.New("another leader took over")}
 		return
 	}
 	waiting.done <- result{value: value}
@@ -52,7 +52,7 @@
 
 // compact takes a snapshot once the log has grown.
 func (h *Host) compact(g *group) {
-	if g.entries < g.compactAfter && g.bytes < compactBytes {
+	if g.entriesSinceSnapshot < g.compactAfter && g.bytesSinceSnapshot < compactBytes {
 		return
 	}
 	snapshot, err := g.node.SnapshotAt(g.applied, g.machine.Snapshot())
@@ -60,7 +60,7 @@
 		h.config.Log.Warn().Err(err).Msg("no snapshot taken")
 		return
 	}
-	g.entries, g.bytes = 0, 0
+	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	h.writer.compact(g.number, snapshot, func() {
 		if err := g.node.Compact(snapshot); err != nil {
 			h.config.Log.Warn().Err(err).Msg("log not compacted")
--- a/internal/control/partition/disk.go
+++ b/internal/control/partition/disk.go
@@ -44,57 +44,57 @@
 	committed consensus.Index
 }
 
-// recovered folds the records found at the start.
-func recovered(records []disklog.Record) (*diskState, error) {
+// replayRecords folds the records found at the start.
+func replayRecords(records []disklog.Record) (*diskState, error) {
 	state := &diskState{groups: map[Group]*diskGroup{}}
 	for _, record := range records {
-		if err := state.take(record); err != nil {
+		if err := state.applyRecord(record); err != nil {
 			return nil, err
 		}
 	}
 	return state, nil
 }
 
-// take folds one record.
-func (s *diskState) take(record disklog.Record) error {
+// applyRecord folds one record.
+func (s *diskState) applyRecord(record disklog.Record) error {
 	if record.Kind == kindIdentity {
 		return Error.Wrap(cbor.Unmarshal(record.Data, &s.identity))
 	}
 	if record.Kind == kindNote {
 		return Error.Wrap(cbor.Unmarshal(record.Data, &s.note))
 	}
-	held := s.group(Group(record.Group))
+	stored := s.group(Group(record.Group))
 	switch record.Kind {
 	case kindHardState:
-		held.hardState = consensus.HardState{}
-		return Error.Wrap(cbor.Unmarshal(record.Data, &held.hardState))
+		stored.hardState = consensus.HardState{}
+		return Error.Wrap(cbor.Unmarshal(record.Data, &stored.hardState))
 	case kindSnapshot, kindCompacted:
 		var snapshot consensus.Snapshot
 		if err := cbor.Unmarshal(record.Data, &snapshot); err != nil {
 			return Error.Wrap(err)
 		}
-		held.replace(snapshot, record.Kind == kindCompacted)
+		stored.replace(snapshot, record.Kind == kindCompacted)
 		return nil
 	case kindCommitted:
-		return Error.Wrap(cbor.Unmarshal(record.Data, &held.committed))
+		return Error.Wrap(cbor.Unmarshal(record.Data, &stored.committed))
 	case kindEntry:
 		var entry consensus.Entry
 		if err := cbor.Unmarshal(record.Data, &entry); err != nil {
 			return Error.Wrap(err)
 		}
-		held.append(entry)
+		stored.append(entry)
 		return nil
 	}
 	return Error.New("the disk holds a record of kind %d: start the release that wrote it", record.Kind)
 }
 
 func (s *diskState) group(number Group) *diskGroup {
-	held := s.groups[number]
-	if held == nil {
-		held = &diskGroup{}
-		s.groups[number] = held
+	stored := s.groups[number]
+	if stored == nil {
+		stored = &diskGroup{}
+		s.groups[number] = stored
 	}
-	return held
+	return stored
 }
 
 // replace takes a snapshot; the entries after it stay where it is one of this very log.
@@ -120,10 +120,10 @@
 // records are the state as a checkpoint.
 func (s *diskState) records() []disklog.Record {
 	records := []disklog.Record{newRecord(identityGroup, kindIdentity, s.identity), newRecord(identityGroup, kindNote, s.note)}
-	for number, held := range s.groups {
-		records = append(records, newRecord(number, kindSnapshot, held.snapshot), newRecord(number, kindHardState, held.hardState),
-			newRecord(number, kindCommitted, held.committed))
-		for _, entry := range held.entries {
+	for number, stored := range s.groups {
+		records = append(records, newRecord(number, kindSnapshot, stored.snapshot), newRecord(number, kindHardState, stored.hardState),
+			newRecord(number, kindCommitted, stored.committed))
+		for _, entry := range stored.entries {
 			records = append(records, newRecord(number, kindEntry, entry))
 		}
 	}
@@ -148,11 +148,11 @@
 type writer struct {
 	log   *disklog.Log
 	state *diskState // what is on disk
-	// startNote is the note that the disk held at the start.
-	startNote []byte
-	lines     zerolog.Logger
-	post      func(func())
-	failed    func(bool) // told when the disk begins and ceases to refuse
+	// initialNote is the note that the disk held at the start.
+	initialNote   []byte
+	logger        zerolog.Logger
+	post          func(func())
+	onDiskFailure func(bool) // told when the disk begins and ceases to refuse
 
 	mu    sync.Mutex
 	queue []batch
@@ -161,7 +161,7 @@
 }
 
 func newWriter(log *disklog.Log, state *diskState, lines zerolog.Logger, post func(func())) *writer {
-	return &writer{log: log, state: state, startNote: state.note, lines: lines, post: post, wake: make(chan struct{}, 1)}
+	return &writer{log: log, state: state, initialNote: state.note, logger: lines, post: post, wake: make(chan struct{}, 1)}
 }
 
 // add queues a node's batch.
@@ -176,25 +176,25 @@
 	for _, entry := range persist.Entries {
 		records = append(records, newRecord(number, kindEntry, entry))
 	}
-	w.push(batch{records: records, done: done})
+	w.enqueue(batch{records: records, done: done})
 }
 
 // compact queues a snapshot of a partition's own log.
 func (w *writer) compact(number Group, snapshot consensus.Snapshot, done func()) {
-	w.push(batch{records: []disklog.Record{newRecord(number, kindCompacted, snapshot)}, done: done})
+	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCompacted, snapshot)}, done: done})
 }
 
-// committed queues the index up to which a partition's log is known to be committed. Nothing waits for it.
-func (w *writer) committed(number Group, index consensus.Index) {
-	w.push(batch{records: []disklog.Record{newRecord(number, kindCommitted, index)}, done: func() {}})
+// writeCommitted queues the index up to which a partition's log is known to be writeCommitted. Nothing waits for it.
+func (w *writer) writeCommitted(number Group, index consensus.Index) {
+	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCommitted, index)}, done: func() {}})
 }
 
-// note queues the bytes that the host's user keeps.
-func (w *writer) note(note []byte) {
-	w.push(batch{records: []disklog.Record{newRecord(identityGroup, kindNote, note)}, done: func() {}})
+// writeNote queues the bytes that the host's user keeps.
+func (w *writer) writeNote(note []byte) {
+	w.enqueue(batch{records: []disklog.Record{newRecord(identityGroup, kindNote, note)}, done: func() {}})
 }
 
-func (w *writer) push(b batch) {
+func (w *writer) enqueue(b batch) {
 	w.mu.Lock()
 	w.queue = append(w.queue, b)
 	w.mu.Unlock()
@@ -204,8 +204,8 @@
 	}
 }
 
-// take takes all that is queued, to be written with one sync.
-func (w *writer) take() []batch {
+// takeQueue takes all that is queued, to be written with one sync.
+func (w *writer) takeQueue() []batch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	taken := w.queue
@@ -215,9 +215,9 @@
 
 // run writes until the context ends.
 func (w *writer) run(ctx context.Context) {
-	w.notePosition()
+	w.recordStats()
 	for {
-		for _, group := range together(w.take()) {
+		for _, group := range groupBatches(w.takeQueue()) {
 			if !w.persist(ctx, group) {
 				return
 			}
@@ -236,18 +236,18 @@
 // groupBytes bounds what is written with one sync.
 const groupBytes = 2 << 20
 
-// together cuts batches into groups that are written with one sync each.
-func together(batches []batch) [][]batch {
+// groupBatches cuts batches into groups that are written with one sync each.
+func groupBatches(batches []batch) [][]batch {
 	var groups [][]batch
 	size := groupBytes
 	for _, b := range batches {
-		bytes := 0
+		batchBytes := 0
 		for _, record := range b.records {
-			bytes += len(record.Data)
+			batchBytes += len(record.Data)
 		}
-		if size += bytes; size > groupBytes {
+		if size += batchBytes; size > groupBytes {
 			groups = append(groups, nil)
-			size = bytes
+			size = batchBytes
 		}
 		groups[len(groups)-1] = append(groups[len(groups)-1], b)
 	}
@@ -260,16 +260,16 @@
 	for _, b := range group {
 		records = append(records, b.records...)
 	}
-	refused := false
+	failing := false
 	for {
 		err := w.write(records)
 		if err == nil {
 			break
 		}
-		if !refused {
-			refused = true
-			w.lines.Warn().Err(err).Msg("the disk refuses writes")
-			w.tellFailed(true)
+		if !failing {
+			failing = true
+			w.logger.Warn().Err(err).Msg("the disk refuses writes")
+			w.notifyDiskFailure(true)
 		}
 		select {
 		case <-ctx.Done():
@@ -277,15 +277,15 @@
 		case <-time.After(retryInterval):
 		}
 	}
-	if refused {
-		w.tellFailed(false)
+	if failing {
+		w.notifyDiskFailure(false)
 	}
 	return true
 }
 
-func (w *writer) tellFailed(failed bool) {
-	if w.failed != nil {
-		w.post(func() { w.failed(failed) })
+func (w *writer) notifyDiskFailure(failed bool) {
+	if w.onDiskFailure != nil {
+		w.post(func() { w.onDiskFailure(failed) })
 	}
 }
 
@@ -304,9 +304,9 @@
 	if err != nil {
 		return err
 	}
-	w.notePosition()
+	w.recordStats()
 	for _, record := range records {
-		if err := w.state.take(record); err != nil {
+		if err := w.state.applyRecord(record); err != nil {
 			return err
 		}
 	}
@@ -315,7 +315,7 @@
 
 // checkpointWith writes records that are too large to stand behind a checkpoint as a part of one.
 func (w *writer) checkpointWith(records []disklog.Record) error {
-	next, err := recovered(append(w.state.records(), records...))
+	next, err := replayRecords(append(w.state.records(), records...))
 	if err != nil {
 		return err
 	}
@@ -323,6 +323,6 @@
 		return err
 	}
 	w.state = next
-	w.notePosition()
+	w.recordStats()
 	return nil
 }
--- a/internal/control/partition/host.go
+++ b/internal/control/partition/host.go
@@ -19,40 +19,40 @@
 // Error is the class of this package's failures.
 var Error = errs.Class("partition")
 
-// ErrUnclear says that it is not known what becomes of a command: it may be committed later.
-var ErrUnclear = errs.Class("partition: it is not known what becomes of the command; send it again")
+// ErrOutcomeUnknown says that it is not known what becomes of a command: it may be committed later.
+var ErrOutcomeUnknown = errs.Class("partition: it is not known what becomes of the command; send it again")
 
 // Group numbers a partition.
 type Group uint32
 
 const (
-	// heartbeat and electionTimeout are those of all partitions. A leader's loss is made up for within twice the
+	// heartbeatInterval and electionTimeout are those of all partitions. A leader's loss is made up for within twice the
 	// election timeout, well inside the time in which operators' orders are to be acknowledged.
-	heartbeat       = 150 * time.Millisecond
-	electionTimeout = 600 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	electionTimeout   = 600 * time.Millisecond
 	// compactEntries and compactBytes are after how much log a snapshot is taken.
 	compactEntries = 256
 	compactBytes   = 1 << 20
 	// compactMargin is how many entries are kept for members that lag a little.
 	compactMargin = 32
-	// dutyInterval is how often a leader looks at its membership.
-	dutyInterval = 250 * time.Millisecond
+	// maintenanceInterval is how often a leader looks at its membership.
+	maintenanceInterval = 250 * time.Millisecond
 )
 
-// neverLed is when a member that has known no leader yet knew one.
-const neverLed = time.Duration(-1 << 62)
+// noLeaderYet is when a member that has known no leader yet knew one.
+const noLeaderYet = time.Duration(-1 << 62)
 
 // Config sets up a host.
 type Config struct {
-	Self     consensus.Member // its ID is 0 until it was read from the disk or drawn
-	Founders []consensus.Member
-	First    bool // the whole system starts for the first time
-	Voters   int  // wanted in each partition
-	Files    disklog.FileSystem
-	Sizes    disklog.Options // of the log on it; the zero value is the defaults
-	Client   *rpc.Client
-	Log      zerolog.Logger
-	Machines map[Group]StateMachine
+	Self      consensus.Member // its ID is 0 until it was read from the disk or drawn
+	Founders  []consensus.Member
+	Bootstrap bool // the whole system starts for the first time
+	Voters    int  // wanted in each partition
+	Files     disklog.FileSystem
+	Sizes     disklog.Options // of the log on it; the zero value is the defaults
+	Client    *rpc.Client
+	Log       zerolog.Logger
+	Machines  map[Group]StateMachine
 	// Controls lists the inside addresses of all control members that are known.
 	Controls func() []string
 	// OnLead is told when the member becomes or stops being the leader of a partition. It must not block.
@@ -72,55 +72,55 @@
 
 // Host runs the partitions. Use Open, then Run.
 type Host struct {
-	config Config
-	began  time.Time
-	events chan func()
-	ended  chan struct{} // closed once Run has ended
-	writer *writer
+	config    Config
+	startedAt time.Time
+	events    chan func()
+	ended     chan struct{} // closed once Run has ended
+	writer    *writer
 	senders
-	groups  map[Group]*group
-	joining map[consensus.MemberID]joiner
-	leaving map[consensus.MemberID]leaver
-	stopped bool
-	ending  ending
-	ledAt   atomic.Int64 // as time.Duration: all partitions had a leader
-	voter   atomic.Bool  // in all partitions
-	leading atomic.Bool  // one of the partitions at least
+	groups         map[Group]*group
+	joining        map[consensus.MemberID]joinRequest
+	leaving        map[consensus.MemberID]leaveNotice
+	leaveStarted   bool
+	leaveState     leaveState
+	leadersKnownAt atomic.Int64 // as time.Duration: all partitions had a leader
+	voter          atomic.Bool  // in all partitions
+	leading        atomic.Bool  // one of the partitions at least
 }
 
-// joiner is a machine that asked to join, and when.
-type joiner struct {
+// joinRequest is a machine that asked to join, and when.
+type joinRequest struct {
 	member consensus.Member
 	at     time.Duration
 }
 
-// leaver is when a member said that it ends, for the first and for the last time.
-type leaver struct{ first, last time.Duration }
+// leaveNotice is when a member said that it ends, for the first and for the last time.
+type leaveNotice struct{ first, last time.Duration }
 
 // group is this member's part in one partition.
 type group struct {
-	number   Group
-	node     *consensus.Node
-	machine  StateMachine
-	waiting  map[consensus.Index]*proposal
-	held     []heldMessages
-	leads    bool
-	ledSince time.Duration
-	applied  consensus.Index
-	early    consensus.Index // applied at the start from the disk's own word, before the others confirmed it
-	noted    consensus.Index // the commit index that the disk was last told
-	settled  consensus.Index // the commit index at the latest look at the membership
-	changed  bool            // a change of the membership was committed since
-	// ofApplications says that machine is an ApplicationMachine, and compactAfter after how many entries it is compacted.
-	ofApplications bool
-	compactAfter   int
+	number            Group
+	node              *consensus.Node
+	machine           StateMachine
+	proposals         map[consensus.Index]*proposal
+	awaitingPersist   []pendingMessage
+	wasLeader         bool
+	leaderSince       time.Duration
+	applied           consensus.Index
+	appliedEarly      consensus.Index // applied at the start from the disk's own word, before the others confirmed it
+	committedOnDisk   consensus.Index // the commit index that the disk was last told
+	reviewedCommit    consensus.Index // the commit index at the latest look at the membership
+	membershipChanged bool            // a change of the membership was committed since
+	// isApplication says that machine is an ApplicationMachine, and compactAfter after how many entries it is compacted.
+	isApplication bool
+	compactAfter  int
 	// since the latest snapshot
-	entries int
-	bytes   int
+	entriesSinceSnapshot int
+	bytesSinceSnapshot   int
 }
 
-// heldMessages wait for a batch to be on disk.
-type heldMessages struct {
+// pendingMessage wait for a batch to be on disk.
+type pendingMessage struct {
 	after   uint64
 	message consensus.Outgoing
 }
@@ -132,21 +132,21 @@
 		return nil, err
 	}
 	h := &Host{
-		config:  config,
-		began:   time.Now(),
-		events:  make(chan func(), 256),
-		ended:   make(chan struct{}),
-		groups:  map[Group]*group{},
-		joining: map[consensus.MemberID]joiner{},
-		leaving: map[consensus.MemberID]leaver{},
+		config:    config,
+		startedAt: time.Now(),
+		events:    make(chan func(), 256),
+		ended:     make(chan struct{}),
+		groups:    map[Group]*group{},
+		joining:   map[consensus.MemberID]joinRequest{},
+		leaving:   map[consensus.MemberID]leaveNotice{},
 	}
-	h.ledAt.Store(int64(neverLed))
-	state, err := recovered(records)
+	h.leadersKnownAt.Store(int64(noLeaderYet))
+	state, err := replayRecords(records)
 	if err != nil {
 		return nil, err
 	}
 	h.writer = newWriter(log, state, config.Log, h.post)
-	if err := h.identify(state); err != nil {
+	if err := h.assignIdentity(state); err != nil {
 		return nil, err
 	}
 	for number, machine := range config.Machines {
@@ -155,14 +155,14 @@
 		}
 	}
 	h.senders = senders{
-		client:  config.Client,
-		log:     config.Log,
-		self:    h.config.Self.Address,
-		answers: func(items []Item) { h.post(func() { h.step(items) }) },
-		peers:   map[string]*sender{},
+		client:   config.Client,
+		log:      config.Log,
+		self:     h.config.Self.Address,
+		onAnswer: func(items []Item) { h.post(func() { h.step(items) }) },
+		peers:    map[string]*sender{},
 	}
-	h.writer.failed = h.diskFailed
-	h.observe()
+	h.writer.onDiskFailure = h.diskFailed
+	h.publishRoles()
 	return h, nil
 }
 
@@ -195,7 +195,7 @@
 	}
 	settings := consensus.Config{
 		Self:            h.config.Self.ID,
-		Heartbeat:       heartbeat,
+		Heartbeat:       heartbeatInterval,
 		ElectionTimeout: electionTimeout,
 		Seed:            uint64(h.config.Self.ID) ^ uint64(number),
 		CompactMargin:   compactMargin,
@@ -205,16 +205,16 @@
 		return err
 	}
 	g := &group{
-		number:  number,
-		node:    node,
-		machine: machine,
-		waiting: map[consensus.Index]*proposal{},
-		applied: restored.Snapshot.Index,
+		number:    number,
+		node:      node,
+		machine:   machine,
+		proposals: map[consensus.Index]*proposal{},
+		applied:   restored.Snapshot.Index,
 
 		compactAfter: compactEntries,
 	}
-	if applications, is := machine.(ApplicationMachine); is {
-		g.ofApplications, g.compactAfter = true, applications.SnapshotEntries()
+	if application, ok := machine.(ApplicationMachine); ok {
+		g.isApplication, g.compactAfter = true, application.SnapshotEntries()
 	}
 	h.groups[number] = g
 	if disk != nil {
@@ -224,12 +224,12 @@
 }
 
 // Note is what Keep was given last, as the disk has it.
-func (h *Host) Note() []byte { return h.writer.startNote }
+func (h *Host) Note() []byte { return h.writer.initialNote }
 
-// Keep has bytes kept on the disk beside the partitions, some time soon.
-func (h *Host) Keep(note []byte) { h.writer.note(note) }
+// SetNote has bytes kept on the disk beside the partitions, some time soon.
+func (h *Host) SetNote(note []byte) { h.writer.writeNote(note) }
 
-func (h *Host) now() time.Duration { return time.Since(h.began) }
+func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
 // post has the host's goroutine run an event; after Run has ended it does nothing.
 func (h *Host) post(event func()) {
@@ -243,8 +243,8 @@
 func (h *Host) Run(ctx context.Context) {
 	defer close(h.ended)
 	go h.writer.run(ctx)
-	duties := time.NewTicker(dutyInterval)
-	defer duties.Stop()
+	maintenance := time.NewTicker(maintenanceInterval)
+	defer maintenance.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -254,24 +254,24 @@
 			return
 		case event := <-h.events:
 			event()
-			h.drain()
+			h.drainEvents()
 		case <-timer.C:
 			h.tick()
-		case <-duties.C:
-			h.duties(ctx)
+		case <-maintenance.C:
+			h.maintain(ctx)
 		}
 		h.flush()
-		h.follow()
+		h.continueReconfigure()
 	}
 }
 
-// follow takes the next step of memberships of which one was just committed.
-func (h *Host) follow() {
+// continueReconfigure takes the next step of memberships of which one was just committed.
+func (h *Host) continueReconfigure() {
 	for _, g := range h.groups {
-		if !g.changed {
+		if !g.membershipChanged {
 			continue
 		}
-		g.changed = false
+		g.membershipChanged = false
 		if status := g.node.Status(); status.Role == consensus.RoleLeader {
 			h.reconfigure(g, status)
 			h.flush()
@@ -279,8 +279,8 @@
 	}
 }
 
-// drain runs the events that are there already, so that what they bring travels and is written together.
-func (h *Host) drain() {
+// drainEvents runs the events that are there already, so that what they bring travels and is written together.
+func (h *Host) drainEvents() {
 	for range cap(h.events) {
 		select {
 		case event := <-h.events:
@@ -311,19 +311,19 @@
 // flush carries out what the nodes want done.
 func (h *Host) flush() {
 	for _, g := range h.groups {
-		h.carryOut(g, g.node.TakeOutput())
-		h.noteLead(g)
+		h.handleOutput(g, g.node.TakeOutput())
+		h.reportLeadership(g)
 	}
-	h.observe()
+	h.publishRoles()
 	h.senders.flush()
 }
 
-// observe notes for others how this member stands to its partitions.
-func (h *Host) observe() {
+// publishRoles notes for others how this member stands to its partitions.
+func (h *Host) publishRoles() {
 	led, voter, leading := len(h.groups) > 0, len(h.groups) > 0, false
 	for _, g := range h.groups {
 		leading = leading || g.node.IsLeader()
-		if g.ofApplications {
+		if g.isApplication {
 			continue
 		}
 		_, known := g.node.Leader()
@@ -331,13 +331,13 @@
 		voter = voter && g.node.IsVoter()
 	}
 	if led {
-		h.ledAt.Store(int64(h.now()))
+		h.leadersKnownAt.Store(int64(h.now()))
 	}
 	h.voter.Store(voter)
 	h.leading.Store(leading)
 }
 
-func (h *Host) carryOut(g *group, output consensus.Output) {
+func (h *Host) handleOutput(g *group, output consensus.Output) {
 	if output.Persist != nil {
 		h.writer.add(g.number, output.Persist, func() { h.persisted(g, output.Persist.Sequence) })
 	}
@@ -346,7 +346,7 @@
 			h.send(g.number, message)
 			continue
 		}
-		g.held = append(g.held, heldMessages{after: message.AfterPersist, message: message})
+		g.awaitingPersist = append(g.awaitingPersist, pendingMessage{after: message.AfterPersist, message: message})
 	}
 	if output.Restore != nil {
 		h.restore(g, output.Restore)
@@ -354,9 +354,9 @@
 	for _, entry := range output.Committed {
 		h.apply(g, entry)
 	}
-	if len(output.Committed) > 0 && g.applied > g.noted && !g.ofApplications {
-		g.noted = g.applied
-		h.writer.committed(g.number, g.applied)
+	if len(output.Committed) > 0 && g.applied > g.committedOnDisk && !g.isApplication {
+		g.committedOnDisk = g.applied
+		h.writer.writeCommitted(g.number, g.applied)
 	}
 	h.compact(g)
 }
@@ -364,26 +364,26 @@
 // persisted notes that a batch is on disk and sends what waited for it.
 func (h *Host) persisted(g *group, sequence uint64) {
 	g.node.Persisted(h.now(), sequence)
-	kept := g.held[:0]
-	for _, held := range g.held {
+	kept := g.awaitingPersist[:0]
+	for _, held := range g.awaitingPersist {
 		if held.after <= sequence {
 			h.send(g.number, held.message)
 			continue
 		}
 		kept = append(kept, held)
 	}
-	g.held = kept
+	g.awaitingPersist = kept
 }
 
-// noteLead tells of changes of leadership.
-func (h *Host) noteLead(g *group) {
+// reportLeadership tells of changes of leadership.
+func (h *Host) reportLeadership(g *group) {
 	leads := g.node.IsLeader()
-	if leads == g.leads {
+	if leads == g.wasLeader {
 		return
 	}
-	g.leads = leads
-	g.ledSince = h.now()
-	g.settled = g.node.Status().Commit
+	g.wasLeader = leads
+	g.leaderSince = h.now()
+	g.reviewedCommit = g.node.Status().Commit
 	h.config.Log.Info().Uint32("partition", uint32(g.number)).Bool("leads", leads).Msg("leadership changed")
 	if h.config.OnLead != nil {
 		h.config.OnLead(g.number, leads)
--- a/internal/control/partition/identity.go
+++ b/internal/control/partition/identity.go
@@ -14,14 +14,14 @@
 	return consensus.MemberID(xxhash.Sum64String("founder/"+address) | 1)
 }
 
-// identify settles who this member is: whom its disk says, a founder at the very first start, or else a new member. What
+// assignIdentity settles who this member is: whom its disk says, a founder at the very first start, or else a new member. What
 // a lost disk had promised is unknown, so its identity never comes back.
-func (h *Host) identify(state *diskState) error {
+func (h *Host) assignIdentity(state *diskState) error {
 	if state.identity.ID != 0 {
 		h.config.Self.ID = state.identity.ID
 		return nil
 	}
-	records := h.found(state)
+	records := h.bootstrap(state)
 	if len(records) == 0 {
 		h.config.Self.ID = consensus.MemberID(rand.Uint64() | 1)
 	}
@@ -30,9 +30,9 @@
 	return h.writer.log.Append(records)
 }
 
-// found makes the partitions' first state, if this member is a founder at the very first start.
-func (h *Host) found(state *diskState) []disklog.Record {
-	if !h.config.First {
+// bootstrap makes the partitions' first state, if this member is a founder at the very first start.
+func (h *Host) bootstrap(state *diskState) []disklog.Record {
+	if !h.config.Bootstrap {
 		return nil
 	}
 	for _, founder := range h.config.Founders {
--- a/internal/control/partition/lease.go
+++ b/internal/control/partition/lease.go
@@ -31,9 +31,9 @@
 
 // TimeFor is how long something that was written down under a fence may take: most, but it ends a margin before the lease
 // does. False says that it must not begin.
-func (l Lease) TimeFor(fence uint64, most, margin time.Duration) (time.Duration, bool) {
+func (l Lease) TimeFor(fence uint64, limit, margin time.Duration) (time.Duration, bool) {
 	if l.Left <= 0 || l.Fence != fence || l.Left < margin {
 		return 0, false
 	}
-	return min(most, l.Left-margin), true
+	return min(limit, l.Left-margin), true
 }
--- a/internal/control/partition/lease_test.go
+++ b/internal/control/partition/lease_test.go
@@ -9,11 +9,11 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// aloneAt returns a node that is the only voter, and the time at which it was elected and has committed.
-func aloneAt(c *qt.C) (*consensus.Node, time.Duration) {
-	alone := consensus.Member{ID: 1, Address: "a", Node: "a"}
-	snapshot := consensus.Bootstrap(consensus.Membership{Voters: []consensus.Member{alone}})
-	config := consensus.Config{Self: alone.ID, Heartbeat: heartbeat, ElectionTimeout: electionTimeout}
+// singleVoterAt returns a node that is the only voter, and the time at which it was elected and has committed.
+func singleVoterAt(c *qt.C) (*consensus.Node, time.Duration) {
+	voter := consensus.Member{ID: 1, Address: "a", Node: "a"}
+	snapshot := consensus.Bootstrap(consensus.Membership{Voters: []consensus.Member{voter}})
+	config := consensus.Config{Self: voter.ID, Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}
 	node, err := consensus.New(config, 0, consensus.Restored{Snapshot: snapshot})
 	c.Assert(err, qt.IsNil)
 	at := node.NextTick()
@@ -24,10 +24,10 @@
 	return node, at
 }
 
-func TestLeaseIsThatOfTheTerm(t *testing.T) {
+func TestLeaseFenceIsTheTerm(t *testing.T) {
 	c := qt.New(t)
 	// Given a member that leads, when its lease is asked for, then its fence is the term.
-	node, elected := aloneAt(c)
+	node, elected := singleVoterAt(c)
 	later := elected + time.Second
 	lease := LeaseOf(node, later, elected)
 	c.Assert(lease.Fence, qt.Equals, uint64(node.Status().Term))
@@ -38,24 +38,24 @@
 	c.Assert(LeaseOf(node, later, elected), qt.Equals, Lease{})
 }
 
-func TestLeaseIsSettledAfterTheWait(t *testing.T) {
+func TestLeaseSettledAfterWait(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Lease{Left: 1, Held: 9}.Settled(10), qt.IsFalse)
 	c.Assert(Lease{Left: 1, Held: 10}.Settled(10), qt.IsTrue)
 	c.Assert(Lease{Held: 10}.Settled(10), qt.IsFalse)
 }
 
-func TestNothingOutlivesTheLease(t *testing.T) {
+func TestTimeForEndsBeforeLease(t *testing.T) {
 	c := qt.New(t)
-	for _, asked := range []struct {
-		left  time.Duration
-		fence uint64
-		time  time.Duration
-		may   bool
-	}{{left: 100, fence: 7, time: 40, may: true}, {left: 30, fence: 7, time: 25, may: true}, {left: 4, fence: 7},
+	for _, test := range []struct {
+		left    time.Duration
+		fence   uint64
+		time    time.Duration
+		allowed bool
+	}{{left: 100, fence: 7, time: 40, allowed: true}, {left: 30, fence: 7, time: 25, allowed: true}, {left: 4, fence: 7},
 		{left: 0, fence: 7}, {left: 100, fence: 6}} {
-		limit, may := Lease{Fence: 7, Left: asked.left}.TimeFor(asked.fence, 40, 5)
-		c.Check(may, qt.Equals, asked.may, qt.Commentf("%+v", asked))
-		c.Check(limit, qt.Equals, asked.time, qt.Commentf("%+v", asked))
+		limit, allowed := Lease{Fence: 7, Left: test.left}.TimeFor(test.fence, 40, 5)
+		c.Check(allowed, qt.Equals, test.allowed, qt.Commentf("%+v", test))
+		c.Check(limit, qt.Equals, test.time, qt.Commentf("%+v", test))
 	}
 }
--- a/internal/control/partition/leave.go
+++ b/internal/control/partition/leave.go
@@ -8,14 +8,14 @@
 	"sumacloft/internal/control/reconfigure"
 )
 
-// ending is what a member that was told to end still waits for. Its zero value waits for nothing.
-type ending struct {
+// leaveState is what a member that was told to end still waits for. Its zero value waits for nothing.
+type leaveState struct {
 	mu    sync.Mutex
 	holds map[Group]reconfigure.Hold // partitions that have not let it end; Free: their leader has not said why
 }
 
 // begin notes that the partitions are waited for.
-func (e *ending) begin(groups map[Group]*group) {
+func (e *leaveState) begin(groups map[Group]*group) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.holds = make(map[Group]reconfigure.Hold, len(groups))
@@ -24,35 +24,35 @@
 	}
 }
 
-// take takes the word of a member that leads some of the partitions.
-func (e *ending) take(answer *JoinAnswer) {
+// applyAnswer takes the word of a member that leads some of the partitions.
+func (e *leaveState) applyAnswer(answer *JoinAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, number := range answer.MayLeave {
 		delete(e.holds, number)
 	}
 	for _, held := range answer.Holds {
-		if _, open := e.holds[held.Group]; open {
+		if _, pending := e.holds[held.Group]; pending {
 			e.holds[held.Group] = held.Why
 		}
 	}
 }
 
 // done tells whether all partitions have let the member end.
-func (e *ending) done() bool {
+func (e *leaveState) done() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.holds) == 0
 }
 
-// Ending lists what this member, told to end, waits for, by partition: none if it was not told to, or may end. A
+// LeaveHolds lists what this member, told to end, waits for, by partition: none if it was not told to, or may end. A
 // partition whose leader has not answered yet stands there with reconfigure.Free.
-func (h *Host) Ending() map[Group]reconfigure.Hold {
-	h.ending.mu.Lock()
-	defer h.ending.mu.Unlock()
-	holds := make(map[Group]reconfigure.Hold, len(h.ending.holds))
-	for number, why := range h.ending.holds {
-		holds[number] = why
+func (h *Host) LeaveHolds() map[Group]reconfigure.Hold {
+	h.leaveState.mu.Lock()
+	defer h.leaveState.mu.Unlock()
+	holds := make(map[Group]reconfigure.Hold, len(h.leaveState.holds))
+	for number, hold := range h.leaveState.holds {
+		holds[number] = hold
 	}
 	return holds
 }
@@ -64,15 +64,15 @@
 // alone holds beside one that is lost would be lost too, or nobody could be elected. A member that is alone in all
 // partitions has nobody to wait for.
 func (h *Host) Leave(ctx context.Context) bool {
-	h.ending.begin(h.groups)
-	alone := make(chan bool, 1)
+	h.leaveState.begin(h.groups)
+	onlyMember := make(chan bool, 1)
 	h.post(func() {
-		h.stopped = true
-		alone <- h.alone()
+		h.leaveStarted = true
+		onlyMember <- h.isOnlyMember()
 	})
 	select {
-	case is := <-alone:
-		if is {
+	case only := <-onlyMember:
+		if only {
 			return true
 		}
 	case <-ctx.Done():
@@ -80,21 +80,21 @@
 	}
 	ticker := time.NewTicker(leaveInterval)
 	defer ticker.Stop()
-	for !h.ending.done() {
-		h.post(func() { h.sayLeaving(ctx) })
+	for !h.leaveState.done() {
+		h.post(func() { h.announceLeave(ctx) })
 		select {
 		case <-ctx.Done():
 			return false
 		case <-ticker.C:
 		}
 	}
-	go h.keepSaying()
+	go h.repeatLeave()
 	return true
 }
 
-// keepSaying goes on telling the others that this member ends for as long as its process runs: one that was let go must not
+// repeatLeave goes on telling the others that this member ends for as long as its process runs: one that was let go must not
 // count as staying when another asks.
-func (h *Host) keepSaying() {
+func (h *Host) repeatLeave() {
 	ticker := time.NewTicker(leaveInterval)
 	defer ticker.Stop()
 	for {
@@ -102,13 +102,13 @@
 		case <-h.ended:
 			return
 		case <-ticker.C:
-			h.post(func() { h.sayLeaving(context.Background()) })
+			h.post(func() { h.announceLeave(context.Background()) })
 		}
 	}
 }
 
-// alone tells whether this member is the only one of all its partitions.
-func (h *Host) alone() bool {
+// isOnlyMember tells whether this member is the only one of all its partitions.
+func (h *Host) isOnlyMember() bool {
 	for _, g := range h.groups {
 		membership := g.node.Status().Membership
 		if len(membership.Voters) != 1 || len(membership.Learners) > 0 || !isMember(membership, h.config.Self.ID) {
@@ -118,12 +118,12 @@
 	return true
 }
 
-// sayLeaving hands over what this member leads and tells the others that it ends.
-func (h *Host) sayLeaving(ctx context.Context) {
+// announceLeave hands over what this member leads and tells the others that it ends.
+func (h *Host) announceLeave(ctx context.Context) {
 	for _, g := range h.groups {
 		if g.node.IsLeader() {
-			h.handOver(g)
+			h.transferLeadership(g)
 		}
 	}
-	h.tellAll(ctx, &Join{Member: h.config.Self, Leaving: true}, h.ending.take)
+	h.broadcastJoin(ctx, &Join{Member: h.config.Self, Leaving: true}, h.leaveState.applyAnswer)
 }
--- a/internal/control/partition/partition_size_test.go
+++ b/internal/control/partition/partition_size_test.go
@@ -27,26 +27,26 @@
 }
 
 // The sizes bound what docs/CAPACITY.md says. One that grows past its bound is to be looked at there.
-func TestStepsKeepToTheirSizes(t *testing.T) {
+func TestStepSizes(t *testing.T) {
 	c := qt.New(t)
-	order := strings.Repeat("x", 1_000)
+	command := strings.Repeat("x", 1_000)
 	appended := sizedHeartbeat(consensus.MessageAppend)
 	appended.LogIndex, appended.LogTerm = 4_320, 40
-	appended.Entries = []consensus.Entry{{Index: 4_321, Term: 40, Kind: consensus.EntryCommand, Data: []byte(order)}}
+	appended.Entries = []consensus.Entry{{Index: 4_321, Term: 40, Kind: consensus.EntryCommand, Data: []byte(command)}}
 	sizes := []struct {
 		name  string
-		most  int // bytes
+		limit int // bytes
 		value Step
 	}{
 		{"heartbeat of one partition", 60, sizedStep(1, sizedHeartbeat(consensus.MessageHeartbeat))},
 		{"heartbeats of three partitions", 170, sizedStep(3, sizedHeartbeat(consensus.MessageHeartbeat))},
 		{"append of an order of 1,000 bytes", 1_100, sizedStep(1, appended)},
 	}
-	for _, one := range sizes {
-		bytes, err := cbor.Marshal(one.value)
+	for _, test := range sizes {
+		bytes, err := cbor.Marshal(test.value)
 		c.Assert(err, qt.IsNil)
-		c.Logf("%s: %d bytes", one.name, len(bytes))
-		c.Check(len(bytes) <= one.most, qt.IsTrue, qt.Commentf("%s has %d bytes, %d at most", one.name, len(bytes), one.most))
+		c.Logf("%s: %d bytes", test.name, len(bytes))
+		c.Check(len(bytes) <= test.limit, qt.IsTrue, qt.Commentf("%s has %d bytes, %d at most", test.name, len(bytes), test.limit))
 	}
 }
 
@@ -55,8 +55,8 @@
 	for b.Loop() {
 		bytes, err := cbor.Marshal(step)
 		qt.Assert(b, err, qt.IsNil)
-		var back Step
-		if err := cbor.Unmarshal(bytes, &back); err != nil {
+		var decoded Step
+		if err := cbor.Unmarshal(bytes, &decoded); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/control/partition/propose.go
+++ b/internal/control/partition/propose.go
@@ -36,7 +36,7 @@
 	h.post(func() { h.propose(number, command, done) })
 	select {
 	case <-ctx.Done():
-		return nil, ErrUnclear.Wrap(ctx.Err())
+		return nil, ErrOutcomeUnknown.Wrap(ctx.Err())
 	case r := <-done:
 		return r.value, r.err
 	}
@@ -46,37 +46,37 @@
 	g := h.groups[number]
 	index, term, err := g.node.Propose(h.now(), command)
 	if err != nil {
-		done <- result{err: elsewhere(err)}
+		done <- result{err: notLeaderError(err)}
 		return
 	}
-	if old := g.waiting[index]; old != nil {
-		old.done <- result{err: ErrUnclear.New("another leader took over")}
+	if superseded := g.proposals[index]; superseded != nil {
+		superseded.done <- result{err: ErrOutcomeUnknown.New("another leader took over")}
 	}
-	g.waiting[index] = &proposal{term: term, done: done}
+	g.proposals[index] = &proposal{term: term, done: done}
 }
 
-func elsewhere(err error) error {
-	var other consensus.ErrNotLeader
-	if errors.As(err, &other) {
-		return ErrElsewhere{Leader: other.Leader}
+func notLeaderError(err error) error {
+	var notLeader consensus.ErrNotLeader
+	if errors.As(err, &notLeader) {
+		return ErrElsewhere{Leader: notLeader.Leader}
 	}
 	return ErrElsewhere{}
 }
 
 // Read runs a look at a partition's state once it holds all that was committed before. ErrElsewhere says that this
 // member does not lead it, or can't be sure that it does.
-func (h *Host) Read(ctx context.Context, number Group, look func()) error {
+func (h *Host) Read(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan error, 1)
-	h.post(func() { done <- h.read(number, look) })
+	h.post(func() { done <- h.read(number, inspect) })
 	select {
 	case <-ctx.Done():
-		return ErrUnclear.Wrap(ctx.Err())
+		return ErrOutcomeUnknown.Wrap(ctx.Err())
 	case err := <-done:
 		return err
 	}
 }
 
-func (h *Host) read(number Group, look func()) error {
+func (h *Host) read(number Group, inspect func()) error {
 	g := h.groups[number]
 	index, ready := g.node.ReadIndexReady(h.now())
 	if !ready || g.applied < index {
@@ -86,20 +86,20 @@
 		}
 		return ErrElsewhere{Leader: leader}
 	}
-	look()
+	inspect()
 	return nil
 }
 
 // ReadUnconfirmed runs a look at a partition's state as it is here: others may know better.
-func (h *Host) ReadUnconfirmed(ctx context.Context, number Group, look func()) error {
+func (h *Host) ReadUnconfirmed(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan struct{})
 	h.post(func() {
-		look()
+		inspect()
 		close(done)
 	})
 	select {
 	case <-ctx.Done():
-		return ErrUnclear.Wrap(ctx.Err())
+		return ErrOutcomeUnknown.Wrap(ctx.Err())
 	case <-done:
 		return nil
 	}
@@ -119,5 +119,5 @@
 
 func (h *Host) lease(number Group) Lease {
 	g := h.groups[number]
-	return LeaseOf(g.node, h.now(), g.ledSince)
+	return LeaseOf(g.node, h.now(), g.leaderSince)
 }
--- a/internal/control/partition/remains.go
+++ b/internal/control/partition/remains.go
@@ -13,22 +13,22 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// ErrRemains is the class of disks from which partitions can't be restored.
-var ErrRemains = errs.Class("partition: this disk can't be restored from")
+// ErrNotRestorable is the class of disks from which partitions can't be restored.
+var ErrNotRestorable = errs.Class("partition: this disk can't be restored from")
 
 // RestoreGap is how far the indexes and terms of restored partitions lie above those on the disk. What others may have
 // seen beyond this disk, entries and elections, is less than that.
 const RestoreGap = 1 << 20
 
-// Remains is what the disk of a stopped member holds of the partitions. Use OpenRemains, then Close.
-type Remains struct {
+// OfflineDisk is what the disk of a stopped member holds of the partitions. Use OpenRemains, then Close.
+type OfflineDisk struct {
 	log      *disklog.Log
 	state    *diskState
 	machines map[Group]StateMachine
 }
 
-// GroupRemains is what it holds of one partition.
-type GroupRemains struct {
+// OfflineGroup is what it holds of one partition.
+type OfflineGroup struct {
 	Number    Group
 	Term      consensus.Term  // the latest that the member has seen
 	Committed consensus.Index // up to which the member knew the log to be committed
@@ -37,8 +37,8 @@
 	Voters    []consensus.Member
 }
 
-// OpenRemains reads the disk of a member that does not run. The machines are those of all partitions, empty.
-func OpenRemains(files disklog.FileSystem, machines map[Group]StateMachine) (*Remains, error) {
+// OpenOfflineDisk reads the disk of a member that does not run. The machines are those of all partitions, empty.
+func OpenOfflineDisk(files disklog.FileSystem, machines map[Group]StateMachine) (*OfflineDisk, error) {
 	sizes, err := disklog.Measures(files)
 	if err != nil {
 		return nil, err
@@ -47,32 +47,32 @@
 	if err != nil {
 		return nil, err
 	}
-	state, err := recovered(records)
+	state, err := replayRecords(records)
 	if err != nil {
 		_ = log.Close() // what can't be read matters more
 		return nil, err
 	}
-	return &Remains{log: log, state: state, machines: machines}, nil
+	return &OfflineDisk{log: log, state: state, machines: machines}, nil
 }
 
 // Close lets go of the disk.
-func (r *Remains) Close() error { return r.log.Close() }
+func (r *OfflineDisk) Close() error { return r.log.Close() }
 
 // Self is the member whose disk it is.
-func (r *Remains) Self() consensus.Member { return r.state.identity }
+func (r *OfflineDisk) Self() consensus.Member { return r.state.identity }
 
 // Groups lists what is there, by partition.
-func (r *Remains) Groups() []GroupRemains {
-	var list []GroupRemains
-	for number, held := range r.state.groups {
-		list = append(list, held.remains(number))
+func (r *OfflineDisk) Groups() []OfflineGroup {
+	var list []OfflineGroup
+	for number, stored := range r.state.groups {
+		list = append(list, stored.summary(number))
 	}
-	slices.SortFunc(list, func(a, b GroupRemains) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(list, func(a, b OfflineGroup) int { return cmp.Compare(a.Number, b.Number) })
 	return list
 }
 
-func (g *diskGroup) remains(number Group) GroupRemains {
-	told := GroupRemains{
+func (g *diskGroup) summary(number Group) OfflineGroup {
+	summary := OfflineGroup{
 		Number:    number,
 		Term:      g.hardState.Term,
 		Committed: max(g.committed, g.snapshot.Index),
@@ -81,38 +81,38 @@
 		Voters:    g.snapshot.Membership.Voters,
 	}
 	for _, entry := range g.entries {
-		told.Last, told.LastTerm = entry.Index, entry.Term
+		summary.Last, summary.LastTerm = entry.Index, entry.Term
 		if entry.Kind == consensus.EntryMembership {
 			var membership consensus.Membership
 			if cbor.Unmarshal(entry.Data, &membership) == nil {
-				told.Voters = membership.Voters
+				summary.Voters = membership.Voters
 			}
 		}
 	}
-	told.Term = max(told.Term, told.LastTerm)
-	return told
+	summary.Term = max(summary.Term, summary.LastTerm)
+	return summary
 }
 
 // Restore makes this disk the only member of all partitions, under a new identity, with all that it holds: also entries
 // of which it is not known whether they were committed. Terms, and with them fences, and indexes go on RestoreGap above
 // what the disk knows. The machine's other disks must never be used again, as their members would count for the old
 // partitions. It changes the disk in one step, or fails and changes nothing.
-func (r *Remains) Restore() error {
+func (r *OfflineDisk) Restore() error {
 	if len(r.state.groups) == 0 || r.state.identity.ID == 0 {
-		return ErrRemains.New("it holds no partition: its member had not joined yet; use the disk of another member")
+		return ErrNotRestorable.New("it holds no partition: its member had not joined yet; use the disk of another member")
 	}
 	self := r.state.identity
 	self.ID = consensus.MemberID(rand.Uint64() | 1)
 	next := &diskState{identity: self, note: r.state.note, groups: map[Group]*diskGroup{}}
 	for _, number := range slices.Sorted(maps.Keys(r.machines)) {
-		held := r.state.groups[number]
-		if held == nil && r.unused(number) {
+		stored := r.state.groups[number]
+		if stored == nil && r.isUnused(number) {
 			continue
 		}
-		if held == nil {
-			return ErrRemains.New("partition %d is missing: its member had not joined it yet; use the disk of another member", number)
+		if stored == nil {
+			return ErrNotRestorable.New("partition %d is missing: its member had not joined it yet; use the disk of another member", number)
 		}
-		restored, err := held.restored(self, r.machines[number])
+		restored, err := stored.restored(self, r.machines[number])
 		if err != nil {
 			return err
 		}
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// unused tells whether a partition is one of applications' calls on a disk that holds none of these: they were not promised.
-func (r *Remains) unused(number Group) bool {
-	if _, is := r.machines[number].(ApplicationMachine); !is {
+// isUnused tells whether a partition is one of applications' calls on a disk that holds none of these: they were not promised.
+func (r *OfflineDisk) isUnused(number Group) bool {
+	if _, ok := r.machines[number].(ApplicationMachine); !ok {
 		return false
 	}
 	for other, machine := range r.machines {
-		if _, is := machine.(ApplicationMachine); is && r.state.groups[other] != nil {
+		if _, ok := machine.(ApplicationMachine); ok && r.state.groups[other] != nil {
 			return false
 		}
 	}
@@ -156,10 +156,10 @@
 			machine.Apply(uint64(entry.Index), entry.Data)
 		}
 	}
-	known := g.remains(0)
-	index, term := known.Last+RestoreGap, known.Term+RestoreGap
-	if rebased, does := machine.(Rebaser); does {
-		rebased.Rebase(uint64(index))
+	summary := g.summary(0)
+	index, term := summary.Last+RestoreGap, summary.Term+RestoreGap
+	if rebaser, ok := machine.(Rebaser); ok {
+		rebaser.Rebase(uint64(index))
 	}
 	snapshot := consensus.Snapshot{
 		Index:      index,
--- a/internal/control/partition/status.go
+++ b/internal/control/partition/status.go
@@ -45,7 +45,7 @@
 }
 
 func (h *Host) status() Status {
-	status := Status{Now: h.now(), Self: h.config.Self, Disk: h.writer.position()}
+	status := Status{Now: h.now(), Self: h.config.Self, Disk: h.writer.latestStats()}
 	for number, g := range h.groups {
 		status.Groups = append(status.Groups, GroupStatus{Number: number, Status: g.node.Status()})
 	}
@@ -53,16 +53,16 @@
 	return status
 }
 
-// notePosition keeps where the log stands for others to read; the log itself belongs to the writer's goroutine.
-func (w *writer) notePosition() {
+// recordStats keeps where the log stands for others to read; the log itself belongs to the writer's goroutine.
+func (w *writer) recordStats() {
 	stats := w.log.Stats()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats = stats
 }
 
-// position is where the log stood after the latest write.
-func (w *writer) position() disklog.Stats {
+// latestStats is where the log stood after the latest write.
+func (w *writer) latestStats() disklog.Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stats
@@ -74,8 +74,8 @@
 // Leads tells whether this member leads a partition. A majority has answered it within its lease then.
 func (h *Host) Leads() bool { return h.leading.Load() }
 
-// Led tells whether, within the limit, this member knew a leader of every partition. One that did not is cut off from the
+// HasLeaders tells whether, within the limit, this member knew a leader of every partition. One that did not is cut off from the
 // others, or the others are lost.
-func (h *Host) Led(limit time.Duration) bool {
-	return h.now()-time.Duration(h.ledAt.Load()) <= limit
+func (h *Host) HasLeaders(limit time.Duration) bool {
+	return h.now()-time.Duration(h.leadersKnownAt.Load()) <= limit
 }
--- a/internal/control/partition/status_test.go
+++ b/internal/control/partition/status_test.go
@@ -26,23 +26,23 @@
 
 func (m *counter) Restore([]byte) error { return nil }
 
-func TestStatusFollowsWhatIsCommitted(t *testing.T) {
+func TestStatusReflectsCommits(t *testing.T) {
 	c := qt.New(t)
 	// Given the only member of two partitions, whose disk was just made
 	const address = "127.0.0.1:1"
 	self := consensus.Member{ID: partition.FounderID(address), Address: address, Node: "control-1"}
 	leads := make(chan partition.Group, 2)
 	host, err := partition.Open(partition.Config{
-		Self:     consensus.Member{Address: address, Node: "control-1"},
-		Founders: []consensus.Member{self},
-		First:    true,
-		Voters:   1,
-		Files:    memdisk.New(),
-		Client:   rpc.NewClient(network.System{}),
-		Log:      zerolog.Nop(),
-		Machines: map[partition.Group]partition.StateMachine{0: &counter{}, 1: &counter{}},
-		Controls: func() []string { return []string{address} },
-		OnLead:   func(group partition.Group, _ bool) { leads <- group },
+		Self:      consensus.Member{Address: address, Node: "control-1"},
+		Founders:  []consensus.Member{self},
+		Bootstrap: true,
+		Voters:    1,
+		Files:     memdisk.New(),
+		Client:    rpc.NewClient(network.System{}),
+		Log:       zerolog.Nop(),
+		Machines:  map[partition.Group]partition.StateMachine{0: &counter{}, 1: &counter{}},
+		Controls:  func() []string { return []string{address} },
+		OnLead:    func(group partition.Group, _ bool) { leads <- group },
 	})
 	c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/control/partition/transport.go
+++ b/internal/control/partition/transport.go
@@ -55,10 +55,10 @@
 )
 
 const (
-	// sendLimit bounds one call to a peer that carries little.
-	sendLimit = 700 * time.Millisecond
-	// slowestLink is the rate, in bytes a second, at which a call may carry what it does: 10 Mbit/s.
-	slowestLink = 10 << 20 / 8
+	// sendTimeout bounds one call to a peer that carries little.
+	sendTimeout = 700 * time.Millisecond
+	// minLinkRate is the rate, in bytes a second, at which a call may carry what it does: 10 Mbit/s.
+	minLinkRate = 10 << 20 / 8
 	// queueLimit bounds the messages that wait for a peer; older ones are dropped, consensus makes up for them.
 	queueLimit = 512
 )
@@ -72,10 +72,10 @@
 // answerJoin takes a wish.
 func (h *Host) answerJoin(ctx context.Context, join *Join) (*JoinAnswer, error) {
 	answer := make(chan *JoinAnswer, 1)
-	h.post(func() { answer <- h.noteJoin(join) })
+	h.post(func() { answer <- h.handleJoin(join) })
 	select {
-	case told := <-answer:
-		return told, nil
+	case reply := <-answer:
+		return reply, nil
 	case <-ctx.Done():
 		return nil, Error.Wrap(ctx.Err())
 	case <-h.ended:
@@ -118,25 +118,25 @@
 
 // senders hold a queue for each peer. Only the host's goroutine adds peers.
 type senders struct {
-	client  *rpc.Client
-	log     zerolog.Logger
-	self    string            // the inside address of this member
-	answers func(step []Item) // takes what came in the answer to a call
-	peers   map[string]*sender
-	open    []openAnswer // calls that are answered at the next flush
+	client         *rpc.Client
+	log            zerolog.Logger
+	self           string            // the inside address of this member
+	onAnswer       func(step []Item) // takes what came in the answer to a call
+	peers          map[string]*sender
+	pendingAnswers []pendingAnswer // calls that are answered at the next flush
 }
 
-// openAnswer is a call of a peer whose answer takes along what waits for that peer.
-type openAnswer struct {
+// pendingAnswer is a call of a peer whose answer takes along what waits for that peer.
+type pendingAnswer struct {
 	address string
 	to      chan<- []Item
 }
 
 // sender sends one call after the other to a peer, each with all that waits.
 type sender struct {
-	address string
-	shared  *senders
-	fresh   []Item // queued since the last flush
+	address   string
+	shared    *senders
+	unflushed []Item // queued since the last flush
 
 	mu    sync.Mutex
 	items []Item
@@ -145,7 +145,7 @@
 
 // answer has the next flush answer a call of the peer.
 func (s *senders) answer(address string, to chan<- []Item) {
-	s.open = append(s.open, openAnswer{address: address, to: to})
+	s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{address: address, to: to})
 }
 
 func (s *senders) queue(address string, item Item) {
@@ -154,23 +154,23 @@
 		peer = &sender{address: address, shared: s}
 		s.peers[address] = peer
 	}
-	peer.fresh = append(peer.fresh, item)
+	peer.unflushed = append(peer.unflushed, item)
 }
 
 // flush sends what was queued: in the answer to a peer's call if there is one, else to each peer as one call.
 func (s *senders) flush() {
-	for _, open := range s.open {
+	for _, pending := range s.pendingAnswers {
 		var items []Item
-		if peer := s.peers[open.address]; peer != nil {
-			items, peer.fresh = peer.fresh, nil
+		if peer := s.peers[pending.address]; peer != nil {
+			items, peer.unflushed = peer.unflushed, nil
 		}
-		open.to <- items
+		pending.to <- items
 	}
-	s.open = nil
+	s.pendingAnswers = nil
 	for _, peer := range s.peers {
-		if len(peer.fresh) > 0 {
-			peer.add(peer.fresh)
-			peer.fresh = nil
+		if len(peer.unflushed) > 0 {
+			peer.add(peer.unflushed)
+			peer.unflushed = nil
 		}
 	}
 }
@@ -179,8 +179,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.items = append(p.items, items...)
-	if over := len(p.items) - queueLimit; over > 0 {
-		p.items = p.items[over:]
+	if excess := len(p.items) - queueLimit; excess > 0 {
+		p.items = p.items[excess:]
 	}
 	if !p.busy {
 		p.busy = true
@@ -191,11 +191,11 @@
 // run sends until nothing waits.
 func (p *sender) run() {
 	for {
-		items := p.take()
+		items := p.takeItems()
 		if len(items) == 0 {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), timeFor(items))
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout(items))
 		answer, err := callStep.Call(ctx, p.shared.client, p.address, &Step{Items: items, From: p.shared.self})
 		cancel()
 		if err != nil {
@@ -203,26 +203,26 @@
 			continue
 		}
 		if len(answer.Items) > 0 {
-			p.shared.answers(answer.Items)
+			p.shared.onAnswer(answer.Items)
 		}
 	}
 }
 
-// timeFor is how long a call may take that carries messages.
-func timeFor(items []Item) time.Duration {
+// callTimeout is how long a call may take that carries messages.
+func callTimeout(items []Item) time.Duration {
 	size := 0
 	for _, item := range items {
 		for _, entry := range item.Message.Entries {
 			size += len(entry.Data)
 		}
-		if part := item.Message.Snapshot; part != nil {
-			size += len(part.Data)
+		if snapshot := item.Message.Snapshot; snapshot != nil {
+			size += len(snapshot.Data)
 		}
 	}
-	return sendLimit + time.Duration(float64(size)/slowestLink*float64(time.Second))
+	return sendTimeout + time.Duration(float64(size)/minLinkRate*float64(time.Second))
 }
 
-func (p *sender) take() []Item {
+func (p *sender) takeItems() []Item {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	items := p.items
