--- a/internal/control/partition/apply.go
+++ b/internal/control/partition/apply.go
@@ -2,8 +2,8 @@
 
 import "sumacloft/internal/control/consensus"
 
-// applyEarly applies what the disk knows to be committed: a member that starts can tell what was in force while there is
-// no leader yet.
+// applyEarly applies the entries that the disk records as committed. A restarted member can then report the state in force
+// while there is no leader yet.
 func (g *group) applyEarly(disk *diskGroup) {
 	g.committedOnDisk = disk.committed
 	for _, entry := range disk.entries {
@@ -17,10 +17,10 @@
 	}
 }
 
-// restore replaces the state by a snapshot that the leader sent.
+// restore replaces the state with a snapshot from the leader.
 func (h *Host) restore(g *group, snapshot *consensus.Snapshot) {
 	if err := g.machine.Restore(snapshot.Data); err != nil {
-		h.config.Log.Error().Err(err).Uint32("partition", uint32(g.number)).Msg("a snapshot can't be restored")
+		h.config.Log.Error().Err(err).Uint32("partition", uint32(g.number)).Msg("failed to restore a snapshot from the leader")
 		return
 	}
 	g.applied = snapshot.Index
@@ -28,7 +28,7 @@
 	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 }
 
-// apply applies an entry and answers who proposed it.
+// apply applies an entry and returns the result to its proposer.
 func (h *Host) apply(g *group, entry consensus.Entry) {
 	var value any
 	if entry.Kind == consensus.EntryCommand && entry.Index > g.appliedEarly {
@@ -50,20 +50,20 @@
 	waiting.done <- result{value: value}
 }
 
-// compact takes a snapshot once the log has grown.
+// compact takes a snapshot once the log has grown past its limits.
 func (h *Host) compact(g *group) {
 	if g.entriesSinceSnapshot < g.compactAfter && g.bytesSinceSnapshot < compactBytes {
 		return
 	}
 	snapshot, err := g.node.SnapshotAt(g.applied, g.machine.Snapshot())
 	if err != nil {
-		h.config.Log.Warn().Err(err).Msg("no snapshot taken")
+		h.config.Log.Warn().Err(err).Msg("failed to take a snapshot")
 		return
 	}
 	g.entriesSinceSnapshot, g.bytesSinceSnapshot = 0, 0
 	h.writer.compact(g.number, snapshot, func() {
 		if err := g.node.Compact(snapshot); err != nil {
-			h.config.Log.Warn().Err(err).Msg("log not compacted")
+			h.config.Log.Warn().Err(err).Msg("failed to compact the log")
 		}
 	})
 }
--- a/internal/control/partition/disk.go
+++ b/internal/control/partition/disk.go
@@ -12,31 +12,31 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// The kinds of records.
+// The kinds of disk records, with the type of their data.
 const (
-	kindIdentity  disklog.Kind = iota + 1 // of the member: consensus.Member
+	kindIdentity  disklog.Kind = iota + 1 // consensus.Member, the member's identity
 	kindHardState                         // consensus.HardState
-	kindSnapshot                          // consensus.Snapshot, in place of the whole log
-	kindCompacted                         // consensus.Snapshot, in place of the log up to it
-	kindEntry                             // consensus.Entry, in place of all from its index on
-	kindCommitted                         // consensus.Index up to which the log is known to be committed
-	kindNote                              // bytes that the host's user keeps beside the partitions
+	kindSnapshot                          // consensus.Snapshot, replaces the whole log
+	kindCompacted                         // consensus.Snapshot, replaces the log up to its index
+	kindEntry                             // consensus.Entry, replaces all entries from its index on
+	kindCommitted                         // consensus.Index, the highest known commit index
+	kindNote                              // []byte, see Host.SetNote
 )
 
-// identityGroup is the group of the identity's record; no partition has this number.
+// identityGroup is the group number of the identity and note records. No partition has this number.
 const identityGroup = 1<<32 - 1
 
-// retryInterval is how long the writer waits after the disk refused a write.
+// retryInterval is the delay before a failed write is retried.
 const retryInterval = 200 * time.Millisecond
 
-// diskState is what the disk holds.
+// diskState is the state stored on disk.
 type diskState struct {
 	identity consensus.Member
 	note     []byte
 	groups   map[Group]*diskGroup
 }
 
-// diskGroup is what it holds of one partition.
+// diskGroup is the stored state of one partition.
 type diskGroup struct {
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
@@ -44,7 +44,7 @@
 	committed consensus.Index
 }
 
-// replayRecords folds the records found at the start.
+// replayRecords builds the state from the records found at the start.
 func replayRecords(records []disklog.Record) (*diskState, error) {
 	state := &diskState{groups: map[Group]*diskGroup{}}
 	for _, record := range records {
@@ -55,7 +55,7 @@
 	return state, nil
 }
 
-// applyRecord folds one record.
+// applyRecord applies one record to the state.
 func (s *diskState) applyRecord(record disklog.Record) error {
 	if record.Kind == kindIdentity {
 		return Error.Wrap(cbor.Unmarshal(record.Data, &s.identity))
@@ -85,7 +85,7 @@
 		stored.append(entry)
 		return nil
 	}
-	return Error.New("the disk holds a record of kind %d: start the release that wrote it", record.Kind)
+	return Error.New("unknown disk record of kind %d: start the release that wrote it", record.Kind)
 }
 
 func (s *diskState) group(number Group) *diskGroup {
@@ -97,7 +97,7 @@
 	return stored
 }
 
-// replace takes a snapshot; the entries after it stay where it is one of this very log.
+// replace installs a snapshot. The entries after it are kept if the snapshot was taken of this log.
 func (g *diskGroup) replace(snapshot consensus.Snapshot, sameLog bool) {
 	g.snapshot = snapshot
 	kept := []consensus.Entry{}
@@ -109,7 +109,7 @@
 	g.entries = kept
 }
 
-// append takes an entry in place of all from its index on.
+// append adds an entry and drops all entries from its index on.
 func (g *diskGroup) append(entry consensus.Entry) {
 	for len(g.entries) > 0 && g.entries[len(g.entries)-1].Index >= entry.Index {
 		g.entries = g.entries[:len(g.entries)-1]
@@ -117,7 +117,7 @@
 	g.entries = append(g.entries, entry)
 }
 
-// records are the state as a checkpoint.
+// records returns the state as the records of a checkpoint.
 func (s *diskState) records() []disklog.Record {
 	records := []disklog.Record{newRecord(identityGroup, kindIdentity, s.identity), newRecord(identityGroup, kindNote, s.note)}
 	for number, stored := range s.groups {
@@ -133,30 +133,30 @@
 func newRecord(number Group, kind disklog.Kind, value any) disklog.Record {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // cannot happen: plain structs can always be encoded
 	}
 	return disklog.Record{Group: uint32(number), Kind: kind, Data: data}
 }
 
-// batch is one write, and what is done once it is on disk.
+// batch is a set of records written together, with a callback for when they are on disk.
 type batch struct {
 	records []disklog.Record
 	done    func()
 }
 
-// writer writes batches in their order. It has a goroutine of its own, as the disk may stall for seconds.
+// writer writes batches in order. It has its own goroutine because the disk may stall for seconds.
 type writer struct {
 	log   *disklog.Log
 	state *diskState // what is on disk
-	// initialNote is the note that the disk held at the start.
+	// initialNote is the note that was on disk at the start.
 	initialNote   []byte
 	logger        zerolog.Logger
 	post          func(func())
-	onDiskFailure func(bool) // told when the disk begins and ceases to refuse
+	onDiskFailure func(bool) // called when writes start to fail and when they succeed again
 
 	mu    sync.Mutex
 	queue []batch
-	stats disklog.Stats // after the latest write
+	stats disklog.Stats // as of the latest write
 	wake  chan struct{}
 }
 
@@ -164,7 +164,7 @@
 	return &writer{log: log, state: state, initialNote: state.note, logger: lines, post: post, wake: make(chan struct{}, 1)}
 }
 
-// add queues a node's batch.
+// add queues a batch of a consensus node.
 func (w *writer) add(number Group, persist *consensus.PersistBatch, done func()) {
 	var records []disklog.Record
 	if persist.HardState != nil {
@@ -184,12 +184,12 @@
 	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCompacted, snapshot)}, done: done})
 }
 
-// writeCommitted queues the index up to which a partition's log is known to be writeCommitted. Nothing waits for it.
+// writeCommitted queues a partition's commit index. Nothing waits for this write.
 func (w *writer) writeCommitted(number Group, index consensus.Index) {
 	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCommitted, index)}, done: func() {}})
 }
 
-// writeNote queues the bytes that the host's user keeps.
+// writeNote queues the host's note.
 func (w *writer) writeNote(note []byte) {
 	w.enqueue(batch{records: []disklog.Record{newRecord(identityGroup, kindNote, note)}, done: func() {}})
 }
@@ -204,7 +204,7 @@
 	}
 }
 
-// takeQueue takes all that is queued, to be written with one sync.
+// takeQueue removes and returns all queued batches.
 func (w *writer) takeQueue() []batch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +213,7 @@
 	return taken
 }
 
-// run writes until the context ends.
+// run writes queued batches until the context ends.
 func (w *writer) run(ctx context.Context) {
 	w.recordStats()
 	for {
@@ -233,10 +233,10 @@
 	}
 }
 
-// groupBytes bounds what is written with one sync.
+// groupBytes limits the size of a write with one sync.
 const groupBytes = 2 << 20
 
-// groupBatches cuts batches into groups that are written with one sync each.
+// groupBatches divides batches into groups, each of which is written with one sync.
 func groupBatches(batches []batch) [][]batch {
 	var groups [][]batch
 	size := groupBytes
@@ -254,7 +254,7 @@
 	return groups
 }
 
-// persist writes a group of batches, again and again while the disk refuses; false says that the context has ended.
+// persist writes a group of batches and retries until it succeeds. It returns false if the context ends first.
 func (w *writer) persist(ctx context.Context, group []batch) bool {
 	var records []disklog.Record
 	for _, b := range group {
@@ -268,7 +268,7 @@
 		}
 		if !failing {
 			failing = true
-			w.logger.Warn().Err(err).Msg("the disk refuses writes")
+			w.logger.Warn().Err(err).Msg("disk write failed, will be retried")
 			w.notifyDiskFailure(true)
 		}
 		select {
@@ -289,7 +289,7 @@
 	}
 }
 
-// write writes records and takes them into the state; a full segment is left behind with a checkpoint.
+// write appends records and applies them to the state. When the segment is full, it starts a new one with a checkpoint.
 func (w *writer) write(records []disklog.Record) error {
 	err := w.log.Append(records)
 	if disklog.ErrSegmentFull.Has(err) {
@@ -313,7 +313,7 @@
 	return nil
 }
 
-// checkpointWith writes records that are too large to stand behind a checkpoint as a part of one.
+// checkpointWith includes the records in a checkpoint, for records too large to be appended after one.
 func (w *writer) checkpointWith(records []disklog.Record) error {
 	next, err := replayRecords(append(w.state.records(), records...))
 	if err != nil {
--- a/internal/control/partition/duties.go
+++ b/internal/control/partition/duties.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// joinRetention is how long a wish to join is remembered; it is repeated at every duty.
+	// joinRetention is how long a join request is valid. Requests are repeated every maintenanceInterval.
 	joinRetention = 2 * time.Second
-	// leaderlessLimit is for how long a member hears of no leader before it asks to join.
+	// leaderlessLimit is how long a member knows no leader before it asks to join.
 	leaderlessLimit = 2 * time.Second
-	// leaveInterval is how often a member that is about to end says so.
+	// leaveInterval is how often a leaving member announces it.
 	leaveInterval = 100 * time.Millisecond
-	// leaveRetention is how long that word is remembered. It is short: the member may be back at once, and one that is taken
-	// for leaving while it stays must not be dropped in place of one that is lost.
+	// leaveRetention is how long a leave notice is valid. It is short because the member may be back at once, and a member
+	// wrongly considered as leaving must not be dropped in place of a lost one.
 	leaveRetention = 500 * time.Millisecond
 )
 
-// handleJoin takes a machine's wish to join, or its word that it ends. It says which of the partitions that this member leads
-// let it end.
+// handleJoin records a member's join request or leave notice. The answer to a leave notice lists which of the partitions led
+// by this member let it leave.
 func (h *Host) handleJoin(join *Join) *JoinAnswer {
 	answer := &JoinAnswer{}
 	id := join.Member.ID
@@ -36,7 +36,7 @@
 	notice, announced := h.leaving[id]
 	if !announced || now-notice.last > h.leaveRetention() {
 		h.leaving[id] = leaveNotice{first: now, last: now}
-		return answer // its place is looked at first
+		return answer // its first notice is only recorded; membership is reviewed before it is answered
 	}
 	h.leaving[id] = leaveNotice{first: notice.first, last: now}
 	for _, g := range h.groups {
@@ -53,8 +53,9 @@
 	return answer
 }
 
-// situationFor is the situation as it counts for a member that ends: those that said so after it stay for that long. Of two
-// that said so at the same moment the one with the higher identity stays, or both would be let go.
+// situationFor returns the situation as it applies to a leaving member: members that announced their leave later count as
+// staying. Of two that announced it at the same moment the one with the higher ID counts as staying. Otherwise both would be
+// let go.
 func (h *Host) situationFor(g *group, status consensus.Status, id consensus.MemberID) reconfigure.Situation {
 	situation := h.situation(g, status)
 	ownAnnouncedAt := h.leaving[id].first
@@ -65,9 +66,9 @@
 	return situation
 }
 
-// maintain asks to join where this member is in no partition, and has the partitions that it leads follow the machines. A
-// member that hears of no leader asks too: it may have been dropped while it was cut off, and would never hear of it. Its
-// disk is whole, so it comes back as who it is; leaders that count it already take no notice.
+// maintain asks to join if this member is missing from a partition, and adapts the membership of the partitions that it leads.
+// A member that knows no leader asks too: it may have been dropped while it was partitioned and would never learn of it. Its
+// disk is intact, so it rejoins under its old identity. Leaders that already count it as a member ignore the request.
 func (h *Host) maintain(ctx context.Context) {
 	needsJoin := !h.HasLeaders(leaderlessLimit) && !h.config.Faults.WaitOutside
 	for _, g := range h.groups {
@@ -93,7 +94,7 @@
 	return false
 }
 
-// leaveRetention is how long the word that a member ends is remembered.
+// leaveRetention returns how long a leave notice is valid.
 func (h *Host) leaveRetention() time.Duration {
 	if h.config.Faults.LongLeave {
 		return 20 * leaveRetention
@@ -101,7 +102,7 @@
 	return leaveRetention
 }
 
-// situation is what this member, a partition's leader, knows of its membership.
+// situation returns the input for the next membership decision of a partition that this member leads.
 func (h *Host) situation(g *group, status consensus.Status) reconfigure.Situation {
 	now := h.now()
 	situation := reconfigure.Situation{
@@ -129,7 +130,7 @@
 	return situation
 }
 
-// reconfigure takes the next step of a partition's membership, if there is one.
+// reconfigure proposes the next membership change of a partition, if there is one.
 func (h *Host) reconfigure(g *group, status consensus.Status) {
 	next, change := reconfigure.Next(h.situation(g, status))
 	g.reviewedCommit = status.Commit
@@ -137,14 +138,14 @@
 		return
 	}
 	if err := g.node.ProposeMembership(h.now(), next); err != nil {
-		h.config.Log.Info().Err(err).Msg("membership not changed")
+		h.config.Log.Info().Err(err).Msg("failed to propose a membership change")
 		return
 	}
 	h.config.Log.Info().Uint32("partition", uint32(g.number)).Interface("voters", next.Voters).
-		Interface("learners", next.Learners).Msg("membership changes")
+		Interface("learners", next.Learners).Msg("membership change proposed")
 }
 
-// broadcastJoin tells all control members of a wish; the leaders among them act on it.
+// broadcastJoin sends a join request or leave notice to all control members. The leaders among them act on it.
 func (h *Host) broadcastJoin(ctx context.Context, join *Join, onAnswer func(*JoinAnswer)) {
 	for _, address := range h.config.Controls() {
 		if address == h.config.Self.Address {
@@ -153,14 +154,14 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			if answer, err := callJoin.Call(ctx, h.config.Client, address, join); err == nil { // else it is repeated
+			if answer, err := callJoin.Call(ctx, h.config.Client, address, join); err == nil { // on error the next repetition covers it
 				onAnswer(answer)
 			}
 		}()
 	}
 }
 
-// transferLeadership hands a partition to the voter whose log is the longest.
+// transferLeadership transfers a partition's leadership to the voter with the longest log.
 func (h *Host) transferLeadership(g *group) {
 	status := g.node.Status()
 	best := consensus.MemberStatus{}
@@ -173,6 +174,6 @@
 		return
 	}
 	if err := g.node.TransferLeadership(h.now(), best.Member.ID); err != nil {
-		h.config.Log.Info().Err(err).Msg("leadership not handed over")
+		h.config.Log.Info().Err(err).Msg("failed to transfer leadership")
 	}
 }
--- a/internal/control/partition/host.go
+++ b/internal/control/partition/host.go
@@ -1,6 +1,6 @@
-// Package partition runs a control member's part in the partitions of the control state: for each a consensus node and a
-// state machine, over one disk log and one sender for each peer. One goroutine owns all of it; the disk and the senders
-// have their own and report back.
+// Package partition runs a control member's replicas of the control state's partitions. Each partition has a consensus node and
+// a state machine. All share one disk log and one sender per peer. A single goroutine owns the nodes and state machines. The
+// disk writer and the senders run in their own goroutines and report back to it.
 package partition
 
 import (
@@ -16,66 +16,66 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// Error is the class of this package's failures.
+// Error is the class of this package's errors.
 var Error = errs.Class("partition")
 
-// ErrOutcomeUnknown says that it is not known what becomes of a command: it may be committed later.
+// ErrOutcomeUnknown reports that the outcome of a command is unknown: it may still be committed later.
 var ErrOutcomeUnknown = errs.Class("partition: it is not known what becomes of the command; send it again")
 
-// Group numbers a partition.
+// Group is the number of a partition.
 type Group uint32
 
 const (
-	// heartbeatInterval and electionTimeout are those of all partitions. A leader's loss is made up for within twice the
-	// election timeout, well inside the time in which operators' orders are to be acknowledged.
+	// heartbeatInterval and electionTimeout apply to all partitions. A lost leader is replaced within twice the election
+	// timeout, well within the time limit for acknowledging operators' orders.
 	heartbeatInterval = 150 * time.Millisecond
 	electionTimeout   = 600 * time.Millisecond
-	// compactEntries and compactBytes are after how much log a snapshot is taken.
+	// compactEntries and compactBytes are the log sizes at which a snapshot is taken.
 	compactEntries = 256
 	compactBytes   = 1 << 20
-	// compactMargin is how many entries are kept for members that lag a little.
+	// compactMargin is the number of entries kept for members that lag slightly.
 	compactMargin = 32
-	// maintenanceInterval is how often a leader looks at its membership.
+	// maintenanceInterval is how often memberships are reviewed.
 	maintenanceInterval = 250 * time.Millisecond
 )
 
-// noLeaderYet is when a member that has known no leader yet knew one.
+// noLeaderYet is the value of Host.leadersKnownAt before any leader is known.
 const noLeaderYet = time.Duration(-1 << 62)
 
-// Config sets up a host.
+// Config configures a Host.
 type Config struct {
-	Self      consensus.Member // its ID is 0 until it was read from the disk or drawn
+	Self      consensus.Member // its ID is 0 until it is read from disk or generated
 	Founders  []consensus.Member
-	Bootstrap bool // the whole system starts for the first time
-	Voters    int  // wanted in each partition
+	Bootstrap bool // the cluster starts for the first time
+	Voters    int  // target number of voters in each partition
 	Files     disklog.FileSystem
-	Sizes     disklog.Options // of the log on it; the zero value is the defaults
+	Sizes     disklog.Options // of the disk log; the zero value takes the defaults
 	Client    *rpc.Client
 	Log       zerolog.Logger
 	Machines  map[Group]StateMachine
-	// Controls lists the inside addresses of all control members that are known.
+	// Controls returns the internal addresses of all known control members.
 	Controls func() []string
-	// OnLead is told when the member becomes or stops being the leader of a partition. It must not block.
+	// OnLead is called when this member becomes or stops being the leader of a partition. It must not block.
 	OnLead func(group Group, leads bool)
 	Faults Faults
 }
 
-// Faults are deliberate violations, for the tests of the tests. All are off outside tests.
+// Faults are deliberate faults, injected to verify that the tests detect them. All are off outside tests.
 type Faults struct {
-	// DropFirst drops voters that end or are silent whoever is left.
+	// DropFirst drops voters that leave or are silent regardless of which voters remain.
 	DropFirst bool
-	// LongLeave remembers for ten seconds that a member said it ends.
+	// LongLeave keeps leave notices for ten seconds.
 	LongLeave bool
-	// WaitOutside has a member that was dropped without hearing of it wait to be counted again.
+	// WaitOutside stops a member that was dropped without learning of it from asking to rejoin.
 	WaitOutside bool
 }
 
-// Host runs the partitions. Use Open, then Run.
+// Host runs a member's replicas of all partitions. Use Open, then Run.
 type Host struct {
 	config    Config
 	startedAt time.Time
 	events    chan func()
-	ended     chan struct{} // closed once Run has ended
+	ended     chan struct{} // closed when Run returns
 	writer    *writer
 	senders
 	groups         map[Group]*group
@@ -83,21 +83,21 @@
 	leaving        map[consensus.MemberID]leaveNotice
 	leaveStarted   bool
 	leaveState     leaveState
-	leadersKnownAt atomic.Int64 // as time.Duration: all partitions had a leader
-	voter          atomic.Bool  // in all partitions
-	leading        atomic.Bool  // one of the partitions at least
+	leadersKnownAt atomic.Int64 // a time.Duration: when all partitions last had a known leader
+	voter          atomic.Bool  // votes in all partitions
+	leading        atomic.Bool  // leads at least one partition
 }
 
-// joinRequest is a machine that asked to join, and when.
+// joinRequest is a member that asked to join, and the time of its latest request.
 type joinRequest struct {
 	member consensus.Member
 	at     time.Duration
 }
 
-// leaveNotice is when a member said that it ends, for the first and for the last time.
+// leaveNotice holds the times of a member's first and latest leave notice.
 type leaveNotice struct{ first, last time.Duration }
 
-// group is this member's part in one partition.
+// group is this member's replica of one partition.
 type group struct {
 	number            Group
 	node              *consensus.Node
@@ -107,25 +107,25 @@
 	wasLeader         bool
 	leaderSince       time.Duration
 	applied           consensus.Index
-	appliedEarly      consensus.Index // applied at the start from the disk's own word, before the others confirmed it
-	committedOnDisk   consensus.Index // the commit index that the disk was last told
-	reviewedCommit    consensus.Index // the commit index at the latest look at the membership
-	membershipChanged bool            // a change of the membership was committed since
-	// isApplication says that machine is an ApplicationMachine, and compactAfter after how many entries it is compacted.
+	appliedEarly      consensus.Index // applied at the start on the disk's record, before a leader confirmed it
+	committedOnDisk   consensus.Index // the commit index last written to disk
+	reviewedCommit    consensus.Index // the commit index at the latest review of the membership
+	membershipChanged bool            // a membership change was committed since the latest review
+	// isApplication is set if machine is an ApplicationMachine. compactAfter is the number of entries between snapshots.
 	isApplication bool
 	compactAfter  int
-	// since the latest snapshot
+	// Counted since the latest snapshot.
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 }
 
-// pendingMessage wait for a batch to be on disk.
+// pendingMessage is a message that must not be sent before a batch is on disk.
 type pendingMessage struct {
 	after   uint64
 	message consensus.Outgoing
 }
 
-// Open reads the disk and starts the nodes. It fails while the disk refuses writes, and may be called again.
+// Open reads the disk and starts the nodes. It fails while disk writes fail, and may then be called again.
 func Open(config Config) (*Host, error) {
 	log, records, err := disklog.Open(config.Files, config.Sizes)
 	if err != nil {
@@ -166,7 +166,7 @@
 	return h, nil
 }
 
-// diskFailed tells the nodes that the disk began or ceased to refuse writes.
+// diskFailed notifies the nodes that disk writes started to fail or succeed again.
 func (h *Host) diskFailed(failed bool) {
 	for _, g := range h.groups {
 		if failed {
@@ -177,7 +177,7 @@
 	}
 }
 
-// Self is this member, with its identity.
+// Self returns this member, with its identity.
 func (h *Host) Self() consensus.Member { return h.config.Self }
 
 // open starts the node of one partition.
@@ -223,15 +223,15 @@
 	return nil
 }
 
-// Note is what Keep was given last, as the disk has it.
+// Note returns the note that was on disk at the start. See SetNote.
 func (h *Host) Note() []byte { return h.writer.initialNote }
 
-// SetNote has bytes kept on the disk beside the partitions, some time soon.
+// SetNote stores a note on disk beside the partitions. It does not wait for the write.
 func (h *Host) SetNote(note []byte) { h.writer.writeNote(note) }
 
 func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
-// post has the host's goroutine run an event; after Run has ended it does nothing.
+// post queues an event for the host's goroutine. It does nothing after Run has returned.
 func (h *Host) post(event func()) {
 	select {
 	case h.events <- event:
@@ -265,7 +265,7 @@
 	}
 }
 
-// continueReconfigure takes the next step of memberships of which one was just committed.
+// continueReconfigure takes the next membership step in partitions where one was just committed.
 func (h *Host) continueReconfigure() {
 	for _, g := range h.groups {
 		if !g.membershipChanged {
@@ -279,7 +279,7 @@
 	}
 }
 
-// drainEvents runs the events that are there already, so that what they bring travels and is written together.
+// drainEvents runs the events that are already queued, so that their messages and records are batched.
 func (h *Host) drainEvents() {
 	for range cap(h.events) {
 		select {
@@ -291,7 +291,7 @@
 	}
 }
 
-// untilTick is how long nothing has to be done unless something happens.
+// untilTick returns the time until the next node needs a tick.
 func (h *Host) untilTick() time.Duration {
 	wait := time.Hour
 	now := h.now()
@@ -308,7 +308,7 @@
 	}
 }
 
-// flush carries out what the nodes want done.
+// flush handles the nodes' pending output.
 func (h *Host) flush() {
 	for _, g := range h.groups {
 		h.handleOutput(g, g.node.TakeOutput())
@@ -318,7 +318,7 @@
 	h.senders.flush()
 }
 
-// publishRoles notes for others how this member stands to its partitions.
+// publishRoles updates the flags that other goroutines read: known leaders, voter and leading.
 func (h *Host) publishRoles() {
 	led, voter, leading := len(h.groups) > 0, len(h.groups) > 0, false
 	for _, g := range h.groups {
@@ -361,7 +361,7 @@
 	h.compact(g)
 }
 
-// persisted notes that a batch is on disk and sends what waited for it.
+// persisted tells the node that a batch is on disk and sends the messages that waited for it.
 func (h *Host) persisted(g *group, sequence uint64) {
 	g.node.Persisted(h.now(), sequence)
 	kept := g.awaitingPersist[:0]
@@ -375,7 +375,7 @@
 	g.awaitingPersist = kept
 }
 
-// reportLeadership tells of changes of leadership.
+// reportLeadership logs a change of leadership and calls OnLead.
 func (h *Host) reportLeadership(g *group) {
 	leads := g.node.IsLeader()
 	if leads == g.wasLeader {
--- a/internal/control/partition/identity.go
+++ b/internal/control/partition/identity.go
@@ -9,13 +9,15 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// FounderID is the identity of a founder: all of them agree on it when the whole system starts for the first time.
+// FounderID returns the identity of a founder. It is derived from the address, so that all founders agree on it when the
+// cluster starts for the first time.
 func FounderID(address string) consensus.MemberID {
 	return consensus.MemberID(xxhash.Sum64String("founder/"+address) | 1)
 }
 
-// assignIdentity settles who this member is: whom its disk says, a founder at the very first start, or else a new member. What
-// a lost disk had promised is unknown, so its identity never comes back.
+// assignIdentity determines this member's identity: the one on disk, a founder's at the first start of the cluster, or else a
+// new one. A member that lost its disk never reuses its old identity, because the votes and acknowledgements that it gave are
+// unknown.
 func (h *Host) assignIdentity(state *diskState) error {
 	if state.identity.ID != 0 {
 		h.config.Self.ID = state.identity.ID
@@ -30,7 +32,7 @@
 	return h.writer.log.Append(records)
 }
 
-// bootstrap makes the partitions' first state, if this member is a founder at the very first start.
+// bootstrap returns the partitions' initial records if this member is a founder at the first start of the cluster.
 func (h *Host) bootstrap(state *diskState) []disklog.Record {
 	if !h.config.Bootstrap {
 		return nil
--- a/internal/control/partition/lease_test.go
+++ b/internal/control/partition/lease_test.go
@@ -9,7 +9,7 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// singleVoterAt returns a node that is the only voter, and the time at which it was elected and has committed.
+// singleVoterAt returns a node that is the only voter, and the time at which it was elected and committed its first entry.
 func singleVoterAt(c *qt.C) (*consensus.Node, time.Duration) {
 	voter := consensus.Member{ID: 1, Address: "a", Node: "a"}
 	snapshot := consensus.Bootstrap(consensus.Membership{Voters: []consensus.Member{voter}})
@@ -26,14 +26,14 @@
 
 func TestLeaseFenceIsTheTerm(t *testing.T) {
 	c := qt.New(t)
-	// Given a member that leads, when its lease is asked for, then its fence is the term.
+	// Given a leader, when its lease is read, then its fence is the term.
 	node, elected := singleVoterAt(c)
 	later := elected + time.Second
 	lease := LeaseOf(node, later, elected)
 	c.Assert(lease.Fence, qt.Equals, uint64(node.Status().Term))
 	c.Assert(lease.Held, qt.Equals, time.Second)
 	c.Assert(lease.Left, qt.Equals, node.LeaseUntil()-later)
-	// When its disk refuses and it steps down, then nothing is left of the lease.
+	// When its disk fails and it steps down, then the lease is empty.
 	node.DiskFailed(later)
 	c.Assert(LeaseOf(node, later, elected), qt.Equals, Lease{})
 }
--- a/internal/control/partition/leave.go
+++ b/internal/control/partition/leave.go
@@ -8,13 +8,13 @@
 	"sumacloft/internal/control/reconfigure"
 )
 
-// leaveState is what a member that was told to end still waits for. Its zero value waits for nothing.
+// leaveState tracks which partitions a leaving member still waits for. The zero value waits for none.
 type leaveState struct {
 	mu    sync.Mutex
-	holds map[Group]reconfigure.Hold // partitions that have not let it end; Free: their leader has not said why
+	holds map[Group]reconfigure.Hold // partitions that have not let it leave; Free if their leader has not answered
 }
 
-// begin notes that the partitions are waited for.
+// begin adds all partitions as waited for.
 func (e *leaveState) begin(groups map[Group]*group) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,7 +24,7 @@
 	}
 }
 
-// applyAnswer takes the word of a member that leads some of the partitions.
+// applyAnswer applies the answer of a member that leads some of the partitions.
 func (e *leaveState) applyAnswer(answer *JoinAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,15 +38,15 @@
 	}
 }
 
-// done tells whether all partitions have let the member end.
+// done reports whether all partitions have let the member leave.
 func (e *leaveState) done() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.holds) == 0
 }
 
-// LeaveHolds lists what this member, told to end, waits for, by partition: none if it was not told to, or may end. A
-// partition whose leader has not answered yet stands there with reconfigure.Free.
+// LeaveHolds returns, by partition, why this member may not leave yet. It is empty if Leave was not called or if the member may
+// leave. The value is reconfigure.Free for a partition whose leader has not answered yet.
 func (h *Host) LeaveHolds() map[Group]reconfigure.Hold {
 	h.leaveState.mu.Lock()
 	defer h.leaveState.mu.Unlock()
@@ -57,12 +57,12 @@
 	return holds
 }
 
-// Leave has this member end in good order: it hands over what it leads, says that it ends, and goes on taking part until
-// each partition lets it end, at most until the context ends. It tells whether all have. Ending says what it waits for.
+// Leave shuts this member down gracefully: it transfers leadership, announces its leave, and keeps participating until every
+// partition lets it leave or the context ends. It reports whether all partitions have. LeaveHolds reports what it waits for.
 //
-// A partition lets a member end once the voters that are left can do without it (reconfigure.HoldOf): otherwise what it
-// alone holds beside one that is lost would be lost too, or nobody could be elected. A member that is alone in all
-// partitions has nobody to wait for.
+// A partition lets a member leave once the remaining voters can do without it (reconfigure.HoldOf). Otherwise data held only by
+// this member and a lost one would be lost, or no leader could be elected. A member that is the only one in all partitions
+// waits for none.
 func (h *Host) Leave(ctx context.Context) bool {
 	h.leaveState.begin(h.groups)
 	onlyMember := make(chan bool, 1)
@@ -92,8 +92,8 @@
 	return true
 }
 
-// repeatLeave goes on telling the others that this member ends for as long as its process runs: one that was let go must not
-// count as staying when another asks.
+// repeatLeave keeps announcing the leave until the process ends: a member that was let go must not count as staying when
+// another one asks to leave.
 func (h *Host) repeatLeave() {
 	ticker := time.NewTicker(leaveInterval)
 	defer ticker.Stop()
@@ -107,7 +107,7 @@
 	}
 }
 
-// isOnlyMember tells whether this member is the only one of all its partitions.
+// isOnlyMember reports whether this member is the only member of every partition.
 func (h *Host) isOnlyMember() bool {
 	for _, g := range h.groups {
 		membership := g.node.Status().Membership
@@ -118,7 +118,7 @@
 	return true
 }
 
-// announceLeave hands over what this member leads and tells the others that it ends.
+// announceLeave transfers leadership of this member's partitions and sends its leave notice to the other members.
 func (h *Host) announceLeave(ctx context.Context) {
 	for _, g := range h.groups {
 		if g.node.IsLeader() {
--- a/internal/control/partition/partition_size_test.go
+++ b/internal/control/partition/partition_size_test.go
@@ -11,7 +11,7 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// sizedStep is one message of each partition, as a leader sends them together.
+// sizedStep returns one message of each partition in one Step, as a leader sends them.
 func sizedStep(partitions int, message consensus.Message) Step {
 	step := Step{}
 	for number := range partitions {
@@ -26,7 +26,7 @@
 	}
 }
 
-// The sizes bound what docs/CAPACITY.md says. One that grows past its bound is to be looked at there.
+// TestStepSizes checks the message sizes that docs/CAPACITY.md relies on. Review that page if a size exceeds its bound.
 func TestStepSizes(t *testing.T) {
 	c := qt.New(t)
 	command := strings.Repeat("x", 1_000)
--- a/internal/control/partition/propose.go
+++ b/internal/control/partition/propose.go
@@ -7,10 +7,10 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// ErrElsewhere says that another member leads the partition.
-type ErrElsewhere struct{ Leader consensus.Member } // its Address is empty while none is known
+// ErrElsewhere reports that another member leads the partition.
+type ErrElsewhere struct{ Leader consensus.Member } // its Address is empty if no leader is known
 
-// Error says what to do.
+// Error names the member to ask.
 func (e ErrElsewhere) Error() string {
 	if e.Leader.Address == "" {
 		return "the partition has no leader now: try again"
@@ -18,7 +18,7 @@
 	return "the partition is led by " + e.Leader.Node + ": ask it"
 }
 
-// proposal waits for its command to be applied.
+// proposal is a command that waits to be applied.
 type proposal struct {
 	term consensus.Term
 	done chan result
@@ -29,8 +29,8 @@
 	err   error
 }
 
-// Propose has a command committed and gives what the state machine made of it. ErrElsewhere says that nothing was done;
-// any other error that it is not known what becomes of the command.
+// Propose commits a command and returns the state machine's result. ErrElsewhere means that the command was not proposed. After
+// any other error its outcome is unknown.
 func (h *Host) Propose(ctx context.Context, number Group, command []byte) (any, error) {
 	done := make(chan result, 1)
 	h.post(func() { h.propose(number, command, done) })
@@ -63,8 +63,8 @@
 	return ErrElsewhere{}
 }
 
-// Read runs a look at a partition's state once it holds all that was committed before. ErrElsewhere says that this
-// member does not lead it, or can't be sure that it does.
+// Read runs inspect on a partition's state once that includes everything committed before the call. ErrElsewhere means that this
+// member is not the leader or cannot confirm that it is.
 func (h *Host) Read(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan error, 1)
 	h.post(func() { done <- h.read(number, inspect) })
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// ReadUnconfirmed runs a look at a partition's state as it is here: others may know better.
+// ReadUnconfirmed runs inspect on the local state, which may be stale.
 func (h *Host) ReadUnconfirmed(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan struct{})
 	h.post(func() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Lease gives this member's lease on a partition, as a majority granted it; false if it holds none.
+// Lease returns this member's lease on a partition as granted by a majority, and false if it holds none.
 func (h *Host) Lease(ctx context.Context, number Group) (Lease, bool) {
 	done := make(chan Lease, 1)
 	h.post(func() { done <- h.lease(number) })
--- a/internal/control/partition/remains.go
+++ b/internal/control/partition/remains.go
@@ -13,31 +13,31 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// ErrNotRestorable is the class of disks from which partitions can't be restored.
+// ErrNotRestorable is the class of errors for disks from which partitions cannot be restored.
 var ErrNotRestorable = errs.Class("partition: this disk can't be restored from")
 
-// RestoreGap is how far the indexes and terms of restored partitions lie above those on the disk. What others may have
-// seen beyond this disk, entries and elections, is less than that.
+// RestoreGap is added to the indexes and terms on disk when partitions are restored. Entries and elections that other members
+// may have seen beyond this disk must stay below this gap.
 const RestoreGap = 1 << 20
 
-// OfflineDisk is what the disk of a stopped member holds of the partitions. Use OpenRemains, then Close.
+// OfflineDisk is the stored state of a stopped member. Use OpenOfflineDisk, then Close.
 type OfflineDisk struct {
 	log      *disklog.Log
 	state    *diskState
 	machines map[Group]StateMachine
 }
 
-// OfflineGroup is what it holds of one partition.
+// OfflineGroup is the stored state of one partition.
 type OfflineGroup struct {
 	Number    Group
-	Term      consensus.Term  // the latest that the member has seen
-	Committed consensus.Index // up to which the member knew the log to be committed
-	Last      consensus.Index // of the log
-	LastTerm  consensus.Term  // of the log's last entry: of two disks the one with the higher last term holds more, then the longer one
+	Term      consensus.Term  // highest term that the member has seen
+	Committed consensus.Index // highest commit index known to the member
+	Last      consensus.Index // last index of the log
+	LastTerm  consensus.Term  // term of the log's last entry; the disk with the higher LastTerm is more recent, at equal terms the longer log
 	Voters    []consensus.Member
 }
 
-// OpenOfflineDisk reads the disk of a member that does not run. The machines are those of all partitions, empty.
+// OpenOfflineDisk reads the disk of a stopped member. The machines must be those of all partitions, empty.
 func OpenOfflineDisk(files disklog.FileSystem, machines map[Group]StateMachine) (*OfflineDisk, error) {
 	sizes, err := disklog.Measures(files)
 	if err != nil {
@@ -49,19 +49,19 @@
 	}
 	state, err := replayRecords(records)
 	if err != nil {
-		_ = log.Close() // what can't be read matters more
+		_ = log.Close() // the replay error takes precedence
 		return nil, err
 	}
 	return &OfflineDisk{log: log, state: state, machines: machines}, nil
 }
 
-// Close lets go of the disk.
+// Close closes the disk log.
 func (r *OfflineDisk) Close() error { return r.log.Close() }
 
-// Self is the member whose disk it is.
+// Self returns the member that the disk belongs to.
 func (r *OfflineDisk) Self() consensus.Member { return r.state.identity }
 
-// Groups lists what is there, by partition.
+// Groups returns the stored partitions in the order of their numbers.
 func (r *OfflineDisk) Groups() []OfflineGroup {
 	var list []OfflineGroup
 	for number, stored := range r.state.groups {
@@ -93,10 +93,10 @@
 	return summary
 }
 
-// Restore makes this disk the only member of all partitions, under a new identity, with all that it holds: also entries
-// of which it is not known whether they were committed. Terms, and with them fences, and indexes go on RestoreGap above
-// what the disk knows. The machine's other disks must never be used again, as their members would count for the old
-// partitions. It changes the disk in one step, or fails and changes nothing.
+// Restore makes this disk the only member of all partitions, under a new identity. It keeps all entries on the disk, including
+// those not known to be committed. Terms (and so fences) and indexes continue RestoreGap above those on disk. The other members'
+// disks must never be used again, since they still count as members of the old partitions. The change is atomic: on error the
+// disk is unchanged.
 func (r *OfflineDisk) Restore() error {
 	if len(r.state.groups) == 0 || r.state.identity.ID == 0 {
 		return ErrNotRestorable.New("it holds no partition: its member had not joined yet; use the disk of another member")
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// isUnused tells whether a partition is one of applications' calls on a disk that holds none of these: they were not promised.
+// isUnused reports whether a partition holds application calls and the disk has no partition of that kind at all. Such a
+// disk is complete without them.
 func (r *OfflineDisk) isUnused(number Group) bool {
 	if _, ok := r.machines[number].(ApplicationMachine); !ok {
 		return false
@@ -138,13 +139,13 @@
 	return true
 }
 
-// Rebaser is a state machine whose state names indexes of the log.
+// Rebaser is a state machine whose state contains log indexes.
 type Rebaser interface {
-	// Rebase has the state stand as if the entry at the index had set it.
+	// Rebase changes the state as if the entry at the index had set it.
 	Rebase(index uint64)
 }
 
-// restored is the partition's state as one snapshot whose only member is self.
+// restored returns the partition's state as one snapshot whose only member is self.
 func (g *diskGroup) restored(self consensus.Member, machine StateMachine) (*diskGroup, error) {
 	if len(g.snapshot.Data) > 0 {
 		if err := machine.Restore(g.snapshot.Data); err != nil {
--- a/internal/control/partition/status.go
+++ b/internal/control/partition/status.go
@@ -10,21 +10,21 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// Status is this member's part in all partitions, at one moment.
+// Status is a consistent snapshot of this member's replicas of all partitions.
 type Status struct {
-	Now    time.Duration // the host's time, which the times in Groups are on
+	Now    time.Duration // current time on the host's clock, which Groups use too
 	Self   consensus.Member
-	Groups []GroupStatus // in the order of their numbers
+	Groups []GroupStatus // sorted by number
 	Disk   disklog.Stats // as of the latest write
 }
 
-// GroupStatus is its part in one partition.
+// GroupStatus is the status of one partition.
 type GroupStatus struct {
 	Number Group
 	consensus.Status
 }
 
-// Status is the state of the partitions. It fails where the host does not answer in time.
+// Status returns the status of all partitions. It fails if the host does not answer before the context ends.
 func (h *Host) Status(ctx context.Context) (Status, error) {
 	done := make(chan Status, 1)
 	select {
@@ -53,7 +53,7 @@
 	return status
 }
 
-// recordStats keeps where the log stands for others to read; the log itself belongs to the writer's goroutine.
+// recordStats copies the log's statistics for other goroutines. The log itself belongs to the writer's goroutine.
 func (w *writer) recordStats() {
 	stats := w.log.Stats()
 	w.mu.Lock()
@@ -61,21 +61,21 @@
 	w.stats = stats
 }
 
-// latestStats is where the log stood after the latest write.
+// latestStats returns the log's statistics as of the latest write.
 func (w *writer) latestStats() disklog.Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stats
 }
 
-// Voter tells whether this member votes in all partitions, as far as it knows.
+// Voter reports whether this member votes in all partitions, as far as it knows.
 func (h *Host) Voter() bool { return h.voter.Load() }
 
-// Leads tells whether this member leads a partition. A majority has answered it within its lease then.
+// Leads reports whether this member leads a partition. A majority has then answered it within its lease.
 func (h *Host) Leads() bool { return h.leading.Load() }
 
-// HasLeaders tells whether, within the limit, this member knew a leader of every partition. One that did not is cut off from the
-// others, or the others are lost.
+// HasLeaders reports whether this member knew a leader of every partition within the limit. If not, it is partitioned from the
+// others, or they are lost.
 func (h *Host) HasLeaders(limit time.Duration) bool {
 	return h.now()-time.Duration(h.leadersKnownAt.Load()) <= limit
 }
--- a/internal/control/partition/status_test.go
+++ b/internal/control/partition/status_test.go
@@ -28,7 +28,7 @@
 
 func TestStatusReflectsCommits(t *testing.T) {
 	c := qt.New(t)
-	// Given the only member of two partitions, whose disk was just made
+	// Given the only member of two partitions, with a new disk,
 	const address = "127.0.0.1:1"
 	self := consensus.Member{ID: partition.FounderID(address), Address: address, Node: "control-1"}
 	leads := make(chan partition.Group, 2)
@@ -53,11 +53,11 @@
 	}()
 	before, err := host.Status(ctx)
 	c.Assert(err, qt.IsNil)
-	// when it leads both and a command is committed in the second one
+	// when it leads both and a command is committed in the second one,
 	c.Assert(<-leads, qt.Not(qt.Equals), <-leads)
 	_, err = host.Propose(ctx, 1, []byte("x"))
 	c.Assert(err, qt.IsNil)
-	// then its status shows it: the index is higher, the disk has more, and the member leads both, in their order.
+	// then the status shows a higher commit index, more records on disk, and both partitions in order.
 	after, err := host.Status(ctx)
 	c.Assert(err, qt.IsNil)
 	c.Assert(after.Self, qt.Equals, self)
@@ -66,7 +66,7 @@
 	c.Assert(after.Groups[1].Role, qt.Equals, consensus.RoleLeader)
 	c.Assert(after.Groups[1].Commit > before.Groups[1].Commit, qt.IsTrue)
 	c.Assert(after.Disk.Sequence > before.Disk.Sequence, qt.IsTrue)
-	// When the host has ended, then it says so instead of keeping its callers.
+	// When the host has ended, then Status fails instead of blocking.
 	cancel()
 	<-ended
 	_, err = host.Status(context.Background())
--- a/internal/control/partition/transport.go
+++ b/internal/control/partition/transport.go
@@ -13,37 +13,37 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// Item is one message of one partition.
+// Item is one consensus message of one partition.
 type Item struct {
 	Group   Group             `cbor:"1,keyasint"`
 	Message consensus.Message `cbor:"2,keyasint"`
 }
 
-// Step brings messages of all partitions to a member.
+// Step carries consensus messages of all partitions to a member.
 type Step struct {
 	Items []Item `cbor:"1,keyasint"`
-	From  string `cbor:"2,keyasint,omitempty"` // the caller's inside address
+	From  string `cbor:"2,keyasint,omitempty"` // the caller's internal address
 }
 
-// StepAnswer brings what the member has for the caller by then: answers that need not wait for its disk. What comes later
-// travels in calls of its own.
+// StepAnswer carries the messages that are ready for the caller: answers that need not wait for the disk. Later ones are sent
+// in separate calls.
 type StepAnswer struct {
 	Items []Item `cbor:"1,keyasint,omitempty"`
 }
 
-// Join asks to be taken into all partitions.
+// Join asks the leaders to add a member to all partitions, or announces its leave.
 type Join struct {
 	Member  consensus.Member `cbor:"1,keyasint"`
-	Leaving bool             `cbor:"2,keyasint,omitempty"` // the member ends instead
+	Leaving bool             `cbor:"2,keyasint,omitempty"` // the member leaves instead
 }
 
-// JoinAnswer says that the wish is known.
+// JoinAnswer acknowledges a Join.
 type JoinAnswer struct {
-	MayLeave []Group `cbor:"1,keyasint,omitempty"` // partitions that the answering member leads and that let the member end
-	Holds    []Held  `cbor:"2,keyasint,omitempty"` // those that it leads and that do not, and why
+	MayLeave []Group `cbor:"1,keyasint,omitempty"` // partitions led by the answering member that let the member leave
+	Holds    []Held  `cbor:"2,keyasint,omitempty"` // partitions led by the answering member that do not, with the reason
 }
 
-// Held is a partition that does not let a member end yet.
+// Held is a partition that does not let a member leave yet.
 type Held struct {
 	Group Group            `cbor:"1,keyasint"`
 	Why   reconfigure.Hold `cbor:"2,keyasint"`
@@ -55,21 +55,21 @@
 )
 
 const (
-	// sendTimeout bounds one call to a peer that carries little.
+	// sendTimeout bounds a call to a peer, before the time for its payload is added.
 	sendTimeout = 700 * time.Millisecond
-	// minLinkRate is the rate, in bytes a second, at which a call may carry what it does: 10 Mbit/s.
+	// minLinkRate is the assumed minimum link rate in bytes per second: 10 Mbit/s.
 	minLinkRate = 10 << 20 / 8
-	// queueLimit bounds the messages that wait for a peer; older ones are dropped, consensus makes up for them.
+	// queueLimit bounds the messages queued for a peer. Older ones are dropped, and consensus recovers from that.
 	queueLimit = 512
 )
 
-// Handle serves the partitions' calls on the mux.
+// Handle registers the partitions' RPC handlers on the mux.
 func (h *Host) Handle(mux *http.ServeMux) {
 	callStep.Handle(mux, h.answerStep)
 	callJoin.Handle(mux, h.answerJoin)
 }
 
-// answerJoin takes a wish.
+// answerJoin handles a Join call.
 func (h *Host) answerJoin(ctx context.Context, join *Join) (*JoinAnswer, error) {
 	answer := make(chan *JoinAnswer, 1)
 	h.post(func() { answer <- h.handleJoin(join) })
@@ -83,7 +83,7 @@
 	}
 }
 
-// answerStep takes messages and answers with what they bring about at once.
+// answerStep handles a Step call. The answer carries the messages that are ready at once.
 func (h *Host) answerStep(ctx context.Context, step *Step) (*StepAnswer, error) {
 	answer := make(chan []Item, 1)
 	h.post(func() {
@@ -116,34 +116,34 @@
 	}
 }
 
-// senders hold a queue for each peer. Only the host's goroutine adds peers.
+// senders holds a sender for each peer. Only the host's goroutine adds peers.
 type senders struct {
 	client         *rpc.Client
 	log            zerolog.Logger
-	self           string            // the inside address of this member
-	onAnswer       func(step []Item) // takes what came in the answer to a call
+	self           string            // the internal address of this member
+	onAnswer       func(step []Item) // receives the messages in the answer to a call
 	peers          map[string]*sender
-	pendingAnswers []pendingAnswer // calls that are answered at the next flush
+	pendingAnswers []pendingAnswer // calls to be answered at the next flush
 }
 
-// pendingAnswer is a call of a peer whose answer takes along what waits for that peer.
+// pendingAnswer is a peer's call whose answer will carry the messages queued for that peer.
 type pendingAnswer struct {
 	address string
 	to      chan<- []Item
 }
 
-// sender sends one call after the other to a peer, each with all that waits.
+// sender sends one call at a time to a peer, each with all queued messages.
 type sender struct {
 	address   string
 	shared    *senders
-	unflushed []Item // queued since the last flush
+	unflushed []Item // queued since the latest flush
 
 	mu    sync.Mutex
 	items []Item
 	busy  bool
 }
 
-// answer has the next flush answer a call of the peer.
+// answer registers a peer's call to be answered at the next flush.
 func (s *senders) answer(address string, to chan<- []Item) {
 	s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{address: address, to: to})
 }
@@ -157,7 +157,7 @@
 	peer.unflushed = append(peer.unflushed, item)
 }
 
-// flush sends what was queued: in the answer to a peer's call if there is one, else to each peer as one call.
+// flush sends the queued messages: in the answer to a peer's pending call if there is one, otherwise in one call to the peer.
 func (s *senders) flush() {
 	for _, pending := range s.pendingAnswers {
 		var items []Item
@@ -188,7 +188,7 @@
 	}
 }
 
-// run sends until nothing waits.
+// run sends until the queue is empty.
 func (p *sender) run() {
 	for {
 		items := p.takeItems()
@@ -199,7 +199,7 @@
 		answer, err := callStep.Call(ctx, p.shared.client, p.address, &Step{Items: items, From: p.shared.self})
 		cancel()
 		if err != nil {
-			p.shared.log.Info().Str("peer", p.address).Err(err).Msg("messages not delivered")
+			p.shared.log.Info().Str("peer", p.address).Err(err).Msg("failed to deliver messages")
 			continue
 		}
 		if len(answer.Items) > 0 {
@@ -208,7 +208,7 @@
 	}
 }
 
-// callTimeout is how long a call may take that carries messages.
+// callTimeout returns the timeout of a call that carries the messages.
 func callTimeout(items []Item) time.Duration {
 	size := 0
 	for _, item := range items {
