--- a/internal/control/partition/duties.go
+++ b/internal/control/partition/duties.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if hold := reconfigure.HoldOf(h.situationFor(g, status, id), id); hold != reconfigure.Free {
-			answer.Holds = append(answer.Holds, Held{Group: g.number, Why: hold})
+			answer.Holds = append(answer.Holds, Held{Group: g.number, Reason: hold})
 			continue
 		}
 		answer.MayLeave = append(answer.MayLeave, g.number)
--- a/internal/control/partition/host.go
+++ b/internal/control/partition/host.go
@@ -365,12 +365,12 @@
 func (h *Host) persisted(g *group, sequence uint64) {
 	g.node.Persisted(h.now(), sequence)
 	kept := g.awaitingPersist[:0]
-	for _, held := range g.awaitingPersist {
-		if held.after <= sequence {
-			h.send(g.number, held.message)
+	for _, pending := range g.awaitingPersist {
+		if pending.after <= sequence {
+			h.send(g.number, pending.message)
 			continue
 		}
-		kept = append(kept, held)
+		kept = append(kept, pending)
 	}
 	g.awaitingPersist = kept
 }
--- a/internal/control/partition/leave.go
+++ b/internal/control/partition/leave.go
@@ -33,7 +33,7 @@
 	}
 	for _, held := range answer.Holds {
 		if _, pending := e.holds[held.Group]; pending {
-			e.holds[held.Group] = held.Why
+			e.holds[held.Group] = held.Reason
 		}
 	}
 }
--- a/internal/control/partition/transport.go
+++ b/internal/control/partition/transport.go
@@ -45,8 +45,8 @@
 
 // Held is a partition that does not let a member leave yet.
 type Held struct {
-	Group Group            `cbor:"1,keyasint"`
-	Why   reconfigure.Hold `cbor:"2,keyasint"`
+	Group  Group            `cbor:"1,keyasint"`
+	Reason reconfigure.Hold `cbor:"2,keyasint"`
 }
 
 const (
