--- a/internal/control/partition/disk.go
+++ b/internal/control/partition/disk.go
@@ -160,8 +160,8 @@
 	wake  chan struct{}
 }
 
-func newWriter(log *disklog.Log, state *diskState, lines zerolog.Logger, post func(func())) *writer {
-	return &writer{log: log, state: state, initialNote: state.note, logger: lines, post: post, wake: make(chan struct{}, 1)}
+func newWriter(log *disklog.Log, state *diskState, logger zerolog.Logger, post func(func())) *writer {
+	return &writer{log: log, state: state, initialNote: state.note, logger: logger, post: post, wake: make(chan struct{}, 1)}
 }
 
 // add queues a batch of a consensus node.
