--- a/internal/control/partition/disk.go
+++ b/internal/control/partition/disk.go
@@ -12,31 +12,31 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// The kinds of records.
+// The kinds of disk records, with the type of their data.
 const (
-	kindIdentity  disklog.Kind = iota + 1 // of the member: consensus.Member
+	kindIdentity  disklog.Kind = iota + 1 // consensus.Member, the member's identity
 	kindHardState                         // consensus.HardState
-	kindSnapshot                          // consensus.Snapshot, in place of the whole log
-	kindCompacted                         // consensus.Snapshot, in place of the log up to it
-	kindEntry                             // consensus.Entry, in place of all from its index on
-	kindCommitted                         // consensus.Index up to which the log is known to be committed
-	kindNote                              // bytes that the host's user keeps beside the partitions
+	kindSnapshot                          // consensus.Snapshot, replaces the whole log
+	kindCompacted                         // consensus.Snapshot, replaces the log up to its index
+	kindEntry                             // consensus.Entry, replaces all entries from its index on
+	kindCommitted                         // consensus.Index, the highest known commit index
+	kindNote                              // []byte, see Host.SetNote
 )
 
-// identityGroup is the group of the identity's record; no partition has this number.
+// identityGroup is the group number of the identity and note records. No partition has this number.
 const identityGroup = 1<<32 - 1
 
-// retryInterval is how long the writer waits after the disk refused a write.
+// retryInterval is the delay before a failed write is retried.
 const retryInterval = 200 * time.Millisecond
 
-// diskState is what the disk holds.
+// diskState is the state stored on disk.
 type diskState struct {
 	identity consensus.Member
 	note     []byte
 	groups   map[Group]*diskGroup
 }
 
-// diskGroup is what it holds of one partition.
+// diskGroup is the stored state of one partition.
 type diskGroup struct {
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
@@ -44,60 +44,60 @@
 	committed consensus.Index
 }
 
-// recovered folds the records found at the start.
-func recovered(records []disklog.Record) (*diskState, error) {
+// replayRecords builds the state from the records found at the start.
+func replayRecords(records []disklog.Record) (*diskState, error) {
 	state := &diskState{groups: map[Group]*diskGroup{}}
 	for _, record := range records {
-		if err := state.take(record); err != nil {
+		if err := state.applyRecord(record); err != nil {
 			return nil, err
 		}
 	}
 	return state, nil
 }
 
-// take folds one record.
-func (s *diskState) take(record disklog.Record) error {
+// applyRecord applies one record to the state.
+func (s *diskState) applyRecord(record disklog.Record) error {
 	if record.Kind == kindIdentity {
 		return Error.Wrap(cbor.Unmarshal(record.Data, &s.identity))
 	}
 	if record.Kind == kindNote {
 		return Error.Wrap(cbor.Unmarshal(record.Data, &s.note))
 	}
-	held := s.group(Group(record.Group))
+	stored := s.group(Group(record.Group))
 	switch record.Kind {
 	case kindHardState:
-		held.hardState = consensus.HardState{}
-		return Error.Wrap(cbor.Unmarshal(record.Data, &held.hardState))
+		stored.hardState = consensus.HardState{}
+		return Error.Wrap(cbor.Unmarshal(record.Data, &stored.hardState))
 	case kindSnapshot, kindCompacted:
 		var snapshot consensus.Snapshot
 		if err := cbor.Unmarshal(record.Data, &snapshot); err != nil {
 			return Error.Wrap(err)
 		}
-		held.replace(snapshot, record.Kind == kindCompacted)
+		stored.replace(snapshot, record.Kind == kindCompacted)
 		return nil
 	case kindCommitted:
-		return Error.Wrap(cbor.Unmarshal(record.Data, &held.committed))
+		return Error.Wrap(cbor.Unmarshal(record.Data, &stored.committed))
 	case kindEntry:
 		var entry consensus.Entry
 		if err := cbor.Unmarshal(record.Data, &entry); err != nil {
 			return Error.Wrap(err)
 		}
-		held.append(entry)
+		stored.append(entry)
 		return nil
 	}
-	return Error.New("the disk holds a record of kind %d: start the release that wrote it", record.Kind)
+	return Error.New("unknown disk record of kind %d: start the release that wrote it", record.Kind)
 }
 
 func (s *diskState) group(number Group) *diskGroup {
-	held := s.groups[number]
-	if held == nil {
-		held = &diskGroup{}
-		s.groups[number] = held
+	stored := s.groups[number]
+	if stored == nil {
+		stored = &diskGroup{}
+		s.groups[number] = stored
 	}
-	return held
+	return stored
 }
 
-// replace takes a snapshot; the entries after it stay where it is one of this very log.
+// replace installs a snapshot. The entries after it are kept if the snapshot was taken of this log.
 func (g *diskGroup) replace(snapshot consensus.Snapshot, sameLog bool) {
 	g.snapshot = snapshot
 	kept := []consensus.Entry{}
@@ -109,7 +109,7 @@
 	g.entries = kept
 }
 
-// append takes an entry in place of all from its index on.
+// append adds an entry and drops all entries from its index on.
 func (g *diskGroup) append(entry consensus.Entry) {
 	for len(g.entries) > 0 && g.entries[len(g.entries)-1].Index >= entry.Index {
 		g.entries = g.entries[:len(g.entries)-1]
@@ -117,13 +117,13 @@
 	g.entries = append(g.entries, entry)
 }
 
-// records are the state as a checkpoint.
+// records returns the state as the records of a checkpoint.
 func (s *diskState) records() []disklog.Record {
 	records := []disklog.Record{newRecord(identityGroup, kindIdentity, s.identity), newRecord(identityGroup, kindNote, s.note)}
-	for number, held := range s.groups {
-		records = append(records, newRecord(number, kindSnapshot, held.snapshot), newRecord(number, kindHardState, held.hardState),
-			newRecord(number, kindCommitted, held.committed))
-		for _, entry := range held.entries {
+	for number, stored := range s.groups {
+		records = append(records, newRecord(number, kindSnapshot, stored.snapshot), newRecord(number, kindHardState, stored.hardState),
+			newRecord(number, kindCommitted, stored.committed))
+		for _, entry := range stored.entries {
 			records = append(records, newRecord(number, kindEntry, entry))
 		}
 	}
@@ -133,38 +133,38 @@
 func newRecord(number Group, kind disklog.Kind, value any) disklog.Record {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // cannot happen: plain structs can always be encoded
 	}
 	return disklog.Record{Group: uint32(number), Kind: kind, Data: data}
 }
 
-// batch is one write, and what is done once it is on disk.
+// batch is a set of records written together, with a callback for when they are on disk.
 type batch struct {
 	records []disklog.Record
 	done    func()
 }
 
-// writer writes batches in their order. It has a goroutine of its own, as the disk may stall for seconds.
+// writer writes batches in order. It has its own goroutine because the disk may stall for seconds.
 type writer struct {
 	log   *disklog.Log
 	state *diskState // what is on disk
-	// startNote is the note that the disk held at the start.
-	startNote []byte
-	lines     zerolog.Logger
-	post      func(func())
-	failed    func(bool) // told when the disk begins and ceases to refuse
+	// initialNote is the note that was on disk at the start.
+	initialNote   []byte
+	logger        zerolog.Logger
+	post          func(func())
+	onDiskFailure func(bool) // called when writes start to fail and when they succeed again
 
 	mu    sync.Mutex
 	queue []batch
-	stats disklog.Stats // after the latest write
+	stats disklog.Stats // as of the latest write
 	wake  chan struct{}
 }
 
-func newWriter(log *disklog.Log, state *diskState, lines zerolog.Logger, post func(func())) *writer {
-	return &writer{log: log, state: state, startNote: state.note, lines: lines, post: post, wake: make(chan struct{}, 1)}
+func newWriter(log *disklog.Log, state *diskState, logger zerolog.Logger, post func(func())) *writer {
+	return &writer{log: log, state: state, initialNote: state.note, logger: logger, post: post, wake: make(chan struct{}, 1)}
 }
 
-// add queues a node's batch.
+// add queues a batch of a consensus node.
 func (w *writer) add(number Group, persist *consensus.PersistBatch, done func()) {
 	var records []disklog.Record
 	if persist.HardState != nil {
@@ -176,25 +176,25 @@
 	for _, entry := range persist.Entries {
 		records = append(records, newRecord(number, kindEntry, entry))
 	}
-	w.push(batch{records: records, done: done})
+	w.enqueue(batch{records: records, done: done})
 }
 
 // compact queues a snapshot of a partition's own log.
 func (w *writer) compact(number Group, snapshot consensus.Snapshot, done func()) {
-	w.push(batch{records: []disklog.Record{newRecord(number, kindCompacted, snapshot)}, done: done})
+	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCompacted, snapshot)}, done: done})
 }
 
-// committed queues the index up to which a partition's log is known to be committed. Nothing waits for it.
-func (w *writer) committed(number Group, index consensus.Index) {
-	w.push(batch{records: []disklog.Record{newRecord(number, kindCommitted, index)}, done: func() {}})
+// writeCommitted queues a partition's commit index. Nothing waits for this write.
+func (w *writer) writeCommitted(number Group, index consensus.Index) {
+	w.enqueue(batch{records: []disklog.Record{newRecord(number, kindCommitted, index)}, done: func() {}})
 }
 
-// note queues the bytes that the host's user keeps.
-func (w *writer) note(note []byte) {
-	w.push(batch{records: []disklog.Record{newRecord(identityGroup, kindNote, note)}, done: func() {}})
+// writeNote queues the host's note.
+func (w *writer) writeNote(note []byte) {
+	w.enqueue(batch{records: []disklog.Record{newRecord(identityGroup, kindNote, note)}, done: func() {}})
 }
 
-func (w *writer) push(b batch) {
+func (w *writer) enqueue(b batch) {
 	w.mu.Lock()
 	w.queue = append(w.queue, b)
 	w.mu.Unlock()
@@ -204,8 +204,8 @@
 	}
 }
 
-// take takes all that is queued, to be written with one sync.
-func (w *writer) take() []batch {
+// takeQueue removes and returns all queued batches.
+func (w *writer) takeQueue() []batch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	taken := w.queue
@@ -213,11 +213,11 @@
 	return taken
 }
 
-// run writes until the context ends.
+// run writes queued batches until the context ends.
 func (w *writer) run(ctx context.Context) {
-	w.notePosition()
+	w.recordStats()
 	for {
-		for _, group := range together(w.take()) {
+		for _, group := range groupBatches(w.takeQueue()) {
 			if !w.persist(ctx, group) {
 				return
 			}
@@ -233,43 +233,43 @@
 	}
 }
 
-// groupBytes bounds what is written with one sync.
+// groupBytes limits the size of a write with one sync.
 const groupBytes = 2 << 20
 
-// together cuts batches into groups that are written with one sync each.
-func together(batches []batch) [][]batch {
+// groupBatches divides batches into groups, each of which is written with one sync.
+func groupBatches(batches []batch) [][]batch {
 	var groups [][]batch
 	size := groupBytes
 	for _, b := range batches {
-		bytes := 0
+		batchBytes := 0
 		for _, record := range b.records {
-			bytes += len(record.Data)
+			batchBytes += len(record.Data)
 		}
-		if size += bytes; size > groupBytes {
+		if size += batchBytes; size > groupBytes {
 			groups = append(groups, nil)
-			size = bytes
+			size = batchBytes
 		}
 		groups[len(groups)-1] = append(groups[len(groups)-1], b)
 	}
 	return groups
 }
 
-// persist writes a group of batches, again and again while the disk refuses; false says that the context has ended.
+// persist writes a group of batches and retries until it succeeds. It returns false if the context ends first.
 func (w *writer) persist(ctx context.Context, group []batch) bool {
 	var records []disklog.Record
 	for _, b := range group {
 		records = append(records, b.records...)
 	}
-	refused := false
+	failing := false
 	for {
 		err := w.write(records)
 		if err == nil {
 			break
 		}
-		if !refused {
-			refused = true
-			w.lines.Warn().Err(err).Msg("the disk refuses writes")
-			w.tellFailed(true)
+		if !failing {
+			failing = true
+			w.logger.Warn().Err(err).Msg("disk write failed, will be retried")
+			w.notifyDiskFailure(true)
 		}
 		select {
 		case <-ctx.Done():
@@ -277,19 +277,19 @@
 		case <-time.After(retryInterval):
 		}
 	}
-	if refused {
-		w.tellFailed(false)
+	if failing {
+		w.notifyDiskFailure(false)
 	}
 	return true
 }
 
-func (w *writer) tellFailed(failed bool) {
-	if w.failed != nil {
-		w.post(func() { w.failed(failed) })
+func (w *writer) notifyDiskFailure(failed bool) {
+	if w.onDiskFailure != nil {
+		w.post(func() { w.onDiskFailure(failed) })
 	}
 }
 
-// write writes records and takes them into the state; a full segment is left behind with a checkpoint.
+// write appends records and applies them to the state. When the segment is full, it starts a new one with a checkpoint.
 func (w *writer) write(records []disklog.Record) error {
 	err := w.log.Append(records)
 	if disklog.ErrSegmentFull.Has(err) {
@@ -304,18 +304,18 @@
 	if err != nil {
 		return err
 	}
-	w.notePosition()
+	w.recordStats()
 	for _, record := range records {
-		if err := w.state.take(record); err != nil {
+		if err := w.state.applyRecord(record); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkpointWith writes records that are too large to stand behind a checkpoint as a part of one.
+// checkpointWith includes the records in a checkpoint, for records too large to be appended after one.
 func (w *writer) checkpointWith(records []disklog.Record) error {
-	next, err := recovered(append(w.state.records(), records...))
+	next, err := replayRecords(append(w.state.records(), records...))
 	if err != nil {
 		return err
 	}
@@ -323,6 +323,6 @@
 		return err
 	}
 	w.state = next
-	w.notePosition()
+	w.recordStats()
 	return nil
 }
--- a/internal/control/partition/propose.go
+++ b/internal/control/partition/propose.go
@@ -7,10 +7,10 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// ErrElsewhere says that another member leads the partition.
-type ErrElsewhere struct{ Leader consensus.Member } // its Address is empty while none is known
+// ErrElsewhere reports that another member leads the partition.
+type ErrElsewhere struct{ Leader consensus.Member } // its Address is empty if no leader is known
 
-// Error says what to do.
+// Error names the member to ask.
 func (e ErrElsewhere) Error() string {
 	if e.Leader.Address == "" {
 		return "the partition has no leader now: try again"
@@ -18,7 +18,7 @@
 	return "the partition is led by " + e.Leader.Node + ": ask it"
 }
 
-// proposal waits for its command to be applied.
+// proposal is a command that waits to be applied.
 type proposal struct {
 	term consensus.Term
 	done chan result
@@ -29,14 +29,14 @@
 	err   error
 }
 
-// Propose has a command committed and gives what the state machine made of it. ErrElsewhere says that nothing was done;
-// any other error that it is not known what becomes of the command.
+// Propose commits a command and returns the state machine's result. ErrElsewhere means that the command was not proposed. After
+// any other error its outcome is unknown.
 func (h *Host) Propose(ctx context.Context, number Group, command []byte) (any, error) {
 	done := make(chan result, 1)
 	h.post(func() { h.propose(number, command, done) })
 	select {
 	case <-ctx.Done():
-		return nil, ErrUnclear.Wrap(ctx.Err())
+		return nil, ErrOutcomeUnknown.Wrap(ctx.Err())
 	case r := <-done:
 		return r.value, r.err
 	}
@@ -46,37 +46,37 @@
 	g := h.groups[number]
 	index, term, err := g.node.Propose(h.now(), command)
 	if err != nil {
-		done <- result{err: elsewhere(err)}
+		done <- result{err: notLeaderError(err)}
 		return
 	}
-	if old := g.waiting[index]; old != nil {
-		old.done <- result{err: ErrUnclear.New("another leader took over")}
+	if superseded := g.proposals[index]; superseded != nil {
+		superseded.done <- result{err: ErrOutcomeUnknown.New("another leader took over")}
 	}
-	g.waiting[index] = &proposal{term: term, done: done}
+	g.proposals[index] = &proposal{term: term, done: done}
 }
 
-func elsewhere(err error) error {
-	var other consensus.ErrNotLeader
-	if errors.As(err, &other) {
-		return ErrElsewhere{Leader: other.Leader}
+func notLeaderError(err error) error {
+	var notLeader consensus.ErrNotLeader
+	if errors.As(err, &notLeader) {
+		return ErrElsewhere{Leader: notLeader.Leader}
 	}
 	return ErrElsewhere{}
 }
 
-// Read runs a look at a partition's state once it holds all that was committed before. ErrElsewhere says that this
-// member does not lead it, or can't be sure that it does.
-func (h *Host) Read(ctx context.Context, number Group, look func()) error {
+// Read runs inspect on a partition's state once that includes everything committed before the call. ErrElsewhere means that this
+// member is not the leader or cannot confirm that it is.
+func (h *Host) Read(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan error, 1)
-	h.post(func() { done <- h.read(number, look) })
+	h.post(func() { done <- h.read(number, inspect) })
 	select {
 	case <-ctx.Done():
-		return ErrUnclear.Wrap(ctx.Err())
+		return ErrOutcomeUnknown.Wrap(ctx.Err())
 	case err := <-done:
 		return err
 	}
 }
 
-func (h *Host) read(number Group, look func()) error {
+func (h *Host) read(number Group, inspect func()) error {
 	g := h.groups[number]
 	index, ready := g.node.ReadIndexReady(h.now())
 	if !ready || g.applied < index {
@@ -86,26 +86,26 @@
 		}
 		return ErrElsewhere{Leader: leader}
 	}
-	look()
+	inspect()
 	return nil
 }
 
-// ReadUnconfirmed runs a look at a partition's state as it is here: others may know better.
-func (h *Host) ReadUnconfirmed(ctx context.Context, number Group, look func()) error {
+// ReadUnconfirmed runs inspect on the local state, which may be stale.
+func (h *Host) ReadUnconfirmed(ctx context.Context, number Group, inspect func()) error {
 	done := make(chan struct{})
 	h.post(func() {
-		look()
+		inspect()
 		close(done)
 	})
 	select {
 	case <-ctx.Done():
-		return ErrUnclear.Wrap(ctx.Err())
+		return ErrOutcomeUnknown.Wrap(ctx.Err())
 	case <-done:
 		return nil
 	}
 }
 
-// Lease gives this member's lease on a partition, as a majority granted it; false if it holds none.
+// Lease returns this member's lease on a partition as granted by a majority, and false if it holds none.
 func (h *Host) Lease(ctx context.Context, number Group) (Lease, bool) {
 	done := make(chan Lease, 1)
 	h.post(func() { done <- h.lease(number) })
@@ -119,5 +119,5 @@
 
 func (h *Host) lease(number Group) Lease {
 	g := h.groups[number]
-	return LeaseOf(g.node, h.now(), g.ledSince)
+	return LeaseOf(g.node, h.now(), g.leaderSince)
 }
--- a/internal/control/partition/remains.go
+++ b/internal/control/partition/remains.go
@@ -13,32 +13,32 @@
 	"sumacloft/internal/control/disklog"
 )
 
-// ErrRemains is the class of disks from which partitions can't be restored.
-var ErrRemains = errs.Class("partition: this disk can't be restored from")
+// ErrNotRestorable is the class of errors for disks from which partitions cannot be restored.
+var ErrNotRestorable = errs.Class("partition: this disk can't be restored from")
 
-// RestoreGap is how far the indexes and terms of restored partitions lie above those on the disk. What others may have
-// seen beyond this disk, entries and elections, is less than that.
+// RestoreGap is added to the indexes and terms on disk when partitions are restored. Entries and elections that other members
+// may have seen beyond this disk must stay below this gap.
 const RestoreGap = 1 << 20
 
-// Remains is what the disk of a stopped member holds of the partitions. Use OpenRemains, then Close.
-type Remains struct {
+// OfflineDisk is the stored state of a stopped member. Use OpenOfflineDisk, then Close.
+type OfflineDisk struct {
 	log      *disklog.Log
 	state    *diskState
 	machines map[Group]StateMachine
 }
 
-// GroupRemains is what it holds of one partition.
-type GroupRemains struct {
+// OfflineGroup is the stored state of one partition.
+type OfflineGroup struct {
 	Number    Group
-	Term      consensus.Term  // the latest that the member has seen
-	Committed consensus.Index // up to which the member knew the log to be committed
-	Last      consensus.Index // of the log
-	LastTerm  consensus.Term  // of the log's last entry: of two disks the one with the higher last term holds more, then the longer one
+	Term      consensus.Term  // highest term that the member has seen
+	Committed consensus.Index // highest commit index known to the member
+	Last      consensus.Index // last index of the log
+	LastTerm  consensus.Term  // term of the log's last entry; the disk with the higher LastTerm is more recent, at equal terms the longer log
 	Voters    []consensus.Member
 }
 
-// OpenRemains reads the disk of a member that does not run. The machines are those of all partitions, empty.
-func OpenRemains(files disklog.FileSystem, machines map[Group]StateMachine) (*Remains, error) {
+// OpenOfflineDisk reads the disk of a stopped member. The machines must be those of all partitions, empty.
+func OpenOfflineDisk(files disklog.FileSystem, machines map[Group]StateMachine) (*OfflineDisk, error) {
 	sizes, err := disklog.Measures(files)
 	if err != nil {
 		return nil, err
@@ -47,32 +47,32 @@
 	if err != nil {
 		return nil, err
 	}
-	state, err := recovered(records)
+	state, err := replayRecords(records)
 	if err != nil {
-		_ = log.Close() // what can't be read matters more
+		_ = log.Close() // the replay error takes precedence
 		return nil, err
 	}
-	return &Remains{log: log, state: state, machines: machines}, nil
+	return &OfflineDisk{log: log, state: state, machines: machines}, nil
 }
 
-// Close lets go of the disk.
-func (r *Remains) Close() error { return r.log.Close() }
+// Close closes the disk log.
+func (r *OfflineDisk) Close() error { return r.log.Close() }
 
-// Self is the member whose disk it is.
-func (r *Remains) Self() consensus.Member { return r.state.identity }
+// Self returns the member that the disk belongs to.
+func (r *OfflineDisk) Self() consensus.Member { return r.state.identity }
 
-// Groups lists what is there, by partition.
-func (r *Remains) Groups() []GroupRemains {
-	var list []GroupRemains
-	for number, held := range r.state.groups {
-		list = append(list, held.remains(number))
+// Groups returns the stored partitions in the order of their numbers.
+func (r *OfflineDisk) Groups() []OfflineGroup {
+	var list []OfflineGroup
+	for number, stored := range r.state.groups {
+		list = append(list, stored.summary(number))
 	}
-	slices.SortFunc(list, func(a, b GroupRemains) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(list, func(a, b OfflineGroup) int { return cmp.Compare(a.Number, b.Number) })
 	return list
 }
 
-func (g *diskGroup) remains(number Group) GroupRemains {
-	told := GroupRemains{
+func (g *diskGroup) summary(number Group) OfflineGroup {
+	summary := OfflineGroup{
 		Number:    number,
 		Term:      g.hardState.Term,
 		Committed: max(g.committed, g.snapshot.Index),
@@ -81,38 +81,38 @@
 		Voters:    g.snapshot.Membership.Voters,
 	}
 	for _, entry := range g.entries {
-		told.Last, told.LastTerm = entry.Index, entry.Term
+		summary.Last, summary.LastTerm = entry.Index, entry.Term
 		if entry.Kind == consensus.EntryMembership {
 			var membership consensus.Membership
 			if cbor.Unmarshal(entry.Data, &membership) == nil {
-				told.Voters = membership.Voters
+				summary.Voters = membership.Voters
 			}
 		}
 	}
-	told.Term = max(told.Term, told.LastTerm)
-	return told
+	summary.Term = max(summary.Term, summary.LastTerm)
+	return summary
 }
 
-// Restore makes this disk the only member of all partitions, under a new identity, with all that it holds: also entries
-// of which it is not known whether they were committed. Terms, and with them fences, and indexes go on RestoreGap above
-// what the disk knows. The machine's other disks must never be used again, as their members would count for the old
-// partitions. It changes the disk in one step, or fails and changes nothing.
-func (r *Remains) Restore() error {
+// Restore makes this disk the only member of all partitions, under a new identity. It keeps all entries on the disk, including
+// those not known to be committed. Terms (and so fences) and indexes continue RestoreGap above those on disk. The other members'
+// disks must never be used again, since they still count as members of the old partitions. The change is atomic: on error the
+// disk is unchanged.
+func (r *OfflineDisk) Restore() error {
 	if len(r.state.groups) == 0 || r.state.identity.ID == 0 {
-		return ErrRemains.New("it holds no partition: its member had not joined yet; use the disk of another member")
+		return ErrNotRestorable.New("it holds no partition: its member had not joined yet; use the disk of another member")
 	}
 	self := r.state.identity
 	self.ID = consensus.MemberID(rand.Uint64() | 1)
 	next := &diskState{identity: self, note: r.state.note, groups: map[Group]*diskGroup{}}
 	for _, number := range slices.Sorted(maps.Keys(r.machines)) {
-		held := r.state.groups[number]
-		if held == nil && r.unused(number) {
+		stored := r.state.groups[number]
+		if stored == nil && r.isUnused(number) {
 			continue
 		}
-		if held == nil {
-			return ErrRemains.New("partition %d is missing: its member had not joined it yet; use the disk of another member", number)
+		if stored == nil {
+			return ErrNotRestorable.New("partition %d is missing: its member had not joined it yet; use the disk of another member", number)
 		}
-		restored, err := held.restored(self, r.machines[number])
+		restored, err := stored.restored(self, r.machines[number])
 		if err != nil {
 			return err
 		}
@@ -125,26 +125,27 @@
 	return nil
 }
 
-// unused tells whether a partition is one of applications' calls on a disk that holds none of these: they were not promised.
-func (r *Remains) unused(number Group) bool {
-	if _, is := r.machines[number].(ApplicationMachine); !is {
+// isUnused reports whether a partition holds application calls and the disk has no partition of that kind at all. Such a
+// disk is complete without them.
+func (r *OfflineDisk) isUnused(number Group) bool {
+	if _, ok := r.machines[number].(ApplicationMachine); !ok {
 		return false
 	}
 	for other, machine := range r.machines {
-		if _, is := machine.(ApplicationMachine); is && r.state.groups[other] != nil {
+		if _, ok := machine.(ApplicationMachine); ok && r.state.groups[other] != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// Rebaser is a state machine whose state names indexes of the log.
+// Rebaser is a state machine whose state contains log indexes.
 type Rebaser interface {
-	// Rebase has the state stand as if the entry at the index had set it.
+	// Rebase changes the state as if the entry at the index had set it.
 	Rebase(index uint64)
 }
 
-// restored is the partition's state as one snapshot whose only member is self.
+// restored returns the partition's state as one snapshot whose only member is self.
 func (g *diskGroup) restored(self consensus.Member, machine StateMachine) (*diskGroup, error) {
 	if len(g.snapshot.Data) > 0 {
 		if err := machine.Restore(g.snapshot.Data); err != nil {
@@ -156,10 +157,10 @@
 			machine.Apply(uint64(entry.Index), entry.Data)
 		}
 	}
-	known := g.remains(0)
-	index, term := known.Last+RestoreGap, known.Term+RestoreGap
-	if rebased, does := machine.(Rebaser); does {
-		rebased.Rebase(uint64(index))
+	summary := g.summary(0)
+	index, term := summary.Last+RestoreGap, summary.Term+RestoreGap
+	if rebaser, ok := machine.(Rebaser); ok {
+		rebaser.Rebase(uint64(index))
 	}
 	snapshot := consensus.Snapshot{
 		Index:      index,
--- a/internal/control/registry/beat.go
+++ b/internal/control/registry/beat.go
@@ -11,7 +11,7 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's failures.
+// Error is the class of this package's errors.
 var Error = errs.Class("registry")
 
 // Beat is one heartbeat of a worker.
@@ -29,40 +29,41 @@
 	CallCount uint64
 }
 
-// BeatProblem is what is wrong with a field of a heartbeat.
+// BeatProblem is the kind of error in a field of a heartbeat.
 type BeatProblem string
 
-// The problems of heartbeats.
+// The problems that ParseBeat reports.
 const (
-	NotJSON     BeatProblem = "is not a JSON object"
-	Missing     BeatProblem = "is missing"
-	WrongType   BeatProblem = "has the wrong type"
-	OutOfRange  BeatProblem = "is out of range"
-	UnknownWord BeatProblem = "holds an unknown word"
-	NoAddress   BeatProblem = "is no host:port"
+	NotJSON        BeatProblem = "is not a JSON object"
+	Missing        BeatProblem = "is missing"
+	WrongType      BeatProblem = "has the wrong type"
+	OutOfRange     BeatProblem = "is out of range"
+	UnknownValue   BeatProblem = "holds an unknown word"
+	InvalidAddress BeatProblem = "is no host:port"
 )
 
-// BeatFault reports a heartbeat that cannot be taken.
+// BeatFault reports a heartbeat that was rejected.
 type BeatFault struct {
 	WorkerID string
-	Field    string // its path in the body; "body" for the whole
+	Field    string // path within the body, or "body" for the body as a whole
 	Problem  BeatProblem
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (f *BeatFault) Error() string {
 	return fmt.Sprintf("heartbeat of worker %q: %s %s; check what this worker's release sends",
 		f.WorkerID, f.Field, f.Problem)
 }
 
-// maxCallCount leaves room for the lowest bit of an entry's version.
+// maxCallCount reserves the lowest bit of an entry's version for lapsedMinor.
 const maxCallCount = math.MaxUint64 / 2
 
-// maxColdLeft bounds what a worker may say, so that no sum of durations overflows.
+// maxColdLeft caps the reported cold time so that sums of durations cannot overflow.
 const maxColdLeft = 24 * time.Hour
 
-// ParseBeat reads the body of a heartbeat. The service, the address and the call count have to be there; what
-// else is missing or null is empty, and the state Up. Unknown fields are skipped. It fails with a BeatFault.
+// ParseBeat parses the body of a heartbeat. The service, the address and the call count are required. Other fields
+// that are missing or null take the zero value, and the state defaults to Up. Unknown fields are ignored. Errors are of
+// type BeatFault.
 func ParseBeat(id string, body []byte) (Beat, error) {
 	reader := beatReader{id: id, body: gjson.ParseBytes(body)}
 	if !gjson.ValidBytes(body) || !reader.body.IsObject() {
@@ -75,7 +76,7 @@
 		Address:   reader.address("address"),
 		Zone:      reader.text("zone"),
 		Version:   reader.text("version"),
-		Capacity:  int(reader.whole("capacity", math.MaxInt32)),
+		Capacity:  int(reader.integer("capacity", math.MaxInt32)),
 		State:     reader.state("state"),
 		ColdLeft:  reader.milliseconds("cold_left_ms"),
 		Phase:     reader.text("phase"),
@@ -85,13 +86,13 @@
 	if id == "" {
 		reader.fail("id", Missing)
 	}
-	if reader.first != nil {
+	if reader.firstFault != nil {
 		return Beat{}, reader.fault()
 	}
 	return beat, nil
 }
 
-// worker is the state that a heartbeat reports when heard by the control member home.
+// worker returns the worker state that the heartbeat reports to the control member home.
 func (b Beat) worker(home string) Worker {
 	return Worker{
 		ID:        b.ID,
@@ -109,24 +110,24 @@
 	}
 }
 
-// beatReader reads fields one by one and keeps the first fault.
+// beatReader reads the fields of a heartbeat and keeps the first fault.
 type beatReader struct {
-	id    string
-	body  gjson.Result
-	first *BeatFault
+	id         string
+	body       gjson.Result
+	firstFault *BeatFault
 }
 
 func (r *beatReader) fail(field string, problem BeatProblem) {
-	if r.first == nil {
-		r.first = &BeatFault{WorkerID: r.id, Field: field, Problem: problem}
+	if r.firstFault == nil {
+		r.firstFault = &BeatFault{WorkerID: r.id, Field: field, Problem: problem}
 	}
 }
 
 func (r *beatReader) fault() error {
-	return Error.Wrap(r.first)
+	return Error.Wrap(r.firstFault)
 }
 
-// field finds a field of the body; null is as good as missing.
+// field looks up a field of the body. A null field counts as missing.
 func (r *beatReader) field(path string) (gjson.Result, bool) {
 	found := r.body.Get(path)
 	return found, found.Exists() && found.Type != gjson.Null
@@ -157,13 +158,13 @@
 	host, port, err := net.SplitHostPort(address)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil || host == "" || number == 0 {
-		r.fail(path, NoAddress)
+		r.fail(path, InvalidAddress)
 	}
 	return address
 }
 
-// whole reads a whole number from 0 to most; one that is missing is 0.
-func (r *beatReader) whole(path string, most uint64) uint64 {
+// integer reads an integer from 0 to limit. A missing field is 0.
+func (r *beatReader) integer(path string, limit uint64) uint64 {
 	found, present := r.field(path)
 	if !present {
 		return 0
@@ -172,15 +173,15 @@
 		r.fail(path, WrongType)
 		return 0
 	}
-	return r.inRange(path, found, most)
+	return r.inRange(path, found, limit)
 }
 
-func (r *beatReader) inRange(path string, found gjson.Result, most uint64) uint64 {
+func (r *beatReader) inRange(path string, found gjson.Result, limit uint64) uint64 {
 	number, err := strconv.ParseUint(found.Raw, 10, 64)
 	if err != nil {
-		number = uint64(max(0, found.Num)) // such as 3.0 or 1e3
+		number = uint64(max(0, found.Num)) // notations such as 3.0 or 1e3
 	}
-	if found.Num < 0 || found.Num != math.Trunc(found.Num) || number > most || found.Num >= math.MaxUint64 {
+	if found.Num < 0 || found.Num != math.Trunc(found.Num) || number > limit || found.Num >= math.MaxUint64 {
 		r.fail(path, OutOfRange)
 		return 0
 	}
@@ -191,10 +192,10 @@
 	if _, present := r.field(path); !present {
 		r.fail(path, Missing)
 	}
-	return r.whole(path, maxCallCount)
+	return r.integer(path, maxCallCount)
 }
 
-// milliseconds reads a duration; fractions are allowed, and what lies out of range is brought to its bounds.
+// milliseconds reads a duration. Fractions are allowed. Values out of range are clamped to 0 and maxColdLeft.
 func (r *beatReader) milliseconds(path string) time.Duration {
 	found, present := r.field(path)
 	if !present {
@@ -215,7 +216,7 @@
 	case "leaving":
 		return Leaving
 	}
-	r.fail(path, UnknownWord)
+	r.fail(path, UnknownValue)
 	return Up
 }
 
@@ -224,14 +225,14 @@
 func (r *beatReader) model(path string) Model {
 	return Model{
 		Name:    r.required(path + ".name"),
-		Version: int(r.whole(path+".version", math.MaxInt32)),
-		AddOns:  r.texts(path + ".add_ons"),
+		Version: int(r.integer(path+".version", math.MaxInt32)),
+		AddOns:  r.textList(path + ".add_ons"),
 	}
 }
 
-func (r *beatReader) texts(path string) []string { return readList(r, path, r.required) }
+func (r *beatReader) textList(path string) []string { return readList(r, path, r.required) }
 
-// readList reads each place of a list; one that is missing is empty.
+// readList reads each element of a list. A missing list is empty.
 func readList[T any](r *beatReader, path string, read func(path string) T) []T {
 	found, present := r.field(path)
 	if !present {
@@ -242,8 +243,8 @@
 		return nil
 	}
 	var list []T
-	for place := range found.Array() {
-		list = append(list, read(path+"."+strconv.Itoa(place)))
+	for index := range found.Array() {
+		list = append(list, read(path+"."+strconv.Itoa(index)))
 	}
 	return list
 }
