--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -30,8 +30,8 @@
 var Error = errs.Class("feed: check that agent and proxy run the same version")
 
 const (
-	// callLimit bounds one question; it is above the time for which the agent waits for a change.
-	callLimit = 7 * time.Second
+	// callTimeout bounds one question; it is above the time for which the agent waits for a change.
+	callTimeout = 7 * time.Second
 	// retryInterval is the pause after a question that failed.
 	retryInterval = 25 * time.Millisecond
 )
@@ -41,38 +41,38 @@
 	address string
 	client  *rpc.Client
 	front   *front.Front
-	around  lane.Surroundings
+	env     lane.Surroundings
 	log     zerolog.Logger
 
 	// OnRouters is told the IP addresses of the edge routers that are alive; set it before Run.
 	OnRouters func(addresses []string)
 
-	known         message.Watch
-	configuration *opconf.Configuration
-	table         *opconf.Table
-	workers       *registry.Registry
-	began         time.Time
-	mu            sync.Mutex // guards lanes
-	lanes         map[string]*lane.Lane
-	routers       int
-	listed        map[string]bool       // ids of the workers that the agent knows
-	configured    *opconf.Configuration // what the lanes were brought to, and for how many routers
-	configuredFor int
-	orders        orders
-	ready         atomic.Bool
-	link          atomic.Uint32 // message.Link, as the agent told it last
-	view          atomic.Pointer[registry.View]
-	nearRouters   atomic.Pointer[[]string] // hosts of the routers of the own zone
+	position          message.Watch
+	configuration     *opconf.Configuration
+	table             *opconf.Table
+	workers           *registry.Registry
+	started           time.Time
+	mu                sync.Mutex // guards lanes
+	lanes             map[string]*lane.Lane
+	routers           int
+	agentWorkers      map[string]bool       // ids of the workers that the agent knows
+	configured        *opconf.Configuration // what the lanes were brought to, and for how many routers
+	configuredRouters int
+	orders            orders
+	ready             atomic.Bool
+	link              atomic.Uint32 // message.Link, as the agent told it last
+	view              atomic.Pointer[registry.View]
+	zoneRouters       atomic.Pointer[[]string] // hosts of the routers of the own zone
 }
 
 // New makes a feed from the agent at the loopback address to the front.
-func New(over network.Network, address string, to *front.Front, around lane.Surroundings, log zerolog.Logger) *Feed {
-	return &Feed{address: address, client: rpc.NewClient(over), front: to, around: around, log: log, lanes: map[string]*lane.Lane{}, orders: orders{},
-		workers: registry.New(registry.Config{}), began: time.Now()}
+func New(transport network.Network, address string, to *front.Front, env lane.Surroundings, log zerolog.Logger) *Feed {
+	return &Feed{address: address, client: rpc.NewClient(transport), front: to, env: env, log: log, lanes: map[string]*lane.Lane{}, orders: orders{},
+		workers: registry.New(registry.Config{}), started: time.Now()}
 }
 
-// Use has the lanes ask a board what waits at readers; call it before Run.
-func (f *Feed) Use(board lane.Board) { f.around.Board = board }
+// SetWaitingSource has the lanes ask a board what waits at readers; call it before Run.
+func (f *Feed) SetWaitingSource(source lane.Board) { f.env.Board = source }
 
 // Ready tells whether a configuration is in force.
 func (f *Feed) Ready() bool { return f.ready.Load() }
@@ -80,9 +80,9 @@
 // Link is how this router stands to the control plane, as its agent told it last.
 func (f *Feed) Link() message.Link { return message.Link(f.link.Load()) }
 
-// Near tells whether a host is a worker's or a router's of the own zone.
-func (f *Feed) Near(host string) bool {
-	if routers := f.nearRouters.Load(); routers != nil && slices.Contains(*routers, host) {
+// InZone tells whether a host is a worker's or a router's of the own zone.
+func (f *Feed) InZone(host string) bool {
+	if routers := f.zoneRouters.Load(); routers != nil && slices.Contains(*routers, host) {
 		return true
 	}
 	view := f.view.Load()
@@ -91,14 +91,14 @@
 	}
 	return slices.ContainsFunc(view.All(), func(worker registry.Worker) bool {
 		address, _, err := net.SplitHostPort(worker.Address)
-		return err == nil && address == host && worker.Zone == f.around.Zone
+		return err == nil && address == host && worker.Zone == f.env.Zone
 	})
 }
 
 // Run follows the agent until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := f.follow(ctx); err != nil && ctx.Err() == nil {
+		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.log.Info().Err(err).Msg("the agent did not answer")
 			select {
 			case <-ctx.Done():
@@ -112,17 +112,17 @@
 func (f *Feed) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, served := range f.lanes {
-		served.Stop()
+	for _, serviceLane := range f.lanes {
+		serviceLane.Stop()
 	}
 }
 
-// follow asks once and takes the answer.
-func (f *Feed) follow(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// poll asks once and takes the answer.
+func (f *Feed) poll(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	question := f.known
-	snapshot, err := message.CallWatch.Call(ctx, f.client, f.address, &question)
+	request := f.position
+	snapshot, err := message.CallWatch.Call(ctx, f.client, f.address, &request)
 	if err != nil {
 		return err
 	}
@@ -130,24 +130,24 @@
 	if snapshot.Same {
 		return nil
 	}
-	if err := f.take(snapshot); err != nil {
+	if err := f.apply(snapshot); err != nil {
 		return err
 	}
-	f.known = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, Life: snapshot.Life}
+	f.position = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, Life: snapshot.Life}
 	return nil
 }
 
-// take puts a state of the fleet in force. A configuration older than the one in force, as an agent that has just
+// apply puts a state of the fleet in force. A configuration older than the one in force, as an agent that has just
 // started may know it, changes nothing.
-func (f *Feed) take(snapshot *message.Snapshot) error {
+func (f *Feed) apply(snapshot *message.Snapshot) error {
 	if !snapshot.SameRouters {
 		f.routers = max(len(snapshot.Routers), 1)
-		f.nearRouters.Store(&snapshot.Near)
+		f.zoneRouters.Store(&snapshot.Near)
 		if f.OnRouters != nil {
 			f.OnRouters(snapshot.Routers)
 		}
 	}
-	f.note(snapshot)
+	f.updateWorkers(snapshot)
 	if len(snapshot.Document) > 0 {
 		configuration, err := opconf.ParseAfter(f.configuration, snapshot.Document)
 		if err != nil {
@@ -162,29 +162,29 @@
 	if f.configuration == nil {
 		return nil
 	}
-	if f.configured != f.configuration || f.configuredFor != f.routers {
-		f.configured, f.configuredFor = f.configuration, f.routers
+	if f.configured != f.configuration || f.configuredRouters != f.routers {
+		f.configured, f.configuredRouters = f.configuration, f.routers
 		f.configure()
 	}
-	f.list(f.orders.take(snapshot.Orders, time.Now()))
-	f.use()
+	f.updateLanes(f.orders.apply(snapshot.Orders, time.Now()))
+	f.publish()
 	return nil
 }
 
-// note takes what is told of workers. One that the agent knows no longer is gone here too.
-func (f *Feed) note(snapshot *message.Snapshot) {
-	now := time.Since(f.began)
+// updateWorkers takes what is told of workers. One that the agent knows no longer is gone here too.
+func (f *Feed) updateWorkers(snapshot *message.Snapshot) {
+	now := time.Since(f.started)
 	f.workers.Merge(now, snapshot.Workers)
 	f.workers.Expire(now)
 	f.view.Store(f.workers.View())
-	if !snapshot.Part || f.listed == nil {
-		f.listed = make(map[string]bool, len(snapshot.Workers))
+	if !snapshot.Part || f.agentWorkers == nil {
+		f.agentWorkers = make(map[string]bool, len(snapshot.Workers))
 	}
 	for _, entry := range snapshot.Workers {
-		f.listed[topic.Node(entry.Key)] = true
+		f.agentWorkers[topic.Node(entry.Key)] = true
 	}
 	for _, key := range snapshot.Gone {
-		delete(f.listed, topic.Node(key))
+		delete(f.agentWorkers, topic.Node(key))
 	}
 }
 
@@ -197,32 +197,32 @@
 		}
 	}
 	for _, service := range f.configuration.Services {
-		served := f.lanes[service.Name]
-		if served == nil {
-			served = lane.New(service, f.around, f.routers)
+		serviceLane := f.lanes[service.Name]
+		if serviceLane == nil {
+			serviceLane = lane.New(service, f.env, f.routers)
 			f.mu.Lock()
-			f.lanes[service.Name] = served
+			f.lanes[service.Name] = serviceLane
 			f.mu.Unlock()
 		}
-		served.Configure(service, routes[service.Name], f.routers)
+		serviceLane.Configure(service, routes[service.Name], f.routers)
 	}
 }
 
-// list tells the lanes of their workers.
-func (f *Feed) list(changing map[string]string) {
+// updateLanes tells the lanes of their workers.
+func (f *Feed) updateLanes(changing map[string]string) {
 	view := f.workers.View()
-	for name, served := range f.lanes {
-		unknown := func(worker registry.Worker) bool { return !f.listed[worker.ID] }
-		served.List(slices.DeleteFunc(view.Workers(name), unknown), changing)
+	for name, serviceLane := range f.lanes {
+		unknown := func(worker registry.Worker) bool { return !f.agentWorkers[worker.ID] }
+		serviceLane.List(slices.DeleteFunc(view.Workers(name), unknown), changing)
 	}
-	f.around.Calls.Allot(connectionShares(f.configuration.Services, view, f.routers))
+	f.env.Calls.Allot(connectionShares(f.configuration.Services, view, f.routers))
 }
 
-// use has the front work by what is in force now.
-func (f *Feed) use() {
+// publish has the front work by what is in force now.
+func (f *Feed) publish() {
 	lanes := make(map[string]*lane.Lane, len(f.lanes))
-	for name, served := range f.lanes {
-		lanes[name] = served
+	for name, serviceLane := range f.lanes {
+		lanes[name] = serviceLane
 	}
 	f.front.Use(&front.Routing{Table: f.table, Limits: f.configuration.Limits, Lanes: lanes})
 	f.ready.Store(true)
@@ -233,8 +233,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := hints.Waiting{}
-	for _, served := range f.lanes {
-		for engine, tokens := range served.Core().Waiting(calls.RoleReading) {
+	for _, serviceLane := range f.lanes {
+		for engine, tokens := range serviceLane.Core().Waiting(calls.RoleReading) {
 			all[uint64(engine)] = tokens
 		}
 	}
@@ -249,8 +249,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, served := range f.lanes {
-		served.Core().Reported(waiting)
+	for _, serviceLane := range f.lanes {
+		serviceLane.Core().Reported(waiting)
 	}
 }
 
@@ -269,8 +269,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make(map[string][]lane.Decision, len(f.lanes))
-	for name, served := range f.lanes {
-		all[name] = served.Decisions()
+	for name, serviceLane := range f.lanes {
+		all[name] = serviceLane.Decisions()
 	}
 	return all
 }
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -47,59 +47,59 @@
 func largeFeed() *Feed {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	worker := calls.New(upstream.NewPool(upstream.NewBudget(100), time.Second, time.Second))
+	workerCalls := calls.New(upstream.NewPool(upstream.NewBudget(100), time.Second, time.Second))
 	around := lane.Surroundings{
-		Calls: worker, Zone: "zone-0", Log: quiet,
+		Calls: workerCalls, Zone: "zone-0", Log: quiet,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50},
 	}
 	for number := range 7 {
 		around.Zones = append(around.Zones, fmt.Sprintf("zone-%d", number))
 	}
-	return New(network.System{}, "127.0.0.1:1", &front.Front{Calls: worker}, around, zerolog.Nop())
+	return New(network.System{}, "127.0.0.1:1", &front.Front{Calls: workerCalls}, around, zerolog.Nop())
 }
 
-// BenchmarkStateTaken is what a proxy does with each answer of its agent, but for the decoding.
-func BenchmarkStateTaken(b *testing.B) {
+// BenchmarkApplySnapshot is what a proxy does with each answer of its agent, but for the decoding.
+func BenchmarkApplySnapshot(b *testing.B) {
 	entries := largeWorkers()
 	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
-	followed := largeFeed()
-	defer followed.Stop()
-	before := heap()
-	qt.Assert(b, followed.take(snapshot), qt.IsNil)
+	benched := largeFeed()
+	defer benched.Stop()
+	before := heapBytes()
+	qt.Assert(b, benched.apply(snapshot), qt.IsNil)
 	snapshot.Document = nil
 	for b.Loop() {
-		if err := followed.take(snapshot); err != nil {
+		if err := benched.apply(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(heap()-before)/1024, "heap-KB")
+	b.ReportMetric(float64(heapBytes()-before)/1024, "heap-KB")
 }
 
-// BenchmarkOneWorkerChanged is the same when one worker has other news each time.
-func BenchmarkOneWorkerChanged(b *testing.B) {
+// BenchmarkApplyOneChangedWorker is the same when one worker has other news each time.
+func BenchmarkApplyOneChangedWorker(b *testing.B) {
 	entries := largeWorkers()
 	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
-	followed := largeFeed()
-	defer followed.Stop()
-	qt.Assert(b, followed.take(snapshot), qt.IsNil)
+	benched := largeFeed()
+	defer benched.Stop()
+	qt.Assert(b, benched.apply(snapshot), qt.IsNil)
 	snapshot.Document = nil
 	states := []registry.State{registry.Leaving, registry.Up}
 	changes := 0
 	for b.Loop() {
-		place := changes % len(entries)
+		index := changes % len(entries)
 		changes++
-		entries[place] = registry.EntryOf(registry.Worker{
-			ID: fmt.Sprintf("i-%08x", place), Service: "assistant-a", Address: fmt.Sprintf("10.128.%d.%d:8080", place/200, place%200+1),
-			Zone: fmt.Sprintf("zone-%d", place%7), Capacity: 64, State: states[changes/len(entries)%2], Phase: "writing",
+		entries[index] = registry.EntryOf(registry.Worker{
+			ID: fmt.Sprintf("i-%08x", index), Service: "assistant-a", Address: fmt.Sprintf("10.128.%d.%d:8080", index/200, index%200+1),
+			Zone: fmt.Sprintf("zone-%d", index%7), Capacity: 64, State: states[changes/len(entries)%2], Phase: "writing",
 			CallCount: uint64(9 + changes), Home: "core-1",
 		})
-		if err := followed.take(snapshot); err != nil {
+		if err := benched.apply(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/proxy/feed/orders_test.go
+++ b/internal/proxy/feed/orders_test.go
@@ -10,27 +10,27 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-func TestWorkerUnderOrderGetsNothingUntilTheOrderEnds(t *testing.T) {
+func TestOrderAppliesUntilItEnds(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(100, 0)
-	known := orders{}
+	tracked := orders{}
 	order := topic.OrderEntry("i-1", topic.PhaseOrder{Phase: "reading"}, 5, 1)
 	// Given an order for a worker.
-	c.Assert(known.take([]replica.Entry{order}, now), qt.DeepEquals, map[string]string{"i-1": "reading"})
+	c.Assert(tracked.apply([]replica.Entry{order}, now), qt.DeepEquals, map[string]string{"i-1": "reading"})
 	// When its end is told, then the worker is free.
-	c.Assert(known.take([]replica.Entry{topic.NoOrderEntry("i-1", 5, 2)}, now), qt.HasLen, 0)
+	c.Assert(tracked.apply([]replica.Entry{topic.NoOrderEntry("i-1", 5, 2)}, now), qt.HasLen, 0)
 }
 
-func TestOrderOfALostOwnerIsGivenUp(t *testing.T) {
+func TestOrderExpires(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(100, 0)
-	known := orders{}
+	tracked := orders{}
 	order := []replica.Entry{topic.OrderEntry("i-1", topic.PhaseOrder{Phase: "reading"}, 5, 1)}
-	known.take(order, now)
+	tracked.apply(order, now)
 	// When nothing more is heard of an order for long, then its worker is used again.
-	c.Assert(known.take(order, now.Add(orderLimit-time.Second)), qt.HasLen, 1)
-	c.Assert(known.take(order, now.Add(orderLimit)), qt.HasLen, 0)
+	c.Assert(tracked.apply(order, now.Add(orderTTL-time.Second)), qt.HasLen, 1)
+	c.Assert(tracked.apply(order, now.Add(orderTTL)), qt.HasLen, 0)
 	// And a newer order counts from when it came.
 	newer := []replica.Entry{topic.OrderEntry("i-1", topic.PhaseOrder{Phase: "writing"}, 6, 1)}
-	c.Assert(known.take(newer, now.Add(orderLimit)), qt.DeepEquals, map[string]string{"i-1": "writing"})
+	c.Assert(tracked.apply(newer, now.Add(orderTTL)), qt.DeepEquals, map[string]string{"i-1": "writing"})
 }
--- a/internal/proxy/feed/shares.go
+++ b/internal/proxy/feed/shares.go
@@ -11,9 +11,9 @@
 
 // connectionShare is how many connections to one worker each of so many proxies may have, so that all together stay below
 // what the worker takes. Each has one, however many they are.
-func connectionShare(most, proxies int) int {
-	reserve := max(most/reserveDivisor, 1)
-	return max((most-reserve)/max(proxies, 1), 1)
+func connectionShare(limit, proxies int) int {
+	reserve := max(limit/reserveDivisor, 1)
+	return max((limit-reserve)/max(proxies, 1), 1)
 }
 
 // connectionShares are this proxy's shares by workers' addresses, for services that bound their workers' connections.
--- a/internal/proxy/hints/hints.go
+++ b/internal/proxy/hints/hints.go
@@ -27,14 +27,14 @@
 const (
 	// interval is how often a proxy with work waiting tells the others.
 	interval = 50 * time.Millisecond
-	// believed is how long a proxy's hint counts without a newer one.
-	believed = 400 * time.Millisecond
-	// mostTold is up to how many others a proxy tells all of them; with more, it tells keepers.
-	mostTold = 8
+	// hintTTL is how long a proxy's hint counts without a newer one.
+	hintTTL = 400 * time.Millisecond
+	// maxBroadcastPeers is up to how many others a proxy tells all of them; with more, it tells keepers.
+	maxBroadcastPeers = 8
 	// datagramBytes bounds a datagram.
 	datagramBytes = 1400
-	// mostEngines bounds the engines in one hint, so that it fits a datagram.
-	mostEngines = 80
+	// maxEngines bounds the engines in one hint, so that it fits a datagram.
+	maxEngines = 80
 )
 
 // Waiting is prompt tokens by the number of the engine that they wait at.
@@ -51,13 +51,13 @@
 	From     string            `cbor:"1,keyasint"`
 	Sequence uint64            `cbor:"2,keyasint"`
 	Tokens   map[uint64]uint32 `cbor:"3,keyasint,omitempty"` // what waits for the sender, at the engines that the receiver keeps
-	Asked    []uint64          `cbor:"4,keyasint,omitempty"` // engines that the sender asks about; Tokens says nothing then
-	Answered map[uint64]uint32 `cbor:"5,keyasint,omitempty"` // what waits there for all but the receiver
-	Number   uint64            `cbor:"6,keyasint,omitempty"` // of the question and its answer; 0: it is neither
+	Queried  []uint64          `cbor:"4,keyasint,omitempty"` // engines that the sender asks about; Tokens says nothing then
+	Totals   map[uint64]uint32 `cbor:"5,keyasint,omitempty"` // what waits there for all but the receiver
+	QueryID  uint64            `cbor:"6,keyasint,omitempty"` // of the question and its answer; 0: it is neither
 }
 
-// heard is the newest hint of one proxy.
-type heard struct {
+// peerHint is the newest hint of one proxy.
+type peerHint struct {
 	sequence uint64
 	at       time.Time
 	tokens   map[uint64]uint32
@@ -71,21 +71,21 @@
 	conn  net.PacketConn
 	port  int
 	meter traffic.Meter
-	hurry chan struct{} // work began to wait
+	wake  chan struct{} // work began to wait
 
-	mu       sync.Mutex
-	peers    []string // IP addresses of the other proxies
-	heard    map[string]heard
-	known    map[uint64]bool // engines that were reported with work and not yet without
-	told     map[string]bool // who was told of work and not yet of none
-	sequence uint64
-	keepers  map[uint64]string // by engine, as asked for
-	questions
+	mu          sync.Mutex
+	peers       []string // IP addresses of the other proxies
+	received    map[string]peerHint
+	reported    map[uint64]bool // engines that were reported with work and not yet without
+	notified    map[string]bool // who was told of work and not yet of none
+	sequence    uint64
+	aggregators map[uint64]string // by engine, as asked for
+	queries
 }
 
 // New listens on a port of the machine's address.
-func New(over network.Network, ip string, port int, load Load, log zerolog.Logger) (*Hints, error) {
-	conn, err := over.ListenPacket(net.JoinHostPort(ip, strconv.Itoa(port)))
+func New(transport network.Network, ip string, port int, load Load, log zerolog.Logger) (*Hints, error) {
+	conn, err := transport.ListenPacket(net.JoinHostPort(ip, strconv.Itoa(port)))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -96,14 +96,14 @@
 
 func newHints(self string, load Load) *Hints {
 	return &Hints{
-		self:      self,
-		load:      load,
-		hurry:     make(chan struct{}, 1),
-		heard:     map[string]heard{},
-		known:     map[uint64]bool{},
-		told:      map[string]bool{},
-		keepers:   map[uint64]string{},
-		questions: newQuestions(),
+		self:        self,
+		load:        load,
+		wake:        make(chan struct{}, 1),
+		received:    map[string]peerHint{},
+		reported:    map[uint64]bool{},
+		notified:    map[string]bool{},
+		aggregators: map[uint64]string{},
+		queries:     newQueries(),
 	}
 }
 
@@ -120,8 +120,8 @@
 			h.peers = append(h.peers, address)
 		}
 	}
-	clear(h.keepers)
-	clear(h.mute)
+	clear(h.aggregators)
+	clear(h.unresponsive)
 }
 
 // Run exchanges hints until the context ends.
@@ -134,42 +134,42 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.hurry:
+		case <-h.wake:
 		case <-ticker.C:
 		}
 		own := h.load.Waiting()
-		h.tell(own)
-		h.report(own, time.Now())
+		h.sendHints(own)
+		h.reportTotals(own, time.Now())
 	}
 }
 
-// Hurry has the others told of this proxy's waiting work at once.
-func (h *Hints) Hurry() {
+// SendNow has the others told of this proxy's waiting work at once.
+func (h *Hints) SendNow() {
 	select {
-	case h.hurry <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// tell sends this proxy's waiting work to those who are to know of it, and once that there is none any more.
-func (h *Hints) tell(own Waiting) {
+// sendHints sends this proxy's waiting work to those who are to know of it, and once that there is none any more.
+func (h *Hints) sendHints(own Waiting) {
 	h.mu.Lock()
-	parts := h.partsOf(own)
-	for target := range h.told {
-		if parts[target] == nil {
-			parts[target] = map[uint64]uint32{}
+	payloads := h.payloads(own)
+	for target := range h.notified {
+		if payloads[target] == nil {
+			payloads[target] = map[uint64]uint32{}
 		}
 	}
-	clear(h.told)
+	clear(h.notified)
 	h.sequence++
 	sequence := h.sequence
-	for target, tokens := range parts {
+	for target, tokens := range payloads {
 		if len(tokens) > 0 {
-			h.told[target] = true
+			h.notified[target] = true
 		}
 	}
 	h.mu.Unlock()
-	for target, tokens := range parts {
+	for target, tokens := range payloads {
 		if target == h.self {
 			continue
 		}
@@ -177,27 +177,27 @@
 	}
 }
 
-// partsOf is what each of the others is to be told. The lock is held.
-func (h *Hints) partsOf(own Waiting) map[string]map[uint64]uint32 {
-	parts := map[string]map[uint64]uint32{}
-	put := func(target string, engine uint64, tokens float64) {
-		if parts[target] == nil {
-			parts[target] = map[uint64]uint32{}
+// payloads is what each of the others is to be told. The lock is held.
+func (h *Hints) payloads(own Waiting) map[string]map[uint64]uint32 {
+	payloads := map[string]map[uint64]uint32{}
+	add := func(target string, engine uint64, tokens float64) {
+		if payloads[target] == nil {
+			payloads[target] = map[uint64]uint32{}
 		}
-		if len(parts[target]) < mostEngines {
-			parts[target][engine] = uint32(tokens)
+		if len(payloads[target]) < maxEngines {
+			payloads[target][engine] = uint32(tokens)
 		}
 	}
 	for engine, tokens := range own {
-		if h.kept() {
-			put(h.keeper(engine), engine, tokens)
+		if h.aggregated() {
+			add(h.aggregator(engine), engine, tokens)
 			continue
 		}
 		for _, peer := range h.peers {
-			put(peer, engine, tokens)
+			add(peer, engine, tokens)
 		}
 	}
-	return parts
+	return payloads
 }
 
 // send sends a datagram; a lost one is made up for by the next.
@@ -220,61 +220,61 @@
 		}
 		var message hint
 		if cbor.Unmarshal(buffer[:size], &message) == nil {
-			h.hear(&message)
+			h.handle(&message)
 		}
 	}
 }
 
-// hear takes a datagram.
-func (h *Hints) hear(message *hint) {
+// handle takes a datagram.
+func (h *Hints) handle(message *hint) {
 	switch {
-	case len(message.Asked) > 0:
-		answer := &hint{From: h.self, Number: message.Number, Answered: h.sums(message.Asked, message.From, time.Now())}
-		h.send(message.From, answer)
-	case message.Number > 0:
-		h.answered(message)
+	case len(message.Queried) > 0:
+		reply := &hint{From: h.self, QueryID: message.QueryID, Totals: h.totalsExcept(message.Queried, message.From, time.Now())}
+		h.send(message.From, reply)
+	case message.QueryID > 0:
+		h.handleReply(message)
 	default:
-		h.take(*message, time.Now())
+		h.store(*message, time.Now())
 	}
 }
 
-// take notes a hint, unless a newer one of its proxy is known. A proxy that started anew counts from the beginning.
-func (h *Hints) take(message hint, now time.Time) {
+// store notes a hint, unless a newer one of its proxy is known. A proxy that started anew counts from the beginning.
+func (h *Hints) store(message hint, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last, known := h.heard[message.From]
-	if known && message.Sequence <= last.sequence && now.Sub(last.at) < believed {
+	last, exists := h.received[message.From]
+	if exists && message.Sequence <= last.sequence && now.Sub(last.at) < hintTTL {
 		return
 	}
-	h.heard[message.From] = heard{sequence: message.Sequence, at: now, tokens: message.Tokens}
+	h.received[message.From] = peerHint{sequence: message.Sequence, at: now, tokens: message.Tokens}
 }
 
-// report tells what waits at each engine for all proxies, where each tells all others.
-func (h *Hints) report(own Waiting, now time.Time) {
-	all := h.sum(own, now)
+// reportTotals tells what waits at each engine for all proxies, where each tells all others.
+func (h *Hints) reportTotals(own Waiting, now time.Time) {
+	all := h.totals(own, now)
 	if len(all) > 0 {
 		h.load.Reported(all)
 	}
 }
 
-// sum adds up what is waiting. An engine at which nothing waits any more is given once with 0.
-func (h *Hints) sum(own Waiting, now time.Time) Waiting {
+// totals adds up what is waiting. An engine at which nothing waits any more is given once with 0.
+func (h *Hints) totals(own Waiting, now time.Time) Waiting {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.kept() {
+	if h.aggregated() {
 		return nil // it is asked for
 	}
 	all := Waiting{}
-	for engine := range h.known {
+	for engine := range h.reported {
 		all[engine] = 0
 	}
-	clear(h.known)
+	clear(h.reported)
 	for engine, tokens := range own {
 		all[engine] += tokens
 	}
-	for from, last := range h.heard {
-		if now.Sub(last.at) > believed {
-			delete(h.heard, from)
+	for from, last := range h.received {
+		if now.Sub(last.at) > hintTTL {
+			delete(h.received, from)
 			continue
 		}
 		for engine, tokens := range last.tokens {
@@ -283,7 +283,7 @@
 	}
 	for engine, tokens := range all {
 		if tokens > 0 {
-			h.known[engine] = true
+			h.reported[engine] = true
 		}
 	}
 	return all
--- a/internal/proxy/hints/hints_size_test.go
+++ b/internal/proxy/hints/hints_size_test.go
@@ -20,7 +20,7 @@
 
 func TestHintsFitADatagram(t *testing.T) {
 	c := qt.New(t)
-	for _, engines := range []int{1, 10, mostEngines} {
+	for _, engines := range []int{1, 10, maxEngines} {
 		// Given a hint with as long numbers as there are, when it is encoded
 		datagram, err := cbor.Marshal(sizedHint(engines))
 		c.Assert(err, qt.IsNil)
@@ -30,20 +30,20 @@
 	}
 }
 
-// manyHints has heard the hints of so many proxies.
-func manyHints(proxies, engines int, now time.Time) *Hints {
+// hintsFromPeers has heard the hints of so many proxies.
+func hintsFromPeers(proxies, engines int, now time.Time) *Hints {
 	h := newHints("10.0.0.1", nil)
 	for number := range proxies {
 		message := sizedHint(engines)
 		message.From = "10.0.1." + strconv.Itoa(number)
 		h.peers = append(h.peers, message.From)
-		h.take(message, now)
+		h.store(message, now)
 	}
 	return h
 }
 
 func BenchmarkDecodeHint(b *testing.B) {
-	datagram, err := cbor.Marshal(sizedHint(mostEngines))
+	datagram, err := cbor.Marshal(sizedHint(maxEngines))
 	qt.Assert(b, err, qt.IsNil)
 	for b.Loop() {
 		var message hint
@@ -53,20 +53,20 @@
 	}
 }
 
-// BenchmarkSum adds up what a proxy hears where each tells all others: 8 hints of 80 engines.
-func BenchmarkSum(b *testing.B) {
+// BenchmarkTotals adds up what a proxy hears where each tells all others: 8 hints of 80 engines.
+func BenchmarkTotals(b *testing.B) {
 	now := time.Now()
-	h := manyHints(mostTold, mostEngines, now)
+	h := hintsFromPeers(maxBroadcastPeers, maxEngines, now)
 	for b.Loop() {
-		h.sum(Waiting{}, now)
+		h.totals(Waiting{}, now)
 	}
 }
 
-// BenchmarkWaitingAt adds up what a keeper was told of an engine by 64 proxies.
-func BenchmarkWaitingAt(b *testing.B) {
+// BenchmarkReceivedTokens adds up what a keeper was told of an engine by 64 proxies.
+func BenchmarkReceivedTokens(b *testing.B) {
 	now := time.Now()
-	h := manyHints(64, mostEngines, now)
+	h := hintsFromPeers(64, maxEngines, now)
 	for b.Loop() {
-		h.waitingAt(1, "", now)
+		h.receivedTokens(1, "", now)
 	}
 }
--- a/internal/proxy/hints/keepers.go
+++ b/internal/proxy/hints/keepers.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// askLimit is how long a question waits for its answers: what they tell is worth no more.
-	askLimit = 8 * time.Millisecond
-	// mutePause is for how long a keeper that did not answer in time is not waited for.
-	mutePause = 2 * time.Second
+	// queryTimeout is how long a question waits for its answers: what they tell is worth no more.
+	queryTimeout = 8 * time.Millisecond
+	// unresponsivePause is for how long a keeper that did not answer in time is not waited for.
+	unresponsivePause = 2 * time.Second
 )
 
-// questions are those that wait for answers. The lock of Hints guards them.
-type questions struct {
-	number uint64
-	open   map[uint64]*question
-	mute   map[string]time.Time // keepers that did not answer, until when they are not waited for
+// queries are those that wait for answers. The lock of Hints guards them.
+type queries struct {
+	lastID       uint64
+	pending      map[uint64]*query
+	unresponsive map[string]time.Time // keepers that did not answer, until when they are not waited for
 }
 
-// question waits for the answers of some keepers.
-type question struct {
-	left map[string]bool // keepers that have not answered
-	sums Waiting
-	done chan struct{} // closed once all have
+// query waits for the answers of some keepers.
+type query struct {
+	awaiting map[string]bool // keepers that have not answered
+	totals   Waiting
+	done     chan struct{} // closed once all have
 }
 
-func newQuestions() questions {
-	return questions{open: map[uint64]*question{}, mute: map[string]time.Time{}}
+func newQueries() queries {
+	return queries{pending: map[uint64]*query{}, unresponsive: map[string]time.Time{}}
 }
 
-// kept tells whether engines have keepers: there are too many proxies for each to tell all others. The lock is held.
-func (h *Hints) kept() bool { return len(h.peers) > mostTold }
+// aggregated tells whether engines have keepers: there are too many proxies for each to tell all others. The lock is held.
+func (h *Hints) aggregated() bool { return len(h.peers) > maxBroadcastPeers }
 
-// keeper is the proxy that is told what waits at an engine. The lock is held.
-func (h *Hints) keeper(engine uint64) string {
-	if keeper, known := h.keepers[engine]; known {
-		return keeper
+// aggregator is the proxy that is told what waits at an engine. The lock is held.
+func (h *Hints) aggregator(engine uint64) string {
+	if aggregator, known := h.aggregators[engine]; known {
+		return aggregator
 	}
-	keeper, most := h.self, weight(engine, h.self)
+	aggregator, highest := h.self, weight(engine, h.self)
 	for _, peer := range h.peers {
-		if w := weight(engine, peer); w > most || w == most && peer > keeper {
-			keeper, most = peer, w
+		if w := weight(engine, peer); w > highest || w == highest && peer > aggregator {
+			aggregator, highest = peer, w
 		}
 	}
-	h.keepers[engine] = keeper
-	return keeper
+	h.aggregators[engine] = aggregator
+	return aggregator
 }
 
 // weight is a proxy's place among the keepers of an engine: the highest is the keeper, and the loss of one changes the
 // keepers of its own engines only.
 func weight(engine uint64, proxy string) uint64 {
-	var number [8]byte
-	binary.BigEndian.PutUint64(number[:], engine)
+	var encoded [8]byte
+	binary.BigEndian.PutUint64(encoded[:], engine)
 	hash := xxhash.New()
-	_, _ = hash.Write(number[:]) // never fails
+	_, _ = hash.Write(encoded[:]) // never fails
 	_, _ = hash.WriteString(proxy)
 	return hash.Sum64()
 }
@@ -66,113 +66,113 @@
 // answer in time are left out, and so are all where each proxy tells all others.
 func (h *Hints) Ask(ctx context.Context, engines []uint64) Waiting {
 	own := h.load.Waiting()
-	asked, parts := h.ask(engines, time.Now())
-	if asked == nil {
+	opened, parts := h.openQuery(engines, time.Now())
+	if opened == nil {
 		return nil
 	}
-	for keeper, part := range parts {
-		h.send(keeper, &hint{From: h.self, Number: asked.number, Asked: part})
+	for aggregator, part := range parts {
+		h.send(aggregator, &hint{From: h.self, QueryID: opened.id, Queried: part})
 	}
 	select {
-	case <-asked.done:
+	case <-opened.done:
 	case <-ctx.Done():
-	case <-time.After(askLimit):
+	case <-time.After(queryTimeout):
 	}
-	sums := h.finish(asked.number, time.Now())
-	for engine := range sums {
-		sums[engine] += own[engine]
+	totals := h.closeQuery(opened.id, time.Now())
+	for engine := range totals {
+		totals[engine] += own[engine]
 	}
-	return sums
+	return totals
 }
 
-// numbered is a question with its number.
-type numbered struct {
-	*question
-	number uint64
+// numberedQuery is a question with its number.
+type numberedQuery struct {
+	*query
+	id uint64
 }
 
-// ask opens a question and gives what to send to whom; nil where there is nothing to ask.
-func (h *Hints) ask(engines []uint64, now time.Time) (*numbered, map[string][]uint64) {
+// openQuery opens a question and gives what to send to whom; nil where there is nothing to openQuery.
+func (h *Hints) openQuery(engines []uint64, now time.Time) (*numberedQuery, map[string][]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.kept() {
+	if !h.aggregated() {
 		return nil, nil
 	}
-	asked := &question{left: map[string]bool{}, sums: Waiting{}, done: make(chan struct{})}
+	opened := &query{awaiting: map[string]bool{}, totals: Waiting{}, done: make(chan struct{})}
 	parts := map[string][]uint64{}
 	for _, engine := range engines {
-		keeper := h.keeper(engine)
-		if keeper == h.self {
-			asked.sums[engine] = float64(h.waitingAt(engine, h.self, now))
+		aggregator := h.aggregator(engine)
+		if aggregator == h.self {
+			opened.totals[engine] = float64(h.receivedTokens(engine, h.self, now))
 			continue
 		}
-		parts[keeper] = append(parts[keeper], engine)
-		if now.After(h.mute[keeper]) {
-			asked.left[keeper] = true
+		parts[aggregator] = append(parts[aggregator], engine)
+		if now.After(h.unresponsive[aggregator]) {
+			opened.awaiting[aggregator] = true
 		}
 	}
-	h.number++
-	h.open[h.number] = asked
-	if len(asked.left) == 0 {
-		close(asked.done)
+	h.lastID++
+	h.pending[h.lastID] = opened
+	if len(opened.awaiting) == 0 {
+		close(opened.done)
 	}
-	return &numbered{question: asked, number: h.number}, parts
+	return &numberedQuery{query: opened, id: h.lastID}, parts
 }
 
-// answered takes an answer.
-func (h *Hints) answered(message *hint) {
+// handleReply takes an answer.
+func (h *Hints) handleReply(message *hint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.mute, message.From)
-	asked := h.open[message.Number]
-	if asked == nil {
+	delete(h.unresponsive, message.From)
+	answered := h.pending[message.QueryID]
+	if answered == nil {
 		return
 	}
-	for engine, tokens := range message.Answered {
-		asked.sums[engine] = float64(tokens)
+	for engine, tokens := range message.Totals {
+		answered.totals[engine] = float64(tokens)
 	}
-	if !asked.left[message.From] {
+	if !answered.awaiting[message.From] {
 		return
 	}
-	delete(asked.left, message.From)
-	if len(asked.left) == 0 {
-		close(asked.done)
+	delete(answered.awaiting, message.From)
+	if len(answered.awaiting) == 0 {
+		close(answered.done)
 	}
 }
 
-// finish closes a question and gives what was answered.
-func (h *Hints) finish(number uint64, now time.Time) Waiting {
+// closeQuery closes a question and gives what was answered.
+func (h *Hints) closeQuery(id uint64, now time.Time) Waiting {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	asked := h.open[number]
-	delete(h.open, number)
-	for keeper := range asked.left {
-		h.mute[keeper] = now.Add(mutePause)
+	closed := h.pending[id]
+	delete(h.pending, id)
+	for aggregator := range closed.awaiting {
+		h.unresponsive[aggregator] = now.Add(unresponsivePause)
 	}
-	return asked.sums
+	return closed.totals
 }
 
-// sums is what waits at engines for all proxies but one, as they told this one.
-func (h *Hints) sums(engines []uint64, but string, now time.Time) map[uint64]uint32 {
+// totalsExcept is what waits at engines for all proxies but one, as they told this one.
+func (h *Hints) totalsExcept(engines []uint64, exclude string, now time.Time) map[uint64]uint32 {
 	own := h.load.Waiting()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	sums := make(map[uint64]uint32, len(engines))
+	totals := make(map[uint64]uint32, len(engines))
 	for _, engine := range engines {
-		sums[engine] = h.waitingAt(engine, but, now) + uint32(own[engine])
+		totals[engine] = h.receivedTokens(engine, exclude, now) + uint32(own[engine])
 	}
-	return sums
+	return totals
 }
 
-// waitingAt adds up what proxies but one told of an engine. The lock is held.
-func (h *Hints) waitingAt(engine uint64, but string, now time.Time) uint32 {
+// receivedTokens adds up what proxies but one told of an engine. The lock is held.
+func (h *Hints) receivedTokens(engine uint64, exclude string, now time.Time) uint32 {
 	sum := uint32(0)
-	for from, last := range h.heard {
-		if now.Sub(last.at) > believed {
-			delete(h.heard, from)
+	for from, last := range h.received {
+		if now.Sub(last.at) > hintTTL {
+			delete(h.received, from)
 			continue
 		}
-		if from != but {
+		if from != exclude {
 			sum += last.tokens[engine]
 		}
 	}
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -132,8 +132,8 @@
 	p.hints = exchange
 	p.feed.OnRouters = exchange.Peers
 	if !p.settings.Trial.Has(trial.Hints) {
-		p.feed.Use(exchange)
-		p.front.Calls.OnRead = exchange.Hurry
+		p.feed.SetWaitingSource(exchange)
+		p.front.Calls.OnRead = exchange.SendNow
 		go exchange.Run(following)
 	}
 	go p.feed.Run(following)
--- a/internal/proxy/run/status.go
+++ b/internal/proxy/run/status.go
@@ -26,7 +26,7 @@
 	link := p.feed.Link()
 	report.Link = &status.Link{State: link.String(), Advice: link.Advice()}
 	report.Connections = &status.Connections{Opened: p.pool.Dialed(), WithoutID: p.front.Calls.WithoutID()}
-	report.Traffic = append(status.TrafficOf(p.meter, p.feed.Near), status.TrafficOf(p.hints.Meter(), p.feed.Near)...)
+	report.Traffic = append(status.TrafficOf(p.meter, p.feed.InZone), status.TrafficOf(p.hints.Meter(), p.feed.InZone)...)
 	decided := p.feed.Decisions()
 	for _, service := range slices.Sorted(maps.Keys(decided)) {
 		for _, one := range decided[service] {
