--- a/internal/proxy/budget/budget.go
+++ b/internal/proxy/budget/budget.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// slots is into how many counts the window is cut: the count of a slot leaves the window as a whole.
-	slots = 40
+	// slotCount is into how many counts the window is cut: the count of a slot leaves the window as a whole.
+	slotCount = 40
 	// margin is the part of the bound that is used for arrivals that are asked for: the routers' views of their number
 	// differ for a moment, further arrivals may reach a worker later than they were counted, and some are only known of
 	// once they have come about.
@@ -27,38 +27,38 @@
 
 // Budget counts requests and further arrivals at one service. It is not safe for concurrent use.
 type Budget struct {
-	terms    Terms
-	settled  time.Duration // when what a process before this one took has left the window
-	routers  int
-	counts   [slots + 1]count
-	newest   int64 // number of the newest slot
-	requests int   // sum over counts
-	repeats  int
+	terms        Terms
+	priorExpires time.Duration // when what a process before this one took has left the window
+	routers      int
+	window       [slotCount + 1]slot
+	newest       int64 // number of the newest slot
+	requests     int   // sum over counts
+	extra        int
 }
 
-// count is what a slot holds.
-type count struct {
-	requests, repeats int
-	routers           int // the most that shared the bound meanwhile
+// slot is what a slot holds.
+type slot struct {
+	requests, extra int
+	routers         int // the most that shared the bound meanwhile
 }
 
 // New makes a budget for a router that is one of so many and whose process has run for the age.
 func New(terms Terms, routers int, age time.Duration) *Budget {
-	b := &Budget{terms: terms, routers: 1, settled: terms.Window - age}
-	b.Share(0, routers)
+	b := &Budget{terms: terms, routers: 1, priorExpires: terms.Window - age}
+	b.SetRouters(0, routers)
 	return b
 }
 
-// Share tells how many routers share the bound from now on, this one among them. What those that ended have taken stays
+// SetRouters tells how many routers share the bound from now on, this one among them. What those that ended have taken stays
 // in the window, so a smaller number counts only once the window has passed.
-func (b *Budget) Share(now time.Duration, routers int) {
+func (b *Budget) SetRouters(now time.Duration, routers int) {
 	b.advance(now)
 	b.routers = max(routers, 1)
 	b.current().routers = max(b.current().routers, b.routers)
 }
 
-// Request counts a client's request.
-func (b *Budget) Request(now time.Duration) {
+// CountRequest counts a client's request.
+func (b *Budget) CountRequest(now time.Duration) {
 	b.advance(now)
 	b.current().requests++
 	b.requests++
@@ -67,17 +67,17 @@
 // Take counts one further arrival, if the bound leaves room for it.
 func (b *Budget) Take(now time.Duration) bool {
 	b.advance(now)
-	if float64(b.repeats+1) > b.allowed(now, margin) {
+	if float64(b.extra+1) > b.limit(now, margin) {
 		return false
 	}
 	b.add()
 	return true
 }
 
-// Spare tells whether there is room for an arrival that a first call would cause by failing.
-func (b *Budget) Spare(now time.Duration) bool {
+// HasSpare tells whether there is room for an arrival that a first call would cause by failing.
+func (b *Budget) HasSpare(now time.Duration) bool {
 	b.advance(now)
-	return float64(b.repeats+1) <= max(b.allowed(now, spareMargin), 1)
+	return float64(b.extra+1) <= max(b.limit(now, spareMargin), 1)
 }
 
 // Charge counts a further arrival that could not be asked for beforehand.
@@ -87,34 +87,34 @@
 }
 
 func (b *Budget) add() {
-	b.current().repeats++
-	b.repeats++
+	b.current().extra++
+	b.extra++
 }
 
-// allowed is a part of the bound on further arrivals in the window.
-func (b *Budget) allowed(now time.Duration, share float64) float64 {
+// limit is a part of the bound on further arrivals in the window.
+func (b *Budget) limit(now time.Duration, share float64) float64 {
 	routers := b.routers
-	for i := range b.counts {
-		routers = max(routers, b.counts[i].routers)
+	for i := range b.window {
+		routers = max(routers, b.window[i].routers)
 	}
-	part := share
-	if now < b.settled {
-		part = startMargin
+	extraShare := share
+	if now < b.priorExpires {
+		extraShare = startMargin
 	}
-	return part*float64(b.terms.Extra)/float64(routers) + share*b.terms.Ratio*float64(b.requests)
+	return extraShare*float64(b.terms.Extra)/float64(routers) + share*b.terms.Ratio*float64(b.requests)
 }
 
-func (b *Budget) current() *count { return &b.counts[b.newest%int64(len(b.counts))] }
+func (b *Budget) current() *slot { return &b.window[b.newest%int64(len(b.window))] }
 
 // advance drops what has left the window.
 func (b *Budget) advance(now time.Duration) {
-	slot := int64(now / max(b.terms.Window/slots, 1))
-	for passed := 0; b.newest < slot && passed <= slots; passed++ {
+	target := int64(now / max(b.terms.Window/slotCount, 1))
+	for passed := 0; b.newest < target && passed <= slotCount; passed++ {
 		b.newest++
-		old := b.current()
-		b.requests -= old.requests
-		b.repeats -= old.repeats
-		*old = count{routers: b.routers}
+		expired := b.current()
+		b.requests -= expired.requests
+		b.extra -= expired.extra
+		*expired = slot{routers: b.routers}
 	}
-	b.newest = max(b.newest, slot)
+	b.newest = max(b.newest, target)
 }
--- a/internal/proxy/budget/budget_test.go
+++ b/internal/proxy/budget/budget_test.go
@@ -10,7 +10,7 @@
 
 var terms = Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50}
 
-func TestFixedPartIsShared(t *testing.T) {
+func TestFixedAllowanceIsShared(t *testing.T) {
 	c := qt.New(t)
 	// Given one of five routers without a request.
 	b := New(terms, 5, terms.Window)
@@ -23,12 +23,12 @@
 	c.Assert(taken, qt.Equals, 8)
 }
 
-func TestRequestsAllowMore(t *testing.T) {
+func TestRequestsRaiseTheLimit(t *testing.T) {
 	c := qt.New(t)
 	// Given a router that took 100 requests.
 	b := New(terms, 5, terms.Window)
 	for range 100 {
-		b.Request(time.Second)
+		b.CountRequest(time.Second)
 	}
 	taken := 0
 	for b.Take(time.Second) {
@@ -46,18 +46,18 @@
 
 // Whatever comes when, no window of the operator's length holds more further arrivals than the bound allows for the
 // requests of that window and the one before it.
-func TestEveryWindowKeepsTheBound(t *testing.T) {
+func TestEveryWindowStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(terms, 1, terms.Window)
 		var now time.Duration
-		var requests, repeats []time.Duration
+		var requests, extra []time.Duration
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.CountRequest(now)
 				requests = append(requests, now)
 			} else if b.Take(now) {
-				repeats = append(repeats, now)
+				extra = append(extra, now)
 			}
 		}
 		within := func(list []time.Duration, from, to time.Duration) (n int) {
@@ -68,10 +68,10 @@
 			}
 			return n
 		}
-		for _, end := range repeats {
+		for _, end := range extra {
 			from := end - terms.Window
 			bound := terms.Ratio*float64(within(requests, from-terms.Window, end+1)) + float64(terms.Extra)
-			if got := within(repeats, from+1, end+1); float64(got) > bound {
+			if got := within(extra, from+1, end+1); float64(got) > bound {
 				t.Fatalf("%d further arrivals until %v, at most %v are allowed", got, end, bound)
 			}
 		}
@@ -79,22 +79,22 @@
 }
 
 // What can only be charged once it has come about keeps to the bound too: nothing is begun once a failure has no room.
-func TestChargesEndWhereThereIsNoRoom(t *testing.T) {
+func TestChargedFailuresStayWithinTheLimit(t *testing.T) {
 	c := qt.New(t)
 	// Given a proxy all of whose requests fail at their first call, which costs a further arrival each.
 	b := New(terms, 1, terms.Window)
-	begun := 0
+	started := 0
 	for i := range 1000 {
 		now := time.Duration(i) * terms.Window / 1000
-		b.Request(now)
-		if b.Spare(now) {
-			begun++
+		b.CountRequest(now)
+		if b.HasSpare(now) {
+			started++
 			b.Charge(now)
 		}
 	}
 	// Then no more of them are begun than the bound allows, and more than repeats may take.
 	bound := float64(terms.Extra) + terms.Ratio*1000
-	c.Assert(float64(begun) <= bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", begun, bound))
-	c.Assert(float64(begun) > margin*bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", begun, bound))
+	c.Assert(float64(started) <= bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", started, bound))
+	c.Assert(float64(started) > margin*bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", started, bound))
 	c.Assert(b.Take(terms.Window), qt.IsFalse)
 }
--- a/internal/proxy/calls/answer.go
+++ b/internal/proxy/calls/answer.go
@@ -12,14 +12,14 @@
 
 // Why an answer was not taken.
 var (
-	errForeign  = errors.New("the answer belongs to another request")
-	errUnsealed = errors.New("a success without the worker's seal")
-	errSpent    = errors.New("no further attempt is allowed")
+	errOtherRequest  = errors.New("the answer belongs to another request")
+	errNoSeal        = errors.New("a success without the worker's seal")
+	errNoAttemptLeft = errors.New("no further attempt is allowed")
 )
 
-// spent ends a request for which nothing more may be sent.
-func spent() *core.AttemptError {
-	return &core.AttemptError{Stage: core.NotConnected, Err: fmt.Errorf("%w: %w", errSpent, core.ErrShut)}
+// noAttemptLeft ends a request for which nothing more may be sent.
+func noAttemptLeft() *core.AttemptError {
+	return &core.AttemptError{Stage: core.NotConnected, Err: fmt.Errorf("%w: %w", errNoAttemptLeft, core.ErrShut)}
 }
 
 // notRun tells whether the worker promised that it has not run the request.
@@ -27,8 +27,8 @@
 	return answer.Header.Get(headerNotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 }
 
-// refusal is a worker's answer that serves nothing.
-func refusal(answer *upstream.Answer) *core.AttemptError {
+// errorOf is a worker's answer that serves nothing.
+func errorOf(answer *upstream.Answer) *core.AttemptError {
 	e := &core.AttemptError{Stage: core.Head, Verdict: core.Faulted, Err: fmt.Errorf("status %d", answer.StatusCode)}
 	switch {
 	case notRun(answer):
@@ -68,27 +68,27 @@
 	}
 }
 
-// wholeAnswer is a worker's answer that came whole before any of it is passed on.
-type wholeAnswer struct {
+// bufferedAnswer is a worker's answer that came whole before any of it is passed on.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	given  bool
+	read   bool
 }
 
 // Head serves Headed.
-func (w *wholeAnswer) Head() Head {
+func (w *bufferedAnswer) Head() Head {
 	return Head{Status: w.status, Header: w.header, Length: int64(len(w.body))}
 }
 
 // Next serves core.Stream.
-func (w *wholeAnswer) Next() ([]byte, error) {
-	if w.given {
+func (w *bufferedAnswer) Next() ([]byte, error) {
+	if w.read {
 		return nil, io.EOF
 	}
-	w.given = true
+	w.read = true
 	return w.body, io.EOF
 }
 
 // Close serves core.Stream.
-func (w *wholeAnswer) Close() {}
+func (w *bufferedAnswer) Close() {}
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -35,7 +35,7 @@
 // Calls makes calls over one pool of connections. Safe for concurrent use.
 type Calls struct {
 	Faults    Faults
-	OnRead    func() // told when a prompt is sent to be read; it must not block; nil: nobody is
+	OnPrefill func() // told when a prompt is sent to be read; it must not block; nil: nobody is
 	pool      *upstream.Pool
 	withoutID atomic.Uint64 // answers that lacked the request's id
 }
@@ -54,7 +54,7 @@
 
 // Probe asks a worker for its report, as a sign of life; it serves core.Prober.
 func (c *Calls) Probe(ctx context.Context, worker core.Worker) error {
-	answer, err := c.bare(ctx, worker, http.MethodGet, "/v1/report")
+	answer, err := c.callWithoutBody(ctx, worker, http.MethodGet, "/v1/report")
 	if err != nil {
 		return err
 	}
@@ -67,17 +67,17 @@
 // Forget closes the idle connections to a worker that gets nothing new; it serves core.Prober.
 func (c *Calls) Forget(worker core.Worker) { c.pool.Drop(worker.Addr) }
 
-// Allot bounds the connections to each worker's address; to addresses that are not among them there is no bound.
-func (c *Calls) Allot(limits map[string]int) { c.pool.Allot(limits) }
+// LimitConnections bounds the connections to each worker's address; to addresses that are not among them there is no bound.
+func (c *Calls) LimitConnections(limits map[string]int) { c.pool.Allot(limits) }
 
-// releaseTime bounds one try to have a reader free what it holds.
-const releaseTime = 300 * time.Millisecond
+// releaseTimeout bounds one try to have a reader free what it holds.
+const releaseTimeout = 300 * time.Millisecond
 
 // release has a reader free a prompt's memory. A reader that can't be reached frees it by itself when the ticket lapses.
 func (c *Calls) release(ctx context.Context, held *ticket) {
 	for range 2 {
-		try, cancel := context.WithTimeout(ctx, releaseTime)
-		_, err := c.bare(try, held.reader, http.MethodDelete, "/v1/kv-handle/"+held.id)
+		attempt, cancel := context.WithTimeout(ctx, releaseTimeout)
+		_, err := c.callWithoutBody(attempt, held.reader, http.MethodDelete, "/v1/kv-handle/"+held.id)
 		cancel()
 		if err == nil {
 			return
@@ -85,8 +85,8 @@
 	}
 }
 
-// bare makes a call without a body and reads its answer whole.
-func (c *Calls) bare(ctx context.Context, worker core.Worker, method, path string) (*upstream.Answer, error) {
+// callWithoutBody makes a call without a body and reads its answer whole.
+func (c *Calls) callWithoutBody(ctx context.Context, worker core.Worker, method, path string) (*upstream.Answer, error) {
 	head := method + " " + path + " HTTP/1.1\r\nHost: " + worker.Addr + "\r\n" +
 		headerMeantServer + ": " + worker.Name + "\r\n\r\n"
 	answer, err := c.pool.Do(ctx, worker.Addr, method, []byte(head), nil)
@@ -95,7 +95,7 @@
 	}
 	if answer.Header.Get(headerRequestID) != "" { // a surplus one to a request: calls of this kind have no id
 		answer.Close()
-		return nil, &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errForeign}
+		return nil, &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errOtherRequest}
 	}
 	if _, err := answer.Small(); err != nil {
 		return nil, err
--- a/internal/proxy/calls/connection_test.go
+++ b/internal/proxy/calls/connection_test.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	workerAt = "10.0.0.2:9000"
-	notNow   = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nX-Request-Id: 1\r\nContent-Length: 0\r\n\r\n"
-	done     = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nX-Request-Id: 1\r\nContent-Length: 2\r\n\r\nok"
+	workerAddr    = "10.0.0.2:9000"
+	notRunAnswer  = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nX-Request-Id: 1\r\nContent-Length: 0\r\n\r\n"
+	successAnswer = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nX-Request-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// saysTwice turns the first request away, says so once more if another comes on that connection, and runs all others.
-func saysTwice(listener net.Listener) {
+// serveDuplicates turns the first request away, says so once more if another comes on that connection, and runs all others.
+func serveDuplicates(listener net.Listener) {
 	for number := 0; ; number++ {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go converse(connection, number == 0)
+		go serveConnection(connection, number == 0)
 	}
 }
 
-// converse serves one connection, the first one or another.
-func converse(connection net.Conn, first bool) {
+// serveConnection serves one connection, the first one or another.
+func serveConnection(connection net.Conn, first bool) {
 	reader := bufio.NewReader(connection)
 	for turn := 0; ; turn++ {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
 		if first {
-			_, _ = io.WriteString(connection, notNow)
+			_, _ = io.WriteString(connection, notRunAnswer)
 		}
 		if first && turn == 0 {
 			continue
 		}
 		time.Sleep(100 * time.Millisecond) // it runs
-		_, _ = io.WriteString(connection, done)
+		_, _ = io.WriteString(connection, successAnswer)
 	}
 }
 
@@ -58,24 +58,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		fabric := memnet.New(time.Millisecond)
-		far, own := fabric.Machine("10.0.0.2").Process(), fabric.Machine("10.0.0.1").Process()
-		listener, err := far.Listen(workerAt)
+		workerProcess, proxyProcess := fabric.Machine("10.0.0.2").Process(), fabric.Machine("10.0.0.1").Process()
+		listener, err := workerProcess.Listen(workerAddr)
 		c.Assert(err, qt.IsNil)
-		go saysTwice(listener)
-		terms := upstream.Terms{Patient: true, EndsWithConnection: true, KeepAlive: true, Network: own}
-		made := New(upstream.NewPoolOn(terms, upstream.NewBudget(10), time.Second, time.Minute))
-		made.Faults = faults
+		go serveDuplicates(listener)
+		terms := upstream.Terms{Patient: true, EndsWithConnection: true, KeepAlive: true, Network: proxyProcess}
+		caller := New(upstream.NewPoolOn(terms, upstream.NewBudget(10), time.Second, time.Minute))
+		caller.Faults = faults
 		request := &Request{ID: "1", Method: http.MethodGet, URI: "/x", Header: http.Header{headerRequestID: {"1"}},
-			Deadline: time.Now().Add(time.Minute), Terms: Terms{Tries: 3}}
-		job := NewJob(made, request, &counted{})
-		worker, clear := core.Worker{Name: "w", Addr: workerAt}, func() error { return nil }
+			Deadline: time.Now().Add(time.Minute), Terms: Terms{MaxRuns: 3}}
+		job := NewJob(caller, request, &countingBudget{})
+		worker, clear := core.Worker{Name: "w", Addr: workerAddr}, func() error { return nil }
 		_, err = job.Try(context.Background(), worker, clear)
 		c.Assert(err, qt.IsNotNil)
 		time.Sleep(50 * time.Millisecond) // the connection has rested
 		_, err = job.Try(context.Background(), worker, clear)
 		turnedAway = err != nil
-		far.Kill()
-		own.Kill()
+		workerProcess.Kill()
+		proxyProcess.Kill()
 		time.Sleep(2 * time.Minute)
 	})
 	return turnedAway
--- a/internal/proxy/calls/request.go
+++ b/internal/proxy/calls/request.go
@@ -31,23 +31,23 @@
 
 // Terms are what a route says of its requests.
 type Terms struct {
-	Flowing    bool // the answer is a stream of events
+	Streaming  bool // the answer is a stream of events
 	Repeatable bool // a request may run more than once
-	Tries      int  // workers that one request may be run by
+	MaxRuns    int  // workers that one request may be run by
 	Priority   int  // among other work at a worker, from 0, the most urgent, to 9
 }
 
 // Prompt describes what a model worker is to read and write, in tokens.
 type Prompt struct {
-	Tokens     float64 // of the whole prompt
-	MaxOut     float64
-	Shared     uint64  // key of the longest beginning that other requests share; 0: none
-	SharedSize float64 // its tokens
-	Session    uint64  // key of the last part; 0: none
+	Tokens       float64 // of the whole prompt
+	MaxTokens    float64
+	Prefix       uint64  // key of the longest beginning that other requests share; 0: none
+	PrefixTokens float64 // its tokens
+	Session      uint64  // key of the last part; 0: none
 }
 
-// ownHeaders are never passed on: they concern one connection only, or are the system's to set.
-var ownHeaders = []string{"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
+// reservedHeaders are never passed on: they concern one connection only, or are the system's to set.
+var reservedHeaders = []string{"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 	"Content-Length", "Expect", "Host", headerTimeLeft, headerMeantServer, headerStage, headerKvFrom, headerPriority, "Expect-Version"}
 
 // ReadPrompt takes the description of a prompt out of X-Token-Count and X-Prompt-Start. Requests without them have an
@@ -56,7 +56,7 @@
 	var prompt Prompt
 	in, out, _ := strings.Cut(header.Get("X-Token-Count"), ",")
 	prompt.Tokens = number(in)
-	prompt.MaxOut = number(out)
+	prompt.MaxTokens = number(out)
 	parts := strings.Split(header.Get("X-Prompt-Start"), ",")
 	for i, part := range parts {
 		id, size, found := strings.Cut(strings.TrimSpace(part), ":")
@@ -71,8 +71,8 @@
 			prompt.Session = key
 			continue
 		}
-		prompt.Shared = key
-		prompt.SharedSize += number(size)
+		prompt.Prefix = key
+		prompt.PrefixTokens += number(size)
 	}
 	return prompt
 }
@@ -92,23 +92,23 @@
 		Request:      id,
 		Class:        r.Class,
 		Session:      r.Prompt.Session,
-		Prefix:       r.Prompt.Shared,
+		Prefix:       r.Prompt.Prefix,
 		PromptTokens: r.Prompt.Tokens,
-		PrefixTokens: r.Prompt.SharedSize,
-		MaxTokens:    r.Prompt.MaxOut,
+		PrefixTokens: r.Prompt.PrefixTokens,
+		MaxTokens:    r.Prompt.MaxTokens,
 		Left:         time.Until(r.Deadline),
 		Resumed:      r.Header.Get(headerLastEvent) != "",
 	}
 }
 
 // encode is the request as it goes to a worker, with the time that is left and the headers of this call.
-func (r *Request) encode(deadline time.Time, own ...string) []byte {
+func (r *Request) encode(deadline time.Time, headers ...string) []byte {
 	left := max(time.Until(deadline).Milliseconds(), 1)
 	var out strings.Builder
 	out.Grow(1024 + len(r.Body))
 	out.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	for name, values := range r.Header {
-		if slices.Contains(ownHeaders, name) {
+		if slices.Contains(reservedHeaders, name) {
 			continue
 		}
 		for _, value := range values {
@@ -117,8 +117,8 @@
 	}
 	out.WriteString(headerPriority + ": " + strconv.Itoa(r.Terms.Priority) + "\r\n")
 	out.WriteString(headerTimeLeft + ": " + strconv.FormatInt(left, 10) + "\r\n")
-	for i := 0; i+1 < len(own); i += 2 {
-		out.WriteString(own[i] + ": " + own[i+1] + "\r\n")
+	for i := 0; i+1 < len(headers); i += 2 {
+		out.WriteString(headers[i] + ": " + headers[i+1] + "\r\n")
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet {
 		out.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
--- a/internal/proxy/calls/request_test.go
+++ b/internal/proxy/calls/request_test.go
@@ -19,11 +19,11 @@
 	return request
 }
 
-func TestClientCannotSpeakForTheSystem(t *testing.T) {
+func TestClientCannotSetReservedHeaders(t *testing.T) {
 	c := qt.New(t)
 	// Given a client that sends every header that is the system's to set, or its connection's.
 	header := http.Header{"X-Request-Id": {"1"}, "X-Other": {"stays"}}
-	for _, name := range ownHeaders {
+	for _, name := range reservedHeaders {
 		header.Set(name, "from the client")
 	}
 	request := &Request{ID: "1", Method: "POST", URI: "/a/b?c=d", Host: "h.example", Header: header, Body: []byte("body"),
@@ -42,7 +42,7 @@
 	c.Assert(got.ContentLength, qt.Equals, int64(4))
 }
 
-func TestTimeHandedOnIsWhatIsLeft(t *testing.T) {
+func TestWorkerIsSentTheTimeLeft(t *testing.T) {
 	c := qt.New(t)
 	// Given a request that was taken with 500 ms left and is sent 200 ms later.
 	request := &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{headerTimeLeft: {"500"}}}
@@ -56,25 +56,25 @@
 	c.Assert(late.Header.Get(headerTimeLeft), qt.Equals, "1")
 }
 
-func TestPromptIsDescribedByItsParts(t *testing.T) {
+func TestReadPrompt(t *testing.T) {
 	c := qt.New(t)
 	header := http.Header{}
 	header.Set("X-Token-Count", "1460,80")
 	header.Set("X-Prompt-Start", "5c1e07a2:800, 91bd3f06:410,e4402b7d:250")
 	prompt := ReadPrompt(header)
-	c.Assert(prompt, qt.Equals, Prompt{Tokens: 1460, MaxOut: 80, Shared: 0x91bd3f06, SharedSize: 1210, Session: 0xe4402b7d})
+	c.Assert(prompt, qt.Equals, Prompt{Tokens: 1460, MaxTokens: 80, Prefix: 0x91bd3f06, PrefixTokens: 1210, Session: 0xe4402b7d})
 	c.Assert(ReadPrompt(http.Header{}), qt.Equals, Prompt{})
 }
 
 // Whatever stands in the headers, reading them neither fails nor gives a negative size.
-func TestAnyPromptHeaderCanBeRead(t *testing.T) {
+func TestReadPromptAcceptsAnyHeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		header := http.Header{
 			"X-Token-Count":  {rapid.String().Draw(t, "count")},
 			"X-Prompt-Start": {rapid.StringMatching(`([0-9a-g]{0,4}:?-?[0-9]{0,4},?)*`).Draw(t, "start")},
 		}
 		prompt := ReadPrompt(header)
-		if prompt.Tokens < 0 || prompt.MaxOut < 0 || prompt.SharedSize < 0 {
+		if prompt.Tokens < 0 || prompt.MaxTokens < 0 || prompt.PrefixTokens < 0 {
 			t.Fatalf("%+v of %v", prompt, header)
 		}
 	})
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -41,7 +41,7 @@
 	address string
 	client  *rpc.Client
 	front   *front.Front
-	env     lane.Surroundings
+	env     lane.Environment
 	log     zerolog.Logger
 
 	// OnRouters is told the IP addresses of the edge routers that are alive; set it before Run.
@@ -66,13 +66,13 @@
 }
 
 // New makes a feed from the agent at the loopback address to the front.
-func New(transport network.Network, address string, to *front.Front, env lane.Surroundings, log zerolog.Logger) *Feed {
+func New(transport network.Network, address string, to *front.Front, env lane.Environment, log zerolog.Logger) *Feed {
 	return &Feed{address: address, client: rpc.NewClient(transport), front: to, env: env, log: log, lanes: map[string]*lane.Lane{}, orders: orders{},
 		workers: registry.New(registry.Config{}), started: time.Now()}
 }
 
 // SetWaitingSource has the lanes ask a board what waits at readers; call it before Run.
-func (f *Feed) SetWaitingSource(source lane.Board) { f.env.Board = source }
+func (f *Feed) SetWaitingSource(source lane.WaitingSource) { f.env.Waiting = source }
 
 // Ready tells whether a configuration is in force.
 func (f *Feed) Ready() bool { return f.ready.Load() }
@@ -215,7 +215,7 @@
 		unknown := func(worker registry.Worker) bool { return !f.agentWorkers[worker.ID] }
 		serviceLane.List(slices.DeleteFunc(view.Workers(name), unknown), changing)
 	}
-	f.env.Calls.Allot(connectionShares(f.configuration.Services, view, f.routers))
+	f.env.Calls.LimitConnections(connectionShares(f.configuration.Services, view, f.routers))
 }
 
 // publish has the front work by what is in force now.
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -48,14 +48,14 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	workerCalls := calls.New(upstream.NewPool(upstream.NewBudget(100), time.Second, time.Second))
-	around := lane.Surroundings{
+	env := lane.Environment{
 		Calls: workerCalls, Zone: "zone-0", Log: quiet,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50},
 	}
 	for number := range 7 {
-		around.Zones = append(around.Zones, fmt.Sprintf("zone-%d", number))
+		env.Zones = append(env.Zones, fmt.Sprintf("zone-%d", number))
 	}
-	return New(network.System{}, "127.0.0.1:1", &front.Front{Calls: workerCalls}, around, zerolog.Nop())
+	return New(network.System{}, "127.0.0.1:1", &front.Front{Calls: workerCalls}, env, zerolog.Nop())
 }
 
 // BenchmarkApplySnapshot is what a proxy does with each answer of its agent, but for the decoding.
--- a/internal/proxy/front/front_bench_test.go
+++ b/internal/proxy/front/front_bench_test.go
@@ -56,7 +56,7 @@
 	quiet.SetOutput(io.Discard)
 	terms := upstream.Terms{Patient: true, EndsWithConnection: true, KeepAlive: true}
 	worker := calls.New(upstream.NewPoolOn(terms, upstream.NewBudget(1000), time.Second, 10*time.Second))
-	around := lane.Surroundings{
+	around := lane.Environment{
 		Calls: worker, Zone: "zone-0", Zones: []string{"zone-0"}, Log: quiet,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50},
 	}
--- a/internal/proxy/front/furtherrun_test.go
+++ b/internal/proxy/front/furtherrun_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			request := &calls.Request{Header: http.Header{}, Deadline: time.Now().Add(time.Minute), Terms: calls.Terms{Tries: 2}}
+			request := &calls.Request{Header: http.Header{}, Deadline: time.Now().Add(time.Minute), Terms: calls.Terms{MaxRuns: 2}}
 			out := &client{job: calls.NewJob(nil, request, nil), request: request, broken: true, joint: &joint{}}
 			out.joint.order.First(events.Event{ID: 1, Numbered: true})
 			given.change(out)
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -87,7 +87,7 @@
 		if run == nil {
 			return
 		}
-		service.PickUp(ctx, run, c.job)
+		service.Resume(ctx, run, c.job)
 		c.job.Close()
 		if !run.broke {
 			return
@@ -107,7 +107,7 @@
 	if !followed {
 		return nil
 	}
-	job, allowed := c.job.Rest(strconv.FormatUint(last, 10), c.joint.worker)
+	job, allowed := c.job.Remainder(strconv.FormatUint(last, 10), c.joint.worker)
 	if !allowed {
 		return nil
 	}
--- a/internal/proxy/front/scene_test.go
+++ b/internal/proxy/front/scene_test.go
@@ -212,7 +212,7 @@
 	quiet.SetOutput(io.Discard)
 	toWorkers := calls.New(upstream.NewPoolOn(run.WorkerTerms(own), upstream.NewBudget(1000), dialLimit, idleLimit))
 	toWorkers.Faults = s.faults
-	around := lane.Surroundings{
+	around := lane.Environment{
 		Calls: toWorkers, Zone: "zone", Zones: []string{"zone"}, Log: quiet,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: s.extra},
 	}
--- a/internal/proxy/lane/allowance.go
+++ b/internal/proxy/lane/allowance.go
@@ -9,44 +9,44 @@
 	"sumacloft/internal/proxy/calls"
 )
 
-// furtherCounts are how often further arrivals came about or were not allowed.
-type furtherCounts map[furtherKey]uint64
+// extraCounts are how often further arrivals came about or were not allowed.
+type extraCounts map[extraKey]uint64
 
-// furtherKey is a reason for a further arrival and what became of it.
-type furtherKey struct {
-	why   calls.Further
-	taken bool
+// extraKey is a reason for a further arrival and what became of it.
+type extraKey struct {
+	reason  calls.ExtraReason
+	allowed bool
 }
 
-// whyNoSpare is why a request is not begun.
-const whyNoSpare calls.Further = "its first call might fail, and the retry budget has no room for that"
+// reasonNoSpare is why a request is not begun.
+const reasonNoSpare calls.ExtraReason = "its first call might fail, and the retry budget has no room for that"
 
 // Take serves calls.Allowance.
-func (l *Lane) Take(why calls.Further) bool {
+func (l *Lane) Take(reason calls.ExtraReason) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	taken := l.budget.Take(time.Since(l.began))
-	l.further[furtherKey{why, taken}]++
-	return taken
+	allowed := l.budget.Take(time.Since(l.started))
+	l.extra[extraKey{reason, allowed}]++
+	return allowed
 }
 
-// Spare serves calls.Allowance.
-func (l *Lane) Spare() bool {
+// HasSpare serves calls.Allowance.
+func (l *Lane) HasSpare() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	spare := l.budget.Spare(time.Since(l.began))
+	spare := l.budget.HasSpare(time.Since(l.started))
 	if !spare {
-		l.further[furtherKey{whyNoSpare, false}]++
+		l.extra[extraKey{reasonNoSpare, false}]++
 	}
 	return spare
 }
 
 // Charge serves calls.Allowance.
-func (l *Lane) Charge(why calls.Further) {
+func (l *Lane) Charge(reason calls.ExtraReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.budget.Charge(time.Since(l.began))
-	l.further[furtherKey{why, true}]++
+	l.budget.Charge(time.Since(l.started))
+	l.extra[extraKey{reason, true}]++
 }
 
 // Kind is what a decision was about.
@@ -54,41 +54,41 @@
 
 // The kinds of decisions.
 const (
-	Refused    Kind = "refused"     // the client may try again
-	Failed     Kind = "failed"      // nothing was promised
-	Further    Kind = "further"     // the request arrived at a worker once more
-	NotAllowed Kind = "not allowed" // a further arrival for which the retry budget had no room
+	Refused      Kind = "refused"     // the client may try again
+	Failed       Kind = "failed"      // nothing was promised
+	ExtraAttempt Kind = "further"     // the request arrived at a worker once more
+	ExtraDenied  Kind = "not allowed" // a further arrival for which the retry budget had no room
 )
 
 // Decision counts decisions of one kind that had one reason, since the lane was made.
 type Decision struct {
-	Kind  Kind
-	Why   string
-	Count uint64
+	Kind   Kind
+	Reason string
+	Count  uint64
 }
 
 // Decisions are what the lane has decided, in a fixed order.
 func (l *Lane) Decisions() []Decision {
 	all := coreDecisions(l.core.Decisions())
 	l.mu.Lock()
-	for key, count := range l.further {
-		kind := NotAllowed
-		if key.taken {
-			kind = Further
+	for key, count := range l.extra {
+		kind := ExtraDenied
+		if key.allowed {
+			kind = ExtraAttempt
 		}
-		all = append(all, Decision{Kind: kind, Why: string(key.why), Count: count})
+		all = append(all, Decision{Kind: kind, Reason: string(key.reason), Count: count})
 	}
 	l.mu.Unlock()
-	slices.SortFunc(all, func(a, b Decision) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Why, b.Why)) })
+	slices.SortFunc(all, func(a, b Decision) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Reason, b.Reason)) })
 	return all
 }
 
 func coreDecisions(counted core.Decisions) (all []Decision) {
-	for why, count := range counted.Refused {
-		all = append(all, Decision{Kind: Refused, Why: string(why), Count: count})
+	for reason, count := range counted.Refused {
+		all = append(all, Decision{Kind: Refused, Reason: string(reason), Count: count})
 	}
-	for why, count := range counted.Failed {
-		all = append(all, Decision{Kind: Failed, Why: string(why), Count: count})
+	for reason, count := range counted.Failed {
+		all = append(all, Decision{Kind: Failed, Reason: string(reason), Count: count})
 	}
 	return all
 }
--- a/internal/proxy/lane/lane.go
+++ b/internal/proxy/lane/lane.go
@@ -19,64 +19,64 @@
 	"sumacloft/internal/trial"
 )
 
-// Surroundings are what all lanes of a proxy share.
-type Surroundings struct {
-	Calls  *calls.Calls
-	Zone   string
-	Zones  []string // of the deployment, in one order at every proxy
-	Budget budget.Terms
-	Seed   uint64
-	Log    logrus.FieldLogger
-	Began  time.Time // of the process; zero: none ran before it
-	Trial  trial.Off
-	Board  Board // may be nil
+// Environment are what all lanes of a proxy share.
+type Environment struct {
+	Calls    *calls.Calls
+	Zone     string
+	Zones    []string // of the deployment, in one order at every proxy
+	Budget   budget.Terms
+	Seed     uint64
+	Log      logrus.FieldLogger
+	Started  time.Time // of the process; zero: none ran before it
+	Disabled trial.Off
+	Waiting  WaitingSource // may be nil
 }
 
-// age is for how long no other process can have taken further arrivals in this one's place.
-func (s *Surroundings) age() time.Duration {
-	if s.Began.IsZero() {
+// processAge is for how long no other process can have taken further arrivals in this one's place.
+func (s *Environment) processAge() time.Duration {
+	if s.Started.IsZero() {
 		return s.Budget.Window
 	}
-	return time.Since(s.Began)
+	return time.Since(s.Started)
 }
 
 // Lane serves one service. Use New, then Configure and List as news comes.
 type Lane struct {
 	service string
-	around  Surroundings
+	env     Environment
 	core    *core.Core
-	began   time.Time
-	stop    context.CancelFunc
+	started time.Time
+	cancel  context.CancelFunc
 
 	mu       sync.Mutex
 	budget   *budget.Budget
 	settings brain.Settings
 	classes  map[string]int // by the route's name; places never change
 	listed   map[brain.EngineID]bool
-	further  furtherCounts
+	extra    extraCounts
 }
 
 // New makes the lane of a service and runs it until Stop.
-func New(service opconf.Service, around Surroundings, routers int) *Lane {
+func New(service opconf.Service, env Environment, routers int) *Lane {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Lane{
 		service: service.Name,
-		around:  around,
-		began:   time.Now(),
-		stop:    cancel,
-		budget:  budget.New(around.Budget, routers, around.age()),
+		env:     env,
+		started: time.Now(),
+		cancel:  cancel,
+		budget:  budget.New(env.Budget, routers, env.processAge()),
 		classes: map[string]int{},
 		listed:  map[brain.EngineID]bool{},
-		further: furtherCounts{},
+		extra:   extraCounts{},
 	}
 	l.settings = l.newSettings(service, routers)
-	l.core = core.New(l.settings, around.Seed, around.Calls, around.Log)
+	l.core = core.New(l.settings, env.Seed, env.Calls, env.Log)
 	go l.core.Run(ctx)
 	return l
 }
 
 // Stop ends the lane's timers; call it once nothing is open.
-func (l *Lane) Stop() { l.stop() }
+func (l *Lane) Stop() { l.cancel() }
 
 // Core is the lane's core.
 func (l *Lane) Core() *core.Core { return l.core }
@@ -85,8 +85,8 @@
 func (l *Lane) Class(route string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if place, known := l.classes[route]; known {
-		return place
+	if index, known := l.classes[route]; known {
+		return index
 	}
 	return -1
 }
@@ -94,14 +94,14 @@
 // Do carries one request to its final answer.
 func (l *Lane) Do(ctx context.Context, client core.Client, job *calls.Job) {
 	l.mu.Lock()
-	l.budget.Request(time.Since(l.began))
+	l.budget.CountRequest(time.Since(l.started))
 	l.mu.Unlock()
-	l.look(ctx, job)
+	l.refreshWaiting(ctx, job)
 	l.core.Do(ctx, job, client)
 }
 
-// PickUp carries the rest of a request that Do has counted.
-func (l *Lane) PickUp(ctx context.Context, client core.Client, job *calls.Job) {
+// Resume carries the rest of a request that Do has counted.
+func (l *Lane) Resume(ctx context.Context, client core.Client, job *calls.Job) {
 	l.core.Do(ctx, job, client)
 }
 
@@ -109,21 +109,21 @@
 func (l *Lane) Configure(service opconf.Service, routes []opconf.Route, routers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.budget.Share(time.Since(l.began), routers)
+	l.budget.SetRouters(time.Since(l.started), routers)
 	settings := l.newSettings(service, routers)
 	settings.Classes = append([]brain.Class(nil), l.settings.Classes...)
-	lowest := 0
+	lowestRank := 0
 	for i := range routes {
-		lowest = max(lowest, routes[i].Rank)
+		lowestRank = max(lowestRank, routes[i].Rank)
 	}
 	for i := range routes {
-		place, known := l.classes[routes[i].Name]
+		index, known := l.classes[routes[i].Name]
 		if !known {
-			place = len(settings.Classes)
-			l.classes[routes[i].Name] = place
+			index = len(settings.Classes)
+			l.classes[routes[i].Name] = index
 			settings.Classes = append(settings.Classes, brain.Class{})
 		}
-		settings.Classes[place] = classOf(&routes[i], lowest)
+		settings.Classes[index] = classOf(&routes[i], lowestRank)
 	}
 	l.settings = settings
 	l.core.Retune(settings)
@@ -150,8 +150,8 @@
 	kindWhole
 )
 
-// longestHoldOff bounds the advice on when a refused client should return.
-const longestHoldOff = 2 * time.Second
+// maxHoldOff bounds the advice on when a refused client should return.
+const maxHoldOff = 2 * time.Second
 
 // lateShare is how far into the time between aim and deadline a request may be projected to wait and is still taken: a
 // late answer earns less than one in time, but far more than a refusal.
@@ -161,38 +161,38 @@
 // and has a price of its own.
 const rereadWeight = 10
 
-// wholeTokens is the length from which prompts are read apart. A separate read takes a reader some thirty milliseconds
+// minPrefillTokens is the length from which prompts are read apart. A separate read takes a reader some thirty milliseconds
 // whatever its length, and the prompt's memory has to be moved; a writer reads so few tokens between two steps.
-const wholeTokens = 1000
+const minPrefillTokens = 1000
 
 // noZone stands for a router whose own zone does not come first.
 const noZone = -1
 
-// shortestStep is the resolution of the module's times.
-const shortestStep = time.Millisecond
+// timeStep is the resolution of the module's times.
+const timeStep = time.Millisecond
 
 // newSettings are the module's settings without classes.
 func (l *Lane) newSettings(service opconf.Service, routers int) brain.Settings {
 	settings := brain.Settings{
-		Zone:       l.zone(l.around.Zone),
+		Zone:       l.zone(l.env.Zone),
 		Routers:    routers,
-		MaxHoldOff: longestHoldOff,
+		MaxHoldOff: maxHoldOff,
 		HoldOff:    true,
 		LateShare:  lateShare,
 
 		RereadWeight: rereadWeight,
 		Probing:      true,
 		Cancelling:   true,
-		Step:         shortestStep,
+		Step:         timeStep,
 	}
 	memory := 0.0
 	if service.Runner != nil {
 		settings.Zone = noZone // a prompt's beginning is read once for all zones
 		memory = float64(service.Runner.MemoryTokens)
 		settings.PinLimit = service.Runner.TicketHold
-		settings.WholeTokens = wholeTokens
+		settings.WholeTokens = minPrefillTokens
 	}
-	l.switchOff(&settings)
+	l.applyTrial(&settings)
 	settings.Kinds = []brain.Kind{
 		kindReading: {Role: brain.Reader, MemoryTokens: memory},
 		kindWriting: {Role: brain.Writer, MemoryTokens: memory},
@@ -201,47 +201,47 @@
 	return settings
 }
 
-// switchOff leaves out what a trial leaves out.
-func (l *Lane) switchOff(settings *brain.Settings) {
-	off := l.around.Trial
-	settings.Probing = !off.Has(trial.Probing)
-	settings.Cancelling = !off.Has(trial.CallOff)
-	settings.HoldOff = !off.Has(trial.HoldOff)
-	if off.Has(trial.ShortPrompts) {
+// applyTrial leaves out what a trial leaves out.
+func (l *Lane) applyTrial(settings *brain.Settings) {
+	disabled := l.env.Disabled
+	settings.Probing = !disabled.Has(trial.Probing)
+	settings.Cancelling = !disabled.Has(trial.CallOff)
+	settings.HoldOff = !disabled.Has(trial.HoldOff)
+	if disabled.Has(trial.ShortPrompts) {
 		settings.WholeTokens = 1 // what says nothing of its prompt must not be read apart
 	}
-	if off.Has(trial.RereadWeight) {
+	if disabled.Has(trial.RereadWeight) {
 		settings.RereadWeight = 0
 	}
-	if off.Has(trial.OneHome) {
-		settings.Zone = l.zone(l.around.Zone)
+	if disabled.Has(trial.OneHome) {
+		settings.Zone = l.zone(l.env.Zone)
 	}
-	if off.Has(trial.LateShare) {
+	if disabled.Has(trial.LateShare) {
 		settings.LateShare = 0
 	}
 }
 
 // zone is the number of a zone; one that the boot file does not name comes after all that it does.
 func (l *Lane) zone(name string) int {
-	for i, zone := range l.around.Zones {
+	for i, zone := range l.env.Zones {
 		if zone == name {
 			return i
 		}
 	}
-	return len(l.around.Zones)
+	return len(l.env.Zones)
 }
 
 // List takes the service's workers as they are now, and the phases that some are about to have.
 func (l *Lane) List(workers []registry.Worker, changing map[string]string) {
-	list := make([]core.Worker, 0, len(workers))
+	entries := make([]core.Worker, 0, len(workers))
 	for i := range workers {
-		listed := l.worker(&workers[i])
+		entry := l.worker(&workers[i])
 		if phase, ordered := changing[workers[i].ID]; ordered && phase != workers[i].Phase {
-			listed.Availability = brain.Draining
+			entry.Availability = brain.Draining
 		}
-		list = append(list, listed)
+		entries = append(entries, entry)
 	}
-	l.core.Listed(brain.ListWhole, list)
+	l.core.Listed(brain.ListWhole, entries)
 }
 
 // worker is a worker as the core sees it. One that changes its phase is another engine to the module.
--- a/internal/proxy/lane/lane_test.go
+++ b/internal/proxy/lane/lane_test.go
@@ -14,15 +14,15 @@
 	"sumacloft/internal/trial"
 )
 
-func newLane(off trial.Off) *Lane {
+func newLane(disabled trial.Off) *Lane {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	return New(opconf.Service{Name: "model", Runner: &opconf.Runner{MemoryTokens: 1000}}, Surroundings{
-		Log:    quiet,
-		Zone:   "north",
-		Zones:  []string{"north", "south"},
-		Budget: budget.Terms{Window: 10 * time.Second, Extra: 5},
-		Trial:  off,
+	return New(opconf.Service{Name: "model", Runner: &opconf.Runner{MemoryTokens: 1000}}, Environment{
+		Log:      quiet,
+		Zone:     "north",
+		Zones:    []string{"north", "south"},
+		Budget:   budget.Terms{Window: 10 * time.Second, Extra: 5},
+		Disabled: disabled,
 	}, 1)
 }
 
@@ -33,29 +33,29 @@
 	defer l.Stop()
 	// When six are asked for, and one has come about by itself.
 	for range 6 {
-		l.Take(calls.FurtherRun)
+		l.Take(calls.ExtraRun)
 	}
-	l.Charge(calls.FurtherFailedRun)
+	l.Charge(calls.ExtraFailedFirstRun)
 	// Then each is counted with its reason and what became of it.
 	c.Assert(l.Decisions(), qt.DeepEquals, []Decision{
-		{Kind: Further, Why: string(calls.FurtherRun), Count: 4},
-		{Kind: Further, Why: string(calls.FurtherFailedRun), Count: 1},
-		{Kind: NotAllowed, Why: string(calls.FurtherRun), Count: 2},
+		{Kind: ExtraAttempt, Reason: string(calls.ExtraRun), Count: 4},
+		{Kind: ExtraAttempt, Reason: string(calls.ExtraFailedFirstRun), Count: 1},
+		{Kind: ExtraDenied, Reason: string(calls.ExtraRun), Count: 2},
 	})
 }
 
-func TestTrialsLeaveMechanismsOut(t *testing.T) {
+func TestTrialDisablesMechanisms(t *testing.T) {
 	c := qt.New(t)
-	whole := newLane(nil)
-	defer whole.Stop()
-	c.Assert(whole.settings.WholeTokens, qt.Equals, float64(wholeTokens))
-	c.Assert(whole.settings.Zone, qt.Equals, noZone)
-	c.Assert(whole.settings.Probing && whole.settings.Cancelling && whole.settings.HoldOff, qt.IsTrue)
-	less := newLane(trial.Off{trial.ShortPrompts, trial.RereadWeight, trial.OneHome, trial.Probing, trial.CallOff, trial.HoldOff, trial.LateShare})
-	defer less.Stop()
-	c.Assert(less.settings.WholeTokens, qt.Equals, 1.0)
-	c.Assert(less.settings.RereadWeight, qt.Equals, 0.0)
-	c.Assert(less.settings.LateShare, qt.Equals, 0.0)
-	c.Assert(less.settings.Zone, qt.Equals, 0)
-	c.Assert(less.settings.Probing || less.settings.Cancelling || less.settings.HoldOff, qt.IsFalse)
+	full := newLane(nil)
+	defer full.Stop()
+	c.Assert(full.settings.WholeTokens, qt.Equals, float64(minPrefillTokens))
+	c.Assert(full.settings.Zone, qt.Equals, noZone)
+	c.Assert(full.settings.Probing && full.settings.Cancelling && full.settings.HoldOff, qt.IsTrue)
+	reduced := newLane(trial.Off{trial.ShortPrompts, trial.RereadWeight, trial.OneHome, trial.Probing, trial.CallOff, trial.HoldOff, trial.LateShare})
+	defer reduced.Stop()
+	c.Assert(reduced.settings.WholeTokens, qt.Equals, 1.0)
+	c.Assert(reduced.settings.RereadWeight, qt.Equals, 0.0)
+	c.Assert(reduced.settings.LateShare, qt.Equals, 0.0)
+	c.Assert(reduced.settings.Zone, qt.Equals, 0)
+	c.Assert(reduced.settings.Probing || reduced.settings.Cancelling || reduced.settings.HoldOff, qt.IsFalse)
 }
--- a/internal/proxy/run/ready.go
+++ b/internal/proxy/run/ready.go
@@ -19,25 +19,25 @@
 // touch serves on by what it knows, and says so.
 func (p *Proxy) readiness() readiness {
 	link := p.feed.Link()
-	told := readiness{Ready: p.ready.Load() && p.feed.Ready(), Link: link.String()}
+	answer := readiness{Ready: p.ready.Load() && p.feed.Ready(), Link: link.String()}
 	switch {
 	case !p.ready.Load():
-		told.Reasons = append(told.Reasons, "this proxy is starting or ending")
+		answer.Reasons = append(answer.Reasons, "this proxy is starting or ending")
 	case !p.feed.Ready():
-		told.Reasons = append(told.Reasons, "no configuration is known yet")
+		answer.Reasons = append(answer.Reasons, "no configuration is known yet")
 	}
 	if advice := link.Advice(); advice != "" && link != message.LinkSeeking || !p.feed.Ready() {
-		told.Reasons = append(told.Reasons, advice)
+		answer.Reasons = append(answer.Reasons, advice)
 	}
-	return told
+	return answer
 }
 
-// answerReady tells the platform whether this proxy takes new connections.
-func (p *Proxy) answerReady(w http.ResponseWriter, _ *http.Request) {
-	told := p.readiness()
+// serveReady tells the platform whether this proxy takes new connections.
+func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
+	answer := p.readiness()
 	w.Header().Set("Content-Type", "application/json")
-	if !told.Ready {
+	if !answer.Ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_ = json.NewEncoder(w).Encode(told) // the platform has its status
+	_ = json.NewEncoder(w).Encode(answer) // the platform has its status
 }
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -36,21 +36,21 @@
 var Error = errs.Class("proxy: check listen_on in the boot file")
 
 const (
-	// dialLimit bounds how long a connection to a worker may take to come up.
-	dialLimit = 700 * time.Millisecond
-	// idleLimit is how long workers keep an idle connection where they do not announce it.
-	idleLimit = 10 * time.Second
+	// dialTimeout bounds how long a connection to a worker may take to come up.
+	dialTimeout = 700 * time.Millisecond
+	// idleTimeout is how long workers keep an idle connection where they do not announce it.
+	idleTimeout = 10 * time.Second
 	// sweepInterval is how often idle connections are looked through.
 	sweepInterval = 2 * time.Second
 	// reservedDescriptors are kept for files, listeners and the agent; the rest is for clients and workers alike.
 	reservedDescriptors = 300
-	// notedTime is how long the platform may go on sending new connections after the proxy says that it is not ready.
-	notedTime = 2500 * time.Millisecond
-	// lastCall is how long before the end of the grace what is still open is given up.
-	lastCall = 500 * time.Millisecond
-	// headerLimit bounds the head of the platform's question for readiness. Clients are held to the configuration's limits.
-	headerLimit = 10 * time.Second
-	settleCheck = 20 * time.Millisecond
+	// drainNotice is how long the platform may go on sending new connections after the proxy says that it is not ready.
+	drainNotice = 2500 * time.Millisecond
+	// closeMargin is how long before the end of the grace what is still open is given up.
+	closeMargin = 500 * time.Millisecond
+	// headerTimeout bounds the head of the platform's question for readiness. Clients are held to the configuration's limits.
+	headerTimeout = 10 * time.Second
+	closeWait     = 20 * time.Millisecond
 )
 
 // Proxy is the process.
@@ -64,35 +64,35 @@
 	meter    *traffic.Meter // of exchanges with workers
 	hints    *hints.Hints
 	ready    atomic.Bool
-	began    time.Time
+	started  time.Time
 }
 
 // WorkerTerms are the terms on which a proxy speaks to workers.
-func WorkerTerms(over network.Network) upstream.Terms {
+func WorkerTerms(transport network.Network) upstream.Terms {
 	return upstream.Terms{
 		Patient:            true,
 		EndsWithConnection: true,
 		KeepAlive:          true,
 		EventFields:        []string{"versions"},
-		Network:            over,
+		Network:            transport,
 	}
 }
 
 // New makes a proxy on a machine's network. The output of the parts that log by logrus goes to the same ring.
-func New(settings *boot.Settings, over network.Network, logger zerolog.Logger, ring io.Writer) *Proxy {
+func New(settings *boot.Settings, transport network.Network, logger zerolog.Logger, ring io.Writer) *Proxy {
 	sockets := max(settings.Limits.OpenFiles-reservedDescriptors, 64) / 2
-	terms := WorkerTerms(over)
+	terms := WorkerTerms(transport)
 	terms.Meter = &traffic.Meter{}
-	pool := upstream.NewPoolOn(terms, upstream.NewBudget(sockets), dialLimit, idleLimit)
-	worker := calls.New(pool)
-	p := &Proxy{settings: settings, network: over, log: logger, pool: pool, meter: terms.Meter, began: time.Now()}
-	p.front = &front.Front{Calls: worker, Bounds: bounds.New(), NoPickUp: settings.Trial.Has(trial.PickUp)}
-	lines := logrus.New()
-	lines.SetOutput(ring)
+	pool := upstream.NewPoolOn(terms, upstream.NewBudget(sockets), dialTimeout, idleTimeout)
+	workerCalls := calls.New(pool)
+	p := &Proxy{settings: settings, network: transport, log: logger, pool: pool, meter: terms.Meter, started: time.Now()}
+	p.front = &front.Front{Calls: workerCalls, Bounds: bounds.New(), NoPickUp: settings.Trial.Has(trial.PickUp)}
+	coreLog := logrus.New()
+	coreLog.SetOutput(ring)
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(settings.Node)) // never fails
-	around := lane.Surroundings{
-		Calls: worker,
+	env := lane.Environment{
+		Calls: workerCalls,
 		Zone:  settings.Zone,
 		Zones: feed.Zones(settings.Zones),
 		Budget: budget.Terms{
@@ -100,14 +100,14 @@
 			Ratio:  settings.Rules.RetryRatio,
 			Extra:  settings.Rules.ExtraTries,
 		},
-		Seed:  seed.Sum64(),
-		Log:   lines,
-		Trial: settings.Trial,
+		Seed:     seed.Sum64(),
+		Log:      coreLog,
+		Disabled: settings.Trial,
 	}
 	if !settings.FirstRun {
-		around.Began = time.Now()
+		env.Started = time.Now()
 	}
-	p.feed = feed.New(over, agent.FeedAddress(settings), p.front, around, logger)
+	p.feed = feed.New(transport, agent.FeedAddress(settings), p.front, env, logger)
 	return p
 }
 
@@ -118,13 +118,13 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/ready", p.answerReady)
-	health := &http.Server{Handler: mux, ReadHeaderTimeout: headerLimit}
+	mux.HandleFunc("GET /v1/ready", p.serveReady)
+	health := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	if err := p.serve(health, p.settings.ListenOn.Ready, unbounded); err != nil {
 		return err
 	}
-	following, stop := context.WithCancel(context.Background())
-	defer stop()
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	exchange, err := hints.New(p.network, p.settings.IP, p.settings.InsidePorts.First+membership.PortHints, p.feed, p.log)
 	if err != nil {
 		return err
@@ -133,14 +133,14 @@
 	p.feed.OnRouters = exchange.Peers
 	if !p.settings.Trial.Has(trial.Hints) {
 		p.feed.SetWaitingSource(exchange)
-		p.front.Calls.OnRead = exchange.SendNow
-		go exchange.Run(following)
+		p.front.Calls.OnPrefill = exchange.SendNow
+		go exchange.Run(background)
 	}
-	go p.feed.Run(following)
-	go periodic.Run(following, sweepInterval, p.pool.Sweep)
+	go p.feed.Run(background)
+	go periodic.Run(background, sweepInterval, p.pool.Sweep)
 	p.ready.Store(true)
 	<-ctx.Done()
-	p.end(server)
+	p.drain(server)
 	p.feed.Stop()
 	_ = health.Close() // the process ends
 	return nil
@@ -159,17 +159,17 @@
 // unbounded leaves a listener as it is.
 func unbounded(l net.Listener) net.Listener { return l }
 
-// end serves on until the platform has noticed that this proxy is not ready, then finishes what is open.
-func (p *Proxy) end(server *http.Server) {
-	began := time.Now()
+// drain serves on until the platform has noticed that this proxy is not ready, then finishes what is open.
+func (p *Proxy) drain(server *http.Server) {
+	started := time.Now()
 	p.ready.Store(false)
 	p.front.Drain()
-	time.Sleep(notedTime)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(p.settings.Rules.Grace-lastCall))
+	time.Sleep(drainNotice)
+	ctx, cancel := context.WithDeadline(context.Background(), started.Add(p.settings.Rules.Grace-closeMargin))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		p.log.Warn().Int64("open", p.front.Open()).Msg("ending with requests still open")
 		_ = server.Close() // what is open is given up
-		time.Sleep(settleCheck)
+		time.Sleep(closeWait)
 	}
 }
--- a/internal/proxy/run/status.go
+++ b/internal/proxy/run/status.go
@@ -21,20 +21,20 @@
 		Kind: status.KindProxy,
 		Node: p.settings.Node,
 		Zone: p.settings.Zone,
-		UpMS: time.Since(p.began).Milliseconds(),
+		UpMS: time.Since(p.started).Milliseconds(),
 	}
 	link := p.feed.Link()
 	report.Link = &status.Link{State: link.String(), Advice: link.Advice()}
 	report.Connections = &status.Connections{Opened: p.pool.Dialed(), WithoutID: p.front.Calls.WithoutID()}
 	report.Traffic = append(status.TrafficOf(p.meter, p.feed.InZone), status.TrafficOf(p.hints.Meter(), p.feed.InZone)...)
-	decided := p.feed.Decisions()
-	for _, service := range slices.Sorted(maps.Keys(decided)) {
-		for _, one := range decided[service] {
+	decisions := p.feed.Decisions()
+	for _, service := range slices.Sorted(maps.Keys(decisions)) {
+		for _, decision := range decisions[service] {
 			report.Decisions = append(report.Decisions, status.Decision{
 				Service: service,
-				Kind:    string(one.Kind),
-				Why:     one.Why,
-				Count:   one.Count,
+				Kind:    string(decision.Kind),
+				Why:     decision.Reason,
+				Count:   decision.Count,
 			})
 		}
 	}
