--- a/internal/proxy/budget/budget.go
+++ b/internal/proxy/budget/budget.go
@@ -1,56 +1,58 @@
-// Package budget bounds how many further arrivals one router may cause at a service. All routers share one bound; each
-// takes its part of the fixed allowance and a ratio of its own requests, so nobody has to be asked.
+// Package budget implements a retry budget: it limits the extra attempts that one router makes at a service. All
+// routers share one limit. Each uses its part of the fixed allowance plus a ratio of its own requests, so no
+// coordination is needed.
 package budget
 
 import "time"
 
 const (
-	// slotCount is into how many counts the window is cut: the count of a slot leaves the window as a whole.
+	// slotCount is the number of slots that the window is divided into. A slot expires as a whole.
 	slotCount = 40
-	// margin is the part of the bound that is used for arrivals that are asked for: the routers' views of their number
-	// differ for a moment, further arrivals may reach a worker later than they were counted, and some are only known of
-	// once they have come about.
+	// margin is the part of the limit available to attempts that are requested in advance. The rest covers three
+	// effects: routers differ for a moment in the number of routers that they know, extra attempts may reach a worker
+	// later than they were counted, and some are known only after they were made.
 	margin = 0.8
-	// spareMargin is the part of the bound from which nothing is begun that may cause a further arrival by failing.
+	// spareMargin is the part of the limit above which no request is started that may cause an extra attempt by
+	// failing.
 	spareMargin = 0.9
-	// startMargin is the part of the fixed allowance that is used in a process' first window. What the process before it took
-	// is still in that window; together they keep to the bound.
+	// startMargin is the part of the fixed allowance available in the first window of a process. Attempts of the
+	// previous process are still in that window, and the two together must stay within the limit.
 	startMargin = 1 - margin
 )
 
-// Terms are the operator's bound on further arrivals.
+// Terms are the operator's limit on extra attempts.
 type Terms struct {
-	Window time.Duration // the bound holds in every span of this length
-	Ratio  float64       // further arrivals for each request
-	Extra  int           // further arrivals besides, of all routers together
+	Window time.Duration // the limit holds in every span of this length
+	Ratio  float64       // extra attempts for each request
+	Extra  int           // additional extra attempts of all routers together
 }
 
-// Budget counts requests and further arrivals at one service. It is not safe for concurrent use.
+// Budget counts requests and extra attempts at one service. It is not safe for concurrent use.
 type Budget struct {
 	terms        Terms
-	priorExpires time.Duration // when what a process before this one took has left the window
+	priorExpires time.Duration // when the attempts of a previous process have left the window
 	routers      int
 	window       [slotCount + 1]slot
 	newest       int64 // number of the newest slot
-	requests     int   // sum over counts
+	requests     int   // sum over the window
 	extra        int
 }
 
-// slot is what a slot holds.
+// slot holds the counts of one part of the window.
 type slot struct {
 	requests, extra int
-	routers         int // the most that shared the bound meanwhile
+	routers         int // the highest number of routers during the slot
 }
 
-// New makes a budget for a router that is one of so many and whose process has run for the age.
+// New creates the budget of one of several routers whose process is of the given age.
 func New(terms Terms, routers int, age time.Duration) *Budget {
 	b := &Budget{terms: terms, routers: 1, priorExpires: terms.Window - age}
 	b.SetRouters(0, routers)
 	return b
 }
 
-// SetRouters tells how many routers share the bound from now on, this one among them. What those that ended have taken stays
-// in the window, so a smaller number counts only once the window has passed.
+// SetRouters sets how many routers share the limit, including this one. Attempts of routers that have ended remain in
+// the window, so a lower number takes effect only after one window.
 func (b *Budget) SetRouters(now time.Duration, routers int) {
 	b.advance(now)
 	b.routers = max(routers, 1)
@@ -64,7 +66,7 @@
 	b.requests++
 }
 
-// Take counts one further arrival, if the bound leaves room for it.
+// Take counts one extra attempt and returns true if the limit allows it.
 func (b *Budget) Take(now time.Duration) bool {
 	b.advance(now)
 	if float64(b.extra+1) > b.limit(now, margin) {
@@ -74,13 +76,13 @@
 	return true
 }
 
-// HasSpare tells whether there is room for an arrival that a first call would cause by failing.
+// HasSpare reports whether the limit allows an extra attempt that the failure of a first attempt would cause.
 func (b *Budget) HasSpare(now time.Duration) bool {
 	b.advance(now)
 	return float64(b.extra+1) <= max(b.limit(now, spareMargin), 1)
 }
 
-// Charge counts a further arrival that could not be asked for beforehand.
+// Charge counts an extra attempt that could not be requested in advance.
 func (b *Budget) Charge(now time.Duration) {
 	b.advance(now)
 	b.add()
@@ -91,7 +93,7 @@
 	b.extra++
 }
 
-// limit is a part of the bound on further arrivals in the window.
+// limit returns a share of the limit on extra attempts in the window.
 func (b *Budget) limit(now time.Duration, share float64) float64 {
 	routers := b.routers
 	for i := range b.window {
@@ -106,7 +108,7 @@
 
 func (b *Budget) current() *slot { return &b.window[b.newest%int64(len(b.window))] }
 
-// advance drops what has left the window.
+// advance drops the slots that have left the window.
 func (b *Budget) advance(now time.Duration) {
 	target := int64(now / max(b.terms.Window/slotCount, 1))
 	for passed := 0; b.newest < target && passed <= slotCount; passed++ {
--- a/internal/proxy/budget/budget_test.go
+++ b/internal/proxy/budget/budget_test.go
@@ -12,20 +12,20 @@
 
 func TestFixedAllowanceIsShared(t *testing.T) {
 	c := qt.New(t)
-	// Given one of five routers without a request.
+	// Given one of five routers without requests,
 	b := New(terms, 5, terms.Window)
-	// When it asks for further arrivals until it is refused.
+	// when it takes extra attempts until it is refused,
 	taken := 0
 	for b.Take(time.Second) {
 		taken++
 	}
-	// Then it got its part of the fixed allowance, less the margin.
+	// then it got its part of the fixed allowance, less the margin.
 	c.Assert(taken, qt.Equals, 8)
 }
 
 func TestRequestsRaiseTheLimit(t *testing.T) {
 	c := qt.New(t)
-	// Given a router that took 100 requests.
+	// Given a router that counted 100 requests,
 	b := New(terms, 5, terms.Window)
 	for range 100 {
 		b.CountRequest(time.Second)
@@ -34,9 +34,9 @@
 	for b.Take(time.Second) {
 		taken++
 	}
-	// Then a ratio of them is allowed besides.
+	// then a ratio of them is allowed in addition.
 	c.Assert(taken, qt.Equals, 24)
-	// And when the window has passed, only the fixed part is left.
+	// And when the window has passed, only the fixed allowance is left.
 	taken = 0
 	for b.Take(20 * time.Second) {
 		taken++
@@ -44,8 +44,8 @@
 	c.Assert(taken, qt.Equals, 8)
 }
 
-// Whatever comes when, no window of the operator's length holds more further arrivals than the bound allows for the
-// requests of that window and the one before it.
+// In any sequence of events, no window contains more extra attempts than the limit allows for the requests of that
+// window and the one before it.
 func TestEveryWindowStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(terms, 1, terms.Window)
@@ -72,16 +72,17 @@
 			from := end - terms.Window
 			bound := terms.Ratio*float64(within(requests, from-terms.Window, end+1)) + float64(terms.Extra)
 			if got := within(extra, from+1, end+1); float64(got) > bound {
-				t.Fatalf("%d further arrivals until %v, at most %v are allowed", got, end, bound)
+				t.Fatalf("%d extra attempts in the window until %v, at most %v are allowed", got, end, bound)
 			}
 		}
 	})
 }
 
-// What can only be charged once it has come about keeps to the bound too: nothing is begun once a failure has no room.
+// Attempts that are charged after a failure stay within the limit too, because no request is started without spare
+// budget.
 func TestChargedFailuresStayWithinTheLimit(t *testing.T) {
 	c := qt.New(t)
-	// Given a proxy all of whose requests fail at their first call, which costs a further arrival each.
+	// Given a proxy whose requests all fail at their first attempt, which costs an extra attempt each,
 	b := New(terms, 1, terms.Window)
 	started := 0
 	for i := range 1000 {
@@ -92,9 +93,9 @@
 			b.Charge(now)
 		}
 	}
-	// Then no more of them are begun than the bound allows, and more than repeats may take.
+	// then no more requests are started than the limit allows, and more than the margin for retries.
 	bound := float64(terms.Extra) + terms.Ratio*1000
-	c.Assert(float64(started) <= bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", started, bound))
-	c.Assert(float64(started) > margin*bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", started, bound))
+	c.Assert(float64(started) <= bound, qt.IsTrue, qt.Commentf("%d requests started, limit %.0f", started, bound))
+	c.Assert(float64(started) > margin*bound, qt.IsTrue, qt.Commentf("%d requests started, limit %.0f", started, bound))
 	c.Assert(b.Take(terms.Window), qt.IsFalse)
 }
--- a/internal/proxy/budget/many_test.go
+++ b/internal/proxy/budget/many_test.go
@@ -12,24 +12,24 @@
 // maxNoticeDelay is how long after the end of a proxy the others may still count it.
 const maxNoticeDelay = 5 * time.Second
 
-// proxy is one proxy of a fleet whose number changes.
+// proxy is one proxy of a fleet of varying size.
 type proxy struct {
 	budget  *Budget
 	started time.Duration
-	notices map[time.Duration]int // numbers of proxies that it will be told of, by time
+	notices map[time.Duration]int // fleet sizes that the proxy will be notified of, by time
 }
 
-// fleet are a fleet whose fleet take as many further arrivals as they are let.
+// fleet is a set of proxies that take as many extra attempts as allowed.
 type fleet struct {
 	now      time.Duration
 	living   []*proxy
 	starts   []time.Duration
-	fewest   map[time.Duration]int // living at the end of each change
+	fewest   map[time.Duration]int // fleet sizes after the changes at each time
 	requests []time.Duration
 	extra    []time.Duration
 }
 
-// within counts what happened after one time and up to another.
+// within counts the events after one time and until another.
 func within(list []time.Duration, after, until time.Duration) (n int) {
 	for _, at := range list {
 		if at > after && at <= until {
@@ -39,20 +39,20 @@
 	return n
 }
 
-// start adds a proxy that knows how many there are with it.
+// start adds a proxy that knows the current fleet size.
 func (f *fleet) start() {
 	f.living = append(f.living, &proxy{budget: New(terms, len(f.living)+1, 0), started: f.now, notices: map[time.Duration]int{}})
 	f.starts = append(f.starts, f.now)
 	f.announce(0)
 }
 
-// stop ends a proxy; the others are told later.
+// stop ends a proxy. The others are notified after a delay.
 func (f *fleet) stop(index int, delay time.Duration) {
 	f.living = slices.Delete(f.living, index, index+1)
 	f.announce(delay)
 }
 
-// announce has all proxies told of their number.
+// announce notifies all proxies of the fleet size after a delay.
 func (f *fleet) announce(delay time.Duration) {
 	f.fewest[f.now] = len(f.living)
 	for _, p := range f.living {
@@ -60,7 +60,7 @@
 	}
 }
 
-// advance lets time advance.
+// advance advances the time and delivers the notices that are due.
 func (f *fleet) advance(gap time.Duration) {
 	until := f.now + gap
 	for _, p := range f.living {
@@ -79,8 +79,8 @@
 	f.now = until
 }
 
-// mayStart tells whether one more start keeps to what the margin covers: within a window no more than half of the
-// proxies are new.
+// mayStart reports whether the margin covers one more start. It covers starts of at most half of the proxies in a
+// window.
 func (f *fleet) mayStart() bool {
 	fewest := len(f.living)
 	for at, number := range f.fewest {
@@ -91,15 +91,15 @@
 	return 2*(within(f.starts, f.now-terms.Window, f.now)+1) <= fewest
 }
 
-// takeAll has one proxy take all that it is let.
+// takeAll has one proxy take all extra attempts that it is allowed.
 func (f *fleet) takeAll(p *proxy) {
 	for p.budget.Take(f.now - p.started) {
 		f.extra = append(f.extra, f.now)
 	}
 }
 
-// Whatever proxies end, and up to half of them start in a window: no window of the operator's length holds more
-// further arrivals of all proxies together than the bound allows, for the requests of that window and the one before.
+// Proxies end at any time, and up to half of them start in a window. No window contains more extra attempts of all
+// proxies together than the limit allows for the requests of that window and the one before it.
 func TestManyProxiesStayWithinTheLimitTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{fewest: map[time.Duration]int{}, now: time.Hour}
@@ -134,7 +134,7 @@
 		for _, end := range f.extra {
 			bound := float64(terms.Extra) + terms.Ratio*float64(within(f.requests, end-2*terms.Window, end))
 			if got := within(f.extra, end-terms.Window, end); float64(got) > bound {
-				t.Fatalf("%d further arrivals until %v, at most %v are allowed", got, end, bound)
+				t.Fatalf("%d extra attempts in the window until %v, at most %v are allowed", got, end, bound)
 			}
 		}
 	})
@@ -142,7 +142,7 @@
 
 func TestLowerRouterCountAppliesAfterOneWindow(t *testing.T) {
 	c := qt.New(t)
-	// Given one of five routers that has taken its part, and is told that the other four have ended.
+	// Given one of five routers that has used its part, and learns that the other four have ended,
 	b := New(terms, 5, terms.Window)
 	taken := 0
 	take := func(now time.Duration) int {
@@ -153,11 +153,11 @@
 	}
 	c.Assert(take(time.Second), qt.Equals, 8)
 	b.SetRouters(2*time.Second, 1)
-	// Then it takes no more while what they have taken is in the window, and all of the allowance after that.
+	// then it takes no more while their attempts are in the window, and the whole allowance after that.
 	c.Assert(take(11*time.Second), qt.Equals, 8)
 	taken = 0
 	c.Assert(take(13*time.Second), qt.Equals, 40)
-	// And a larger number counts at once.
+	// And a higher number takes effect at once.
 	b.SetRouters(14*time.Second, 5)
 	taken = 0
 	c.Assert(take(30*time.Second), qt.Equals, 8)
@@ -165,7 +165,7 @@
 
 func TestRestartedProxyReservesTheAllowanceOfItsPredecessor(t *testing.T) {
 	c := qt.New(t)
-	// Given the only router, whose process started two seconds ago.
+	// Given the only router, whose process started two seconds ago,
 	b := New(terms, 1, 2*time.Second)
 	taken := 0
 	take := func(now time.Duration) int {
@@ -174,12 +174,12 @@
 		}
 		return taken
 	}
-	// Then it takes no more of the fixed part than the margin, and a ratio of its own requests,
+	// then it takes no more than the start margin of the fixed allowance, and a ratio of its own requests,
 	c.Assert(take(time.Second), qt.Equals, 10)
 	for range 100 {
 		b.CountRequest(time.Second)
 	}
 	c.Assert(take(time.Second), qt.Equals, 26)
-	// and its whole part once a window has passed since its start.
+	// and the whole fixed allowance once a window has passed since its start.
 	c.Assert(take(8*time.Second), qt.Equals, 56)
 }
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -1,4 +1,5 @@
-// Package feed follows the state of the fleet as the machine's agent tells it, and has the front work by it.
+// Package feed keeps the proxy up to date with the state of the fleet. It polls the machine's agent, and applies each
+// snapshot to the lanes and to the front.
 package feed
 
 import (
@@ -26,13 +27,14 @@
 	"sumacloft/internal/proxy/lane"
 )
 
-// Error is the class of what the agent tells and the proxy can't use: the two may be of different versions.
+// Error is the class of errors for snapshots that the proxy can't use. The agent and the proxy may run different
+// versions.
 var Error = errs.Class("feed: check that agent and proxy run the same version")
 
 const (
-	// callTimeout bounds one question; it is above the time for which the agent waits for a change.
+	// callTimeout bounds one poll. It exceeds the time for which the agent holds a poll open until a change.
 	callTimeout = 7 * time.Second
-	// retryInterval is the pause after a question that failed.
+	// retryInterval is the pause after a failed poll.
 	retryInterval = 25 * time.Millisecond
 )
 
@@ -44,7 +46,7 @@
 	env     lane.Environment
 	log     zerolog.Logger
 
-	// OnRouters is told the IP addresses of the edge routers that are alive; set it before Run.
+	// OnRouters is called with the IP addresses of the edge routers that are alive. Set it before Run.
 	OnRouters func(addresses []string)
 
 	position          message.Watch
@@ -55,32 +57,32 @@
 	mu                sync.Mutex // guards lanes
 	lanes             map[string]*lane.Lane
 	routers           int
-	agentWorkers      map[string]bool       // ids of the workers that the agent knows
-	configured        *opconf.Configuration // what the lanes were brought to, and for how many routers
+	agentWorkers      map[string]bool       // IDs of the workers that the agent lists
+	configured        *opconf.Configuration // configuration that the lanes run with
 	configuredRouters int
 	orders            orders
 	ready             atomic.Bool
-	link              atomic.Uint32 // message.Link, as the agent told it last
+	link              atomic.Uint32 // a message.Link, from the newest snapshot
 	view              atomic.Pointer[registry.View]
-	zoneRouters       atomic.Pointer[[]string] // hosts of the routers of the own zone
+	zoneRouters       atomic.Pointer[[]string] // hosts of the routers in the proxy's zone
 }
 
-// New makes a feed from the agent at the loopback address to the front.
+// New returns a feed that polls the agent at the loopback address and updates the front.
 func New(transport network.Network, address string, to *front.Front, env lane.Environment, log zerolog.Logger) *Feed {
 	return &Feed{address: address, client: rpc.NewClient(transport), front: to, env: env, log: log, lanes: map[string]*lane.Lane{}, orders: orders{},
 		workers: registry.New(registry.Config{}), started: time.Now()}
 }
 
-// SetWaitingSource has the lanes ask a board what waits at readers; call it before Run.
+// SetWaitingSource sets where the lanes query the tokens queued at readers. Call it before Run.
 func (f *Feed) SetWaitingSource(source lane.WaitingSource) { f.env.Waiting = source }
 
-// Ready tells whether a configuration is in force.
+// Ready reports whether a configuration is in force.
 func (f *Feed) Ready() bool { return f.ready.Load() }
 
-// Link is how this router stands to the control plane, as its agent told it last.
+// Link is the state of this router's connection to the control plane, from the newest snapshot.
 func (f *Feed) Link() message.Link { return message.Link(f.link.Load()) }
 
-// InZone tells whether a host is a worker's or a router's of the own zone.
+// InZone reports whether a host is a worker or a router of the proxy's zone.
 func (f *Feed) InZone(host string) bool {
 	if routers := f.zoneRouters.Load(); routers != nil && slices.Contains(*routers, host) {
 		return true
@@ -95,11 +97,11 @@
 	})
 }
 
-// Run follows the agent until the context ends.
+// Run polls the agent until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
-			f.log.Info().Err(err).Msg("the agent did not answer")
+			f.log.Info().Err(err).Msg("polling the agent failed; retrying")
 			select {
 			case <-ctx.Done():
 			case <-time.After(retryInterval):
@@ -108,7 +110,7 @@
 	}
 }
 
-// Stop ends the lanes' timers; call it once nothing is open.
+// Stop ends the lanes' timers. Call it when no request is open.
 func (f *Feed) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +119,7 @@
 	}
 }
 
-// poll asks once and takes the answer.
+// poll polls the agent once and applies the answer.
 func (f *Feed) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// apply puts a state of the fleet in force. A configuration older than the one in force, as an agent that has just
-// started may know it, changes nothing.
+// apply puts a snapshot in force. A configuration older than the one in force is ignored: an agent that has just
+// started may still have one.
 func (f *Feed) apply(snapshot *message.Snapshot) error {
 	if !snapshot.SameRouters {
 		f.routers = max(len(snapshot.Routers), 1)
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// updateWorkers takes what is told of workers. One that the agent knows no longer is gone here too.
+// updateWorkers merges the workers of a snapshot and drops those that the agent no longer lists.
 func (f *Feed) updateWorkers(snapshot *message.Snapshot) {
 	now := time.Since(f.started)
 	f.workers.Merge(now, snapshot.Workers)
@@ -188,7 +190,7 @@
 	}
 }
 
-// configure brings the lanes to the configuration.
+// configure applies the configuration to the lanes and adds lanes for new services.
 func (f *Feed) configure() {
 	routes := map[string][]opconf.Route{}
 	for _, route := range f.configuration.Routes {
@@ -208,7 +210,7 @@
 	}
 }
 
-// updateLanes tells the lanes of their workers.
+// updateLanes passes each lane its workers, and sets the connection limits of all workers.
 func (f *Feed) updateLanes(changing map[string]string) {
 	view := f.workers.View()
 	for name, serviceLane := range f.lanes {
@@ -218,7 +220,7 @@
 	f.env.Calls.LimitConnections(connectionShares(f.configuration.Services, view, f.routers))
 }
 
-// publish has the front work by what is in force now.
+// publish passes the routing in force to the front.
 func (f *Feed) publish() {
 	lanes := make(map[string]*lane.Lane, len(f.lanes))
 	for name, serviceLane := range f.lanes {
@@ -228,7 +230,7 @@
 	f.ready.Store(true)
 }
 
-// Waiting serves hints.Load.
+// Waiting implements hints.Load.
 func (f *Feed) Waiting() hints.Waiting {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,7 +243,7 @@
 	return all
 }
 
-// Reported serves hints.Load.
+// Reported implements hints.Load.
 func (f *Feed) Reported(all hints.Waiting) {
 	waiting := make(map[brain.EngineID]float64, len(all))
 	for engine, tokens := range all {
@@ -254,7 +256,7 @@
 	}
 }
 
-// Zones lists the zones of a deployment in one order for all proxies.
+// Zones returns the zones of a deployment, sorted, so that all proxies number them alike.
 func Zones(zones map[string]string) []string {
 	names := make([]string, 0, len(zones))
 	for name := range zones {
@@ -264,7 +266,7 @@
 	return names
 }
 
-// Decisions are what the lanes have decided, by the name of the service.
+// Decisions returns the decision counts of the lanes, by service name.
 func (f *Feed) Decisions() map[string][]lane.Decision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -22,7 +22,7 @@
 	"sumacloft/internal/upstream"
 )
 
-// largeFleet is how many workers the fleet has that docs/CAPACITY.md works its figures out for.
+// largeFleet is the number of workers in the fleet that docs/CAPACITY.md calculates.
 const largeFleet = 600
 
 const largeDocument = `{"version":1,"routes":[{"name":"r","domain":"a.example","path_start":"/a/","route_type":"flowing",` +
@@ -58,7 +58,7 @@
 	return New(network.System{}, "127.0.0.1:1", &front.Front{Calls: workerCalls}, env, zerolog.Nop())
 }
 
-// BenchmarkApplySnapshot is what a proxy does with each answer of its agent, but for the decoding.
+// BenchmarkApplySnapshot measures how a proxy applies an unchanged snapshot, without the decoding.
 func BenchmarkApplySnapshot(b *testing.B) {
 	entries := largeWorkers()
 	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
@@ -75,7 +75,7 @@
 	b.ReportMetric(float64(heapBytes()-before)/1024, "heap-KB")
 }
 
-// BenchmarkApplyOneChangedWorker is the same when one worker has other news each time.
+// BenchmarkApplyOneChangedWorker measures how a proxy applies a snapshot in which one worker has changed.
 func BenchmarkApplyOneChangedWorker(b *testing.B) {
 	entries := largeWorkers()
 	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
--- a/internal/proxy/feed/orders.go
+++ b/internal/proxy/feed/orders.go
@@ -7,19 +7,19 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// orderTTL is how long an order may keep a worker from getting anything new: who sent it may be lost.
+// orderTTL is how long an order keeps new work from a worker. It limits the effect of an order whose sender is lost.
 const orderTTL = 6 * time.Second
 
-// orders are the orders for workers' phases that are under way, by worker.
+// orders tracks the active phase orders, by worker.
 type orders map[string]trackedOrder
 
-// trackedOrder is an order and since when it is known here.
+// trackedOrder is an order and the time when this proxy first received it.
 type trackedOrder struct {
 	version  replica.Version
 	received time.Time
 }
 
-// apply gives the phases that workers are about to have, by worker.
+// apply updates the tracked orders and returns the phases that workers are about to change to, by worker.
 func (o orders) apply(entries []replica.Entry, now time.Time) map[string]string {
 	changing := map[string]string{}
 	for _, entry := range entries {
--- a/internal/proxy/feed/shares.go
+++ b/internal/proxy/feed/shares.go
@@ -5,18 +5,18 @@
 	"sumacloft/internal/opconf"
 )
 
-// reserveDivisor sets the part of a worker's connections that no proxy opens: those of a proxy that has just started, of
-// which the others have not heard, and of callers that are no proxies.
+// reserveDivisor sets the reserve, the fraction of a worker's connections that proxies leave unused. The reserve serves
+// a proxy that has just started and is not yet counted by the others, and callers that are not proxies.
 const reserveDivisor = 16
 
-// connectionShare is how many connections to one worker each of so many proxies may have, so that all together stay below
-// what the worker takes. Each has one, however many they are.
+// connectionShare returns how many connections each proxy may open to one worker, so that all proxies together stay
+// below the worker's limit. The minimum is 1 for any number of proxies.
 func connectionShare(limit, proxies int) int {
 	reserve := max(limit/reserveDivisor, 1)
 	return max((limit-reserve)/max(proxies, 1), 1)
 }
 
-// connectionShares are this proxy's shares by workers' addresses, for services that bound their workers' connections.
+// connectionShares returns this proxy's connection limits by worker address, for services that limit connections.
 func connectionShares(services []opconf.Service, view *registry.View, proxies int) map[string]int {
 	shares := map[string]int{}
 	for _, service := range services {
--- a/internal/proxy/hints/hints.go
+++ b/internal/proxy/hints/hints.go
@@ -1,9 +1,10 @@
-// Package hints tells proxies how much work the others have waiting at the workers. A hint is a datagram: one that is
-// lost is made up for by the next, and the time that a call would take is longer than what a hint is good for.
+// Package hints exchanges the amount of queued prefill work between proxies. Hints are datagrams without
+// retransmission: the next hint replaces a lost one, and a call would take longer than a hint stays valid.
 //
-// In a small fleet each proxy tells all others. In a larger one each engine has a keeper among the proxies, which the
-// hash of both names: whoever has work waiting at the engine tells its keeper, and whoever is about to send some there
-// asks it. What a proxy then knows is what all have waiting, at the cost of a question, however many they are.
+// In a small fleet each proxy sends its hints to all others. In a larger one a rendezvous hash of both names selects an
+// aggregator among the proxies for each engine. Proxies with work queued at the engine send hints to its aggregator,
+// and a proxy that is about to send work there queries it. A query returns the total over all proxies, and its cost
+// does not depend on their number.
 package hints
 
 import (
@@ -21,39 +22,40 @@
 	"sumacloft/internal/mesh/traffic"
 )
 
-// Error is the class of this package's failures.
+// Error is the class of errors of this package.
 var Error = errs.Class("hints: check that the inside ports are free")
 
 const (
-	// interval is how often a proxy with work waiting tells the others.
+	// interval is the time between the hints of a proxy with queued work.
 	interval = 50 * time.Millisecond
-	// hintTTL is how long a proxy's hint counts without a newer one.
+	// hintTTL is how long a hint stays valid unless a newer one replaces it.
 	hintTTL = 400 * time.Millisecond
-	// maxBroadcastPeers is up to how many others a proxy tells all of them; with more, it tells keepers.
+	// maxBroadcastPeers is the largest number of peers that a proxy sends all its hints to. With more peers it uses
+	// aggregators.
 	maxBroadcastPeers = 8
-	// datagramBytes bounds a datagram.
+	// datagramBytes is the maximum size of a datagram.
 	datagramBytes = 1400
-	// maxEngines bounds the engines in one hint, so that it fits a datagram.
+	// maxEngines is the maximum number of engines in one hint. It keeps a hint within datagramBytes.
 	maxEngines = 80
 )
 
-// Waiting is prompt tokens by the number of the engine that they wait at.
+// Waiting maps engine numbers to the prompt tokens queued at each engine.
 type Waiting map[uint64]float64
 
-// Load is where hints come from and go to: the proxy's own waiting work, and what waits for all proxies together.
+// Load supplies the proxy's own queued work and receives the totals over all proxies.
 type Load interface {
 	Waiting() Waiting
 	Reported(all Waiting)
 }
 
-// hint is one datagram.
+// hint is the content of a datagram.
 type hint struct {
 	From     string            `cbor:"1,keyasint"`
 	Sequence uint64            `cbor:"2,keyasint"`
-	Tokens   map[uint64]uint32 `cbor:"3,keyasint,omitempty"` // what waits for the sender, at the engines that the receiver keeps
-	Queried  []uint64          `cbor:"4,keyasint,omitempty"` // engines that the sender asks about; Tokens says nothing then
-	Totals   map[uint64]uint32 `cbor:"5,keyasint,omitempty"` // what waits there for all but the receiver
-	QueryID  uint64            `cbor:"6,keyasint,omitempty"` // of the question and its answer; 0: it is neither
+	Tokens   map[uint64]uint32 `cbor:"3,keyasint,omitempty"` // queued by the sender, at the engines that the receiver aggregates
+	Queried  []uint64          `cbor:"4,keyasint,omitempty"` // engines that the sender queries; Tokens is empty then
+	Totals   map[uint64]uint32 `cbor:"5,keyasint,omitempty"` // reply: tokens queued at each engine by all proxies but the receiver
+	QueryID  uint64            `cbor:"6,keyasint,omitempty"` // of a query and its reply; 0 in a plain hint
 }
 
 // peerHint is the newest hint of one proxy.
@@ -63,7 +65,7 @@
 	tokens   map[uint64]uint32
 }
 
-// Hints exchanges hints with the other proxies. Use New, then Run.
+// Hints exchanges hints with the other proxies. Create it with New, then call Run.
 type Hints struct {
 	self  string
 	load  Load
@@ -71,19 +73,19 @@
 	conn  net.PacketConn
 	port  int
 	meter traffic.Meter
-	wake  chan struct{} // work began to wait
+	wake  chan struct{} // signals that work was queued
 
 	mu          sync.Mutex
 	peers       []string // IP addresses of the other proxies
 	received    map[string]peerHint
-	reported    map[uint64]bool // engines that were reported with work and not yet without
-	notified    map[string]bool // who was told of work and not yet of none
+	reported    map[uint64]bool // engines last reported with queued work
+	notified    map[string]bool // peers that were last sent a non-empty hint
 	sequence    uint64
-	aggregators map[uint64]string // by engine, as asked for
+	aggregators map[uint64]string // cache, by engine
 	queries
 }
 
-// New listens on a port of the machine's address.
+// New listens for datagrams on the port of the IP address.
 func New(transport network.Network, ip string, port int, load Load, log zerolog.Logger) (*Hints, error) {
 	conn, err := transport.ListenPacket(net.JoinHostPort(ip, strconv.Itoa(port)))
 	if err != nil {
@@ -107,10 +109,10 @@
 	}
 }
 
-// Meter counts the hints that were sent.
+// Meter counts the datagrams that were sent.
 func (h *Hints) Meter() *traffic.Meter { return &h.meter }
 
-// Peers takes the addresses of the other proxies.
+// Peers sets the addresses of the proxies. The proxy's own address is ignored.
 func (h *Hints) Peers(addresses []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,7 +129,7 @@
 // Run exchanges hints until the context ends.
 func (h *Hints) Run(ctx context.Context) {
 	go h.receive()
-	defer func() { _ = h.conn.Close() }() // ends receive
+	defer func() { _ = h.conn.Close() }() // makes receive return
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -143,7 +145,7 @@
 	}
 }
 
-// SendNow has the others told of this proxy's waiting work at once.
+// SendNow sends hints at once instead of at the next interval.
 func (h *Hints) SendNow() {
 	select {
 	case h.wake <- struct{}{}:
@@ -151,7 +153,8 @@
 	}
 }
 
-// sendHints sends this proxy's waiting work to those who are to know of it, and once that there is none any more.
+// sendHints sends this proxy's queued work to its peers or aggregators. A receiver whose work has gone gets one empty
+// hint.
 func (h *Hints) sendHints(own Waiting) {
 	h.mu.Lock()
 	payloads := h.payloads(own)
@@ -177,7 +180,7 @@
 	}
 }
 
-// payloads is what each of the others is to be told. The lock is held.
+// payloads returns the tokens to send, by receiver. The caller holds the lock.
 func (h *Hints) payloads(own Waiting) map[string]map[uint64]uint32 {
 	payloads := map[string]map[uint64]uint32{}
 	add := func(target string, engine uint64, tokens float64) {
@@ -200,17 +203,17 @@
 	return payloads
 }
 
-// send sends a datagram; a lost one is made up for by the next.
+// send sends a datagram. Errors are ignored because the next hint replaces a lost one.
 func (h *Hints) send(target string, message *hint) {
 	datagram, err := cbor.Marshal(message)
 	if err != nil {
-		panic(err) // plain fields can always be encoded
+		panic(err) // unreachable: these field types always encode
 	}
 	h.meter.Add(traffic.Hint, target, len(datagram), 0)
 	_, _ = h.conn.WriteTo(datagram, &net.UDPAddr{IP: net.ParseIP(target), Port: h.port})
 }
 
-// receive takes the hints of others until the socket is closed.
+// receive handles datagrams until the socket is closed.
 func (h *Hints) receive() {
 	buffer := make([]byte, datagramBytes)
 	for {
@@ -225,7 +228,7 @@
 	}
 }
 
-// handle takes a datagram.
+// handle answers a query, or processes a reply or a hint.
 func (h *Hints) handle(message *hint) {
 	switch {
 	case len(message.Queried) > 0:
@@ -238,7 +241,8 @@
 	}
 }
 
-// store notes a hint, unless a newer one of its proxy is known. A proxy that started anew counts from the beginning.
+// store keeps a hint unless a newer one of the same proxy is valid. After hintTTL any sequence is accepted, because a
+// restarted proxy counts from the beginning.
 func (h *Hints) store(message hint, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -249,7 +253,7 @@
 	h.received[message.From] = peerHint{sequence: message.Sequence, at: now, tokens: message.Tokens}
 }
 
-// reportTotals tells what waits at each engine for all proxies, where each tells all others.
+// reportTotals reports the totals at each engine when hints are broadcast.
 func (h *Hints) reportTotals(own Waiting, now time.Time) {
 	all := h.totals(own, now)
 	if len(all) > 0 {
@@ -257,12 +261,12 @@
 	}
 }
 
-// totals adds up what is waiting. An engine at which nothing waits any more is given once with 0.
+// totals sums the valid hints and the proxy's own work. An engine without queued work any more is reported once with 0.
 func (h *Hints) totals(own Waiting, now time.Time) Waiting {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.aggregated() {
-		return nil // it is asked for
+		return nil // queries supply the totals
 	}
 	all := Waiting{}
 	for engine := range h.reported {
--- a/internal/proxy/hints/hints_size_test.go
+++ b/internal/proxy/hints/hints_size_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// sizedHint is the largest hint of so many engines.
+// sizedHint returns a hint of maximum size for a number of engines.
 func sizedHint(engines int) hint {
 	message := hint{From: "255.255.255.255", Sequence: 1 << 40, Tokens: map[uint64]uint32{}}
 	for number := range engines {
@@ -21,16 +21,16 @@
 func TestHintsFitADatagram(t *testing.T) {
 	c := qt.New(t)
 	for _, engines := range []int{1, 10, maxEngines} {
-		// Given a hint with as long numbers as there are, when it is encoded
+		// Given a hint with the longest possible numbers, when it is encoded,
 		datagram, err := cbor.Marshal(sizedHint(engines))
 		c.Assert(err, qt.IsNil)
 		c.Logf("%d engines: %d bytes", engines, len(datagram))
-		// then it fits what receivers read.
+		// then it fits a receiver's buffer.
 		c.Check(len(datagram) <= datagramBytes, qt.IsTrue, qt.Commentf("%d engines: %d bytes", engines, len(datagram)))
 	}
 }
 
-// hintsFromPeers has heard the hints of so many proxies.
+// hintsFromPeers returns Hints that hold a hint of each of a number of proxies.
 func hintsFromPeers(proxies, engines int, now time.Time) *Hints {
 	h := newHints("10.0.0.1", nil)
 	for number := range proxies {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkTotals adds up what a proxy hears where each tells all others: 8 hints of 80 engines.
+// BenchmarkTotals sums the received hints in broadcast mode: 8 hints of 80 engines.
 func BenchmarkTotals(b *testing.B) {
 	now := time.Now()
 	h := hintsFromPeers(maxBroadcastPeers, maxEngines, now)
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkReceivedTokens adds up what a keeper was told of an engine by 64 proxies.
+// BenchmarkReceivedTokens sums the hints for one engine at an aggregator that received hints of 64 proxies.
 func BenchmarkReceivedTokens(b *testing.B) {
 	now := time.Now()
 	h := hintsFromPeers(64, maxEngines, now)
--- a/internal/proxy/hints/keepers.go
+++ b/internal/proxy/hints/keepers.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// queryTimeout is how long a question waits for its answers: what they tell is worth no more.
+	// queryTimeout is how long a query waits for its replies. Waiting longer costs more than the information is worth.
 	queryTimeout = 8 * time.Millisecond
-	// unresponsivePause is for how long a keeper that did not answer in time is not waited for.
+	// unresponsivePause is how long queries do not wait for an aggregator that missed queryTimeout.
 	unresponsivePause = 2 * time.Second
 )
 
-// queries are those that wait for answers. The lock of Hints guards them.
+// queries holds the open queries. The lock of Hints guards it.
 type queries struct {
 	lastID       uint64
 	pending      map[uint64]*query
-	unresponsive map[string]time.Time // keepers that did not answer, until when they are not waited for
+	unresponsive map[string]time.Time // aggregators that timed out, and until when queries do not wait for them
 }
 
-// query waits for the answers of some keepers.
+// query waits for the replies of aggregators.
 type query struct {
-	awaiting map[string]bool // keepers that have not answered
+	awaiting map[string]bool // aggregators that have not replied
 	totals   Waiting
-	done     chan struct{} // closed once all have
+	done     chan struct{} // closed when all have replied
 }
 
 func newQueries() queries {
 	return queries{pending: map[uint64]*query{}, unresponsive: map[string]time.Time{}}
 }
 
-// aggregated tells whether engines have keepers: there are too many proxies for each to tell all others. The lock is held.
+// aggregated reports whether aggregators are in use, because there are too many peers for broadcast. The caller holds
+// the lock.
 func (h *Hints) aggregated() bool { return len(h.peers) > maxBroadcastPeers }
 
-// aggregator is the proxy that is told what waits at an engine. The lock is held.
+// aggregator returns the proxy that receives the hints for an engine. The caller holds the lock.
 func (h *Hints) aggregator(engine uint64) string {
 	if aggregator, known := h.aggregators[engine]; known {
 		return aggregator
@@ -51,8 +52,8 @@
 	return aggregator
 }
 
-// weight is a proxy's place among the keepers of an engine: the highest is the keeper, and the loss of one changes the
-// keepers of its own engines only.
+// weight is the rendezvous hash of an engine and a proxy. The proxy with the highest weight is the engine's aggregator,
+// so the loss of a proxy changes only the engines that it aggregated.
 func weight(engine uint64, proxy string) uint64 {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], engine)
@@ -62,8 +63,8 @@
 	return hash.Sum64()
 }
 
-// Ask asks the keepers of engines what waits there for all proxies, this one included. Engines whose keepers do not
-// answer in time are left out, and so are all where each proxy tells all others.
+// Ask queries the aggregators of engines for the totals over all proxies, including this one. It omits engines whose
+// aggregators do not reply in time. It returns nil when hints are broadcast.
 func (h *Hints) Ask(ctx context.Context, engines []uint64) Waiting {
 	own := h.load.Waiting()
 	opened, parts := h.openQuery(engines, time.Now())
@@ -85,13 +86,13 @@
 	return totals
 }
 
-// numberedQuery is a question with its number.
+// numberedQuery is a query with its ID.
 type numberedQuery struct {
 	*query
 	id uint64
 }
 
-// openQuery opens a question and gives what to send to whom; nil where there is nothing to openQuery.
+// openQuery registers a query and returns the engines to query by aggregator. It returns nil when hints are broadcast.
 func (h *Hints) openQuery(engines []uint64, now time.Time) (*numberedQuery, map[string][]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,7 +120,7 @@
 	return &numberedQuery{query: opened, id: h.lastID}, parts
 }
 
-// handleReply takes an answer.
+// handleReply adds a reply to its query.
 func (h *Hints) handleReply(message *hint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// closeQuery closes a question and gives what was answered.
+// closeQuery removes a query and returns the totals received. Aggregators that did not reply become unresponsive.
 func (h *Hints) closeQuery(id uint64, now time.Time) Waiting {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -152,7 +153,8 @@
 	return closed.totals
 }
 
-// totalsExcept is what waits at engines for all proxies but one, as they told this one.
+// totalsExcept returns the tokens queued at engines by all proxies but one, from received hints and the proxy's own
+// work.
 func (h *Hints) totalsExcept(engines []uint64, exclude string, now time.Time) map[uint64]uint32 {
 	own := h.load.Waiting()
 	h.mu.Lock()
@@ -164,7 +166,7 @@
 	return totals
 }
 
-// receivedTokens adds up what proxies but one told of an engine. The lock is held.
+// receivedTokens sums the valid hints for an engine, except those of one proxy. The caller holds the lock.
 func (h *Hints) receivedTokens(engine uint64, exclude string, now time.Time) uint32 {
 	sum := uint32(0)
 	for from, last := range h.received {
--- a/internal/proxy/hints/keepers_test.go
+++ b/internal/proxy/hints/keepers_test.go
@@ -14,14 +14,14 @@
 	"sumacloft/internal/fleettest/memnet"
 )
 
-// fakeLoad is a proxy's own waiting fakeLoad, and what it was told of all.
+// fakeLoad is a Load with settable own work. It records the reported totals.
 type fakeLoad struct {
 	mu  sync.Mutex
 	own Waiting
 	all Waiting
 }
 
-// Waiting serves Load.
+// Waiting implements Load.
 func (w *fakeLoad) Waiting() Waiting {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,7 +32,7 @@
 	return copied
 }
 
-// Reported serves Load.
+// Reported implements Load.
 func (w *fakeLoad) Reported(all Waiting) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +57,7 @@
 	return w.all[engine]
 }
 
-// fleet is a fleet of fleet that exchange hints.
+// fleet is a set of proxies that exchange hints over an in-memory network.
 type fleet struct {
 	fabric  *memnet.Fabric
 	hints   []*Hints
@@ -69,7 +69,7 @@
 
 func hostOf(index int) string { return fmt.Sprintf("10.0.%d.%d", index/200, 1+index%200) }
 
-// runFleet runs a story of so many proxies.
+// runFleet runs a scenario with a number of proxies.
 func runFleet(t *testing.T, count int, scenario func(c *qt.C, p *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -99,19 +99,20 @@
 func TestQueryReturnsTotalsOfHundredsOfProxies(t *testing.T) {
 	runFleet(t, 300, func(c *qt.C, p *fleet) {
 		const engine = 77
-		// Given three of 300 proxies with work at an engine, which hurry to say so,
+		// Given three of 300 proxies that queue work at an engine and send hints at once,
 		for index, tokens := range map[int]float64{3: 1000, 120: 2000, 299: 4000} {
 			p.loads[index].set(engine, tokens)
 			p.hints[index].SendNow()
 		}
 		time.Sleep(2 * time.Millisecond)
-		// when any proxy asks, then it hears of all of it within a few milliseconds, its own included.
+		// when any proxy queries the aggregator, then it receives the total, including its own work, within a few
+		// milliseconds.
 		for _, index := range []int{0, 3, 150} {
 			started := time.Now()
 			c.Assert(p.hints[index].Ask(c.Context(), []uint64{engine})[engine], qt.Equals, 7000.0)
 			c.Assert(time.Since(started) <= 3*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(started)))
 		}
-		// When the work has ended, then nothing is told of any more.
+		// When the work has ended, then the total is 0.
 		for _, load := range p.loads {
 			load.set(engine, 0)
 		}
@@ -130,12 +131,13 @@
 		if aggregator == hostOf(querier) {
 			querier = 1
 		}
-		// Given a keeper without power, when it is asked, then nothing is known, within the limit;
+		// Given an aggregator without power, when it is queried, then the query ends within the timeout without a
+		// result.
 		p.fabric.Machine(aggregator).PowerOff()
 		started := time.Now()
 		c.Assert(p.hints[querier].Ask(c.Context(), []uint64{engine}), qt.HasLen, 0)
 		c.Assert(time.Since(started) <= queryTimeout, qt.IsTrue)
-		// when it is asked again, then nobody waits.
+		// When it is queried again, then the query does not wait.
 		started = time.Now()
 		c.Assert(p.hints[querier].Ask(c.Context(), []uint64{engine}), qt.HasLen, 0)
 		c.Assert(time.Since(started), qt.Equals, time.Duration(0))
@@ -146,7 +148,7 @@
 	runFleet(t, maxBroadcastPeers+1, func(c *qt.C, p *fleet) {
 		p.loads[0].set(9, 300)
 		p.loads[4].set(9, 500)
-		time.Sleep(3 * interval) // told at the next tick, reported at the one after
+		time.Sleep(3 * interval) // sent at the next tick, reported at the one after
 		for _, load := range p.loads {
 			c.Assert(load.reported(9), qt.Equals, 800.0)
 		}
@@ -170,5 +172,5 @@
 	for _, count := range engines {
 		most = max(most, count)
 	}
-	c.Assert(most <= 30, qt.IsTrue, qt.Commentf("a keeper of %d of 3000 engines, the mean is 10", most))
+	c.Assert(most <= 30, qt.IsTrue, qt.Commentf("one proxy aggregates %d of 3000 engines, the mean is 10", most))
 }
--- a/internal/proxy/lane/allowance.go
+++ b/internal/proxy/lane/allowance.go
@@ -9,19 +9,19 @@
 	"sumacloft/internal/proxy/calls"
 )
 
-// extraCounts are how often further arrivals came about or were not allowed.
+// extraCounts counts the extra attempts that were made or denied.
 type extraCounts map[extraKey]uint64
 
-// extraKey is a reason for a further arrival and what became of it.
+// extraKey is the reason for an extra attempt and whether it was allowed.
 type extraKey struct {
 	reason  calls.ExtraReason
 	allowed bool
 }
 
-// reasonNoSpare is why a request is not begun.
+// reasonNoSpare is why a request is refused before its first attempt.
 const reasonNoSpare calls.ExtraReason = "its first call might fail, and the retry budget has no room for that"
 
-// Take serves calls.Allowance.
+// Take implements calls.RetryBudget.
 func (l *Lane) Take(reason calls.ExtraReason) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,7 +30,7 @@
 	return allowed
 }
 
-// HasSpare serves calls.Allowance.
+// HasSpare implements calls.RetryBudget.
 func (l *Lane) HasSpare() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	return spare
 }
 
-// Charge serves calls.Allowance.
+// Charge implements calls.RetryBudget.
 func (l *Lane) Charge(reason calls.ExtraReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,25 +49,25 @@
 	l.extra[extraKey{reason, true}]++
 }
 
-// Kind is what a decision was about.
+// Kind is the kind of a decision.
 type Kind string
 
 // The kinds of decisions.
 const (
-	Refused      Kind = "refused"     // the client may try again
-	Failed       Kind = "failed"      // nothing was promised
-	ExtraAttempt Kind = "further"     // the request arrived at a worker once more
-	ExtraDenied  Kind = "not allowed" // a further arrival for which the retry budget had no room
+	Refused      Kind = "refused"     // the client may retry
+	Failed       Kind = "failed"      // the answer does not promise that a retry is safe
+	ExtraAttempt Kind = "further"     // the request was sent to a worker again
+	ExtraDenied  Kind = "not allowed" // the retry budget denied an extra attempt
 )
 
-// Decision counts decisions of one kind that had one reason, since the lane was made.
+// Decision counts the decisions of one kind with one reason since the lane was created.
 type Decision struct {
 	Kind   Kind
 	Reason string
 	Count  uint64
 }
 
-// Decisions are what the lane has decided, in a fixed order.
+// Decisions returns the lane's decision counts, sorted by kind and reason.
 func (l *Lane) Decisions() []Decision {
 	all := coreDecisions(l.core.Decisions())
 	l.mu.Lock()
--- a/internal/proxy/lane/board.go
+++ b/internal/proxy/lane/board.go
@@ -8,16 +8,17 @@
 	"sumacloft/internal/proxy/hints"
 )
 
-// WaitingSource knows what prompt tokens wait at engines for all proxies.
+// WaitingSource returns the prompt tokens that all proxies have queued at engines.
 type WaitingSource interface {
-	// Ask gives what waits at engines, by their numbers, as far as that is known within a few milliseconds.
+	// Ask returns the tokens queued at engines, by engine number. It omits what it cannot learn within a few
+	// milliseconds.
 	Ask(ctx context.Context, engines []uint64) hints.Waiting
 }
 
-// maxCandidates is how many readers of a prompt are asked about: its home and those that it may spill to.
+// maxCandidates is how many readers of a prompt are queried: its home and the readers that it may spill to.
 const maxCandidates = 3
 
-// refreshWaiting tells the module what waits at the readers that a job's prompt is considered for.
+// refreshWaiting updates the decision module with the tokens queued at the candidate readers of a job's prompt.
 func (l *Lane) refreshWaiting(ctx context.Context, job core.Job) {
 	if l.env.Waiting == nil {
 		return
--- a/internal/proxy/lane/lane.go
+++ b/internal/proxy/lane/lane.go
@@ -1,5 +1,5 @@
-// Package lane carries the requests of one service: a core with its decision module, the service's workers as the
-// module sees them, and the service's budget of further arrivals.
+// Package lane dispatches the requests of one service. A lane holds a core with its decision module, the service's
+// workers as the module sees them, and the service's retry budget.
 package lane
 
 import (
@@ -19,20 +19,21 @@
 	"sumacloft/internal/trial"
 )
 
-// Environment are what all lanes of a proxy share.
+// Environment is what all lanes of a proxy share.
 type Environment struct {
 	Calls    *calls.Calls
 	Zone     string
-	Zones    []string // of the deployment, in one order at every proxy
+	Zones    []string // of the deployment, in the same order at every proxy
 	Budget   budget.Terms
 	Seed     uint64
 	Log      logrus.FieldLogger
-	Started  time.Time // of the process; zero: none ran before it
+	Started  time.Time // when the process started; zero if no process ran before it
 	Disabled trial.Off
 	Waiting  WaitingSource // may be nil
 }
 
-// processAge is for how long no other process can have taken further arrivals in this one's place.
+// processAge is how long this process has existed. If no process ran before it, it is the whole retry window, as no
+// predecessor can have used the retry budget.
 func (s *Environment) processAge() time.Duration {
 	if s.Started.IsZero() {
 		return s.Budget.Window
@@ -40,7 +41,7 @@
 	return time.Since(s.Started)
 }
 
-// Lane serves one service. Use New, then Configure and List as news comes.
+// Lane serves one service. Create it with New, then call Configure and List after each change.
 type Lane struct {
 	service string
 	env     Environment
@@ -51,12 +52,12 @@
 	mu       sync.Mutex
 	budget   *budget.Budget
 	settings brain.Settings
-	classes  map[string]int // by the route's name; places never change
+	classes  map[string]int // indices by route name; they never change
 	listed   map[brain.EngineID]bool
 	extra    extraCounts
 }
 
-// New makes the lane of a service and runs it until Stop.
+// New creates the lane of a service and runs it until Stop.
 func New(service opconf.Service, env Environment, routers int) *Lane {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Lane{
@@ -75,13 +76,12 @@
 	return l
 }
 
-// Stop ends the lane's timers; call it once nothing is open.
+// Stop ends the lane's timers. Call it when no request is open.
 func (l *Lane) Stop() { l.cancel() }
 
-// Core is the lane's core.
 func (l *Lane) Core() *core.Core { return l.core }
 
-// Class is the place of a route in the lane's settings; below 0: the lane does not know the route.
+// Class returns the index of a route in the lane's settings, or -1 if the lane does not know the route.
 func (l *Lane) Class(route string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	return -1
 }
 
-// Do carries one request to its final answer.
+// Do handles a request until its final answer.
 func (l *Lane) Do(ctx context.Context, client core.Client, job *calls.Job) {
 	l.mu.Lock()
 	l.budget.CountRequest(time.Since(l.started))
@@ -100,12 +100,12 @@
 	l.core.Do(ctx, job, client)
 }
 
-// Resume carries the rest of a request that Do has counted.
+// Resume handles the remainder of a request that Do has counted already.
 func (l *Lane) Resume(ctx context.Context, client core.Client, job *calls.Job) {
 	l.core.Do(ctx, job, client)
 }
 
-// Configure takes the service, the routes to it and the number of routers as they are now.
+// Configure applies the service, its routes and the number of routers.
 func (l *Lane) Configure(service opconf.Service, routes []opconf.Route, routers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,8 @@
 	l.core.Retune(settings)
 }
 
-// classOf is a route as the module sees it. The operators give ranks, not worths: each rank counts one more.
+// classOf converts a route to a class of the decision module. Operators set ranks instead of worths. The lowest rank
+// has worth 1, and each rank above it is worth one more.
 func classOf(route *opconf.Route, lowestRank int) brain.Class {
 	effect := brain.Unsafe
 	if route.Idempotent() {
@@ -143,35 +144,36 @@
 	}
 }
 
-// The kinds of workers in the module's settings.
+// The indices of the kinds of workers in the module's settings.
 const (
 	kindReading = iota
 	kindWriting
 	kindWhole
 )
 
-// maxHoldOff bounds the advice on when a refused client should return.
+// maxHoldOff bounds the advice on when a refused client should retry.
 const maxHoldOff = 2 * time.Second
 
-// lateShare is how far into the time between aim and deadline a request may be projected to wait and is still taken: a
-// late answer earns less than one in time, but far more than a refusal.
+// lateShare is how far between target and deadline a request may be projected to wait and still be admitted. A late
+// answer is worth less than one in time, but far more than a refusal.
 const lateShare = 0.5
 
-// rereadWeight is what reading a shared beginning at one more worker counts besides its time: it takes the room of others,
-// and has a price of its own.
+// rereadWeight is the extra cost of prefilling a shared prefix at one more worker, besides the time. The copy takes
+// cache memory from other prefixes and has a cost of its own.
 const rereadWeight = 10
 
-// minPrefillTokens is the length from which prompts are read apart. A separate read takes a reader some thirty milliseconds
-// whatever its length, and the prompt's memory has to be moved; a writer reads so few tokens between two steps.
+// minPrefillTokens is the prompt length from which prefill runs on a separate reader. A separate prefill takes about 30
+// ms at any length, and the KV cache has to be transferred. A writer prefills fewer tokens than that between two decode
+// steps.
 const minPrefillTokens = 1000
 
-// noZone stands for a router whose own zone does not come first.
+// noZone is the zone of a router that does not prefer its own zone.
 const noZone = -1
 
 // timeStep is the resolution of the module's times.
 const timeStep = time.Millisecond
 
-// newSettings are the module's settings without classes.
+// newSettings returns the module's settings without classes.
 func (l *Lane) newSettings(service opconf.Service, routers int) brain.Settings {
 	settings := brain.Settings{
 		Zone:       l.zone(l.env.Zone),
@@ -187,7 +189,7 @@
 	}
 	memory := 0.0
 	if service.Runner != nil {
-		settings.Zone = noZone // a prompt's beginning is read once for all zones
+		settings.Zone = noZone // a prefix is prefilled once for all zones
 		memory = float64(service.Runner.MemoryTokens)
 		settings.PinLimit = service.Runner.TicketHold
 		settings.WholeTokens = minPrefillTokens
@@ -201,14 +203,14 @@
 	return settings
 }
 
-// applyTrial leaves out what a trial leaves out.
+// applyTrial disables the mechanisms that a trial leaves out.
 func (l *Lane) applyTrial(settings *brain.Settings) {
 	disabled := l.env.Disabled
 	settings.Probing = !disabled.Has(trial.Probing)
 	settings.Cancelling = !disabled.Has(trial.CallOff)
 	settings.HoldOff = !disabled.Has(trial.HoldOff)
 	if disabled.Has(trial.ShortPrompts) {
-		settings.WholeTokens = 1 // what says nothing of its prompt must not be read apart
+		settings.WholeTokens = 1 // 0 would allow separate prefill for prompts of unknown length
 	}
 	if disabled.Has(trial.RereadWeight) {
 		settings.RereadWeight = 0
@@ -221,7 +223,7 @@
 	}
 }
 
-// zone is the number of a zone; one that the boot file does not name comes after all that it does.
+// zone returns the index of a zone. Zones missing from the boot file share the index after the last one.
 func (l *Lane) zone(name string) int {
 	for i, zone := range l.env.Zones {
 		if zone == name {
@@ -231,7 +233,7 @@
 	return len(l.env.Zones)
 }
 
-// List takes the service's workers as they are now, and the phases that some are about to have.
+// List applies the service's workers and the phases that some of them are about to change to.
 func (l *Lane) List(workers []registry.Worker, changing map[string]string) {
 	entries := make([]core.Worker, 0, len(workers))
 	for i := range workers {
@@ -244,7 +246,7 @@
 	l.core.Listed(brain.ListWhole, entries)
 }
 
-// worker is a worker as the core sees it. One that changes its phase is another engine to the module.
+// worker converts a registry entry to a worker of the core. A worker in another phase is another engine to the module.
 func (l *Lane) worker(worker *registry.Worker) core.Worker {
 	kind := kindWhole
 	switch worker.Phase {
--- a/internal/proxy/lane/lane_test.go
+++ b/internal/proxy/lane/lane_test.go
@@ -28,15 +28,15 @@
 
 func TestDecisionsAreCountedByKindAndReason(t *testing.T) {
 	c := qt.New(t)
-	// Given a lane whose retry budget has room for four further arrivals that are asked for.
+	// Given a lane whose retry budget allows four extra attempts,
 	l := newLane(nil)
 	defer l.Stop()
-	// When six are asked for, and one has come about by itself.
+	// when six are requested and one is charged afterwards,
 	for range 6 {
 		l.Take(calls.ExtraRun)
 	}
 	l.Charge(calls.ExtraFailedFirstRun)
-	// Then each is counted with its reason and what became of it.
+	// then each is counted by its reason and whether it was allowed.
 	c.Assert(l.Decisions(), qt.DeepEquals, []Decision{
 		{Kind: ExtraAttempt, Reason: string(calls.ExtraRun), Count: 4},
 		{Kind: ExtraAttempt, Reason: string(calls.ExtraFailedFirstRun), Count: 1},
