--- a/internal/proxy/calls/allowance.go
+++ b/internal/proxy/calls/allowance.go
@@ -1,9 +1,9 @@
 package calls
 
-// ExtraReason is why a request arrives at a worker once more.
+// ExtraReason is why a request is sent to a worker again.
 type ExtraReason string
 
-// The reasons.
+// The reasons for extra attempts.
 const (
 	ExtraPrefill               ExtraReason = "the prompt is read at another worker"
 	ExtraRun                   ExtraReason = "another worker is asked to run it"
@@ -11,15 +11,15 @@
 	ExtraFailedFirstRun        ExtraReason = "the first run after its read failed"
 )
 
-// RetryBudget is the budget of further arrivals at the request's service.
+// RetryBudget limits the extra attempts at the request's service.
 type RetryBudget interface {
-	Take(why ExtraReason) bool // one more, if there is room
-	HasSpare() bool            // whether there is room for one that a first call would cause by failing
-	Charge(why ExtraReason)    // one more, that could not be asked for
+	Take(why ExtraReason) bool // takes one extra attempt if the budget allows it
+	HasSpare() bool            // whether the budget allows the extra attempt that the failure of a first attempt would cause
+	Charge(why ExtraReason)    // counts an extra attempt that could not be requested in advance
 }
 
-// runIsFirstAttempt tells whether a call to have the request run is no further arrival: the first call of all, or the one after a
-// read that succeeded as the first call. The lock is held.
+// runIsFirstAttempt reports whether a run is not an extra attempt. That holds for the first call of a request, and for
+// the first run after a prefill that succeeded as the first call. The caller holds the lock.
 func (j *Job) runIsFirstAttempt() bool {
 	if j.runs > 0 {
 		return false
@@ -27,7 +27,7 @@
 	return j.prefills == 0 || j.prefills == 1 && j.prefilledFirst
 }
 
-// extraRunReason is why a run is a further arrival.
+// extraRunReason returns why a run is an extra attempt.
 func (j *Job) extraRunReason() ExtraReason {
 	if j.locked(func() bool { return j.runs > 0 }) {
 		return ExtraRun
@@ -35,8 +35,8 @@
 	return ExtraRunAfterFailedPrefill
 }
 
-// takeExtra takes one more arrival from the allowance. What was taken for an attempt that was never written, for want of a
-// connection, is still there.
+// takeExtra takes one extra attempt from the retry budget. An attempt that was taken but not written, for lack of a
+// connection, is used first.
 func (j *Job) takeExtra(reason ExtraReason) bool {
 	if j.locked(func() bool { return j.extraTaken }) {
 		return true
--- a/internal/proxy/calls/answer.go
+++ b/internal/proxy/calls/answer.go
@@ -10,24 +10,24 @@
 	"sumacloft/internal/upstream"
 )
 
-// Why an answer was not taken.
+// Reasons for not accepting an answer.
 var (
 	errOtherRequest  = errors.New("the answer belongs to another request")
-	errNoSeal        = errors.New("a success without the worker's seal")
+	errNoSeal        = errors.New("a successful answer without the worker's seal")
 	errNoAttemptLeft = errors.New("no further attempt is allowed")
 )
 
-// noAttemptLeft ends a request for which nothing more may be sent.
+// noAttemptLeft returns the error that ends a request for which no further attempt is allowed.
 func noAttemptLeft() *core.AttemptError {
 	return &core.AttemptError{Stage: core.NotConnected, Err: fmt.Errorf("%w: %w", errNoAttemptLeft, core.ErrShut)}
 }
 
-// notRun tells whether the worker promised that it has not run the request.
+// notRun reports whether the worker guarantees that it has not run the request.
 func notRun(answer *upstream.Answer) bool {
 	return answer.Header.Get(headerNotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 }
 
-// errorOf is a worker's answer that serves nothing.
+// errorOf converts an unsuccessful answer of a worker to an error.
 func errorOf(answer *upstream.Answer) *core.AttemptError {
 	e := &core.AttemptError{Stage: core.Head, Verdict: core.Faulted, Err: fmt.Errorf("status %d", answer.StatusCode)}
 	switch {
@@ -43,21 +43,21 @@
 type Head struct {
 	Status int
 	Header http.Header
-	Length int64  // of the body in bytes; below 0: not known
-	Framed bool   // the body's end can be told from that of its connection
-	Worker string // name of the worker, of a stream
+	Length int64  // of the body in bytes; negative if unknown
+	Framed bool   // the end of the body does not depend on the end of the connection
+	Worker string // name of the worker; set for streams
 }
 
-// Headed is a stream whose head is known.
+// Headed is implemented by streams whose head is known.
 type Headed interface{ Head() Head }
 
-// Stream is a worker's answer that is passed on as it comes.
+// Stream is a worker's answer that is forwarded as it arrives.
 type Stream struct {
 	*upstream.Answer
 	worker string
 }
 
-// Head serves Headed.
+// Head implements Headed.
 func (s *Stream) Head() Head {
 	return Head{
 		Status: s.StatusCode,
@@ -68,7 +68,7 @@
 	}
 }
 
-// bufferedAnswer is a worker's answer that came whole before any of it is passed on.
+// bufferedAnswer is a worker's answer that is read completely before it is forwarded.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -76,12 +76,12 @@
 	read   bool
 }
 
-// Head serves Headed.
+// Head implements Headed.
 func (w *bufferedAnswer) Head() Head {
 	return Head{Status: w.status, Header: w.header, Length: int64(len(w.body))}
 }
 
-// Next serves core.Stream.
+// Next implements core.Stream.
 func (w *bufferedAnswer) Next() ([]byte, error) {
 	if w.read {
 		return nil, io.EOF
@@ -90,5 +90,5 @@
 	return w.body, io.EOF
 }
 
-// Close serves core.Stream.
+// Close implements core.Stream.
 func (w *bufferedAnswer) Close() {}
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -1,5 +1,5 @@
-// Package calls makes the proxy's calls to workers: requests, reads of prompts (the first stage), the release of what
-// a reader holds, and reports. It says of each how far it came and whether the worker may have run it.
+// Package calls makes the proxy's calls to workers: runs of requests, prefills, releases of a reader's KV cache, and
+// reports. The error of a call says how far the call got and whether the worker may have run the request.
 package calls
 
 import (
@@ -13,7 +13,7 @@
 	"sumacloft/internal/upstream"
 )
 
-// The headers of the protocol.
+// The headers of the protocol between proxies and workers.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerSeal        = "X-Server-Seal"
@@ -26,33 +26,33 @@
 	headerLastEvent   = "Last-Event-Id"
 )
 
-// RoleReading is the role of a worker whose part is to read prompts, as its heartbeats name it.
+// RoleReading is the role of workers that prefill prompts, as used in their heartbeats.
 const RoleReading = "reading"
 
-// maxBody bounds an answer that is read whole before it is passed on, in bytes.
+// maxBody limits an answer that is buffered before it is forwarded, in bytes.
 const maxBody = 16 << 20
 
-// Calls makes calls over one pool of connections. Safe for concurrent use.
+// Calls makes calls over one connection pool. It is safe for concurrent use.
 type Calls struct {
 	Faults    Faults
-	OnPrefill func() // told when a prompt is sent to be read; it must not block; nil: nobody is
+	OnPrefill func() // called when a prefill is sent; must not block; may be nil
 	pool      *upstream.Pool
-	withoutID atomic.Uint64 // answers that lacked the request's id
+	withoutID atomic.Uint64 // answers without the request's ID
 }
 
-// Faults are deliberate violations, for the tests of the tests. All are off outside tests.
+// Faults are deliberate violations that check that the tests detect them. All are off outside tests.
 type Faults struct {
-	AnyAnswer      bool // whatever comes on a connection is taken for the answer that is due
-	SameConnection bool // attempts of one request may follow each other on one connection
+	AnyAnswer      bool // accept any answer on a connection as the answer to the current request
+	SameConnection bool // attempts of one request may share a connection
 }
 
 // New makes calls over the pool's connections.
 func New(pool *upstream.Pool) *Calls { return &Calls{pool: pool} }
 
-// WithoutID is how many answers lacked the request's id. The connection of each carried nothing more.
+// WithoutID returns how many answers lacked the request's ID. The connections of such answers are not reused.
 func (c *Calls) WithoutID() uint64 { return c.withoutID.Load() }
 
-// Probe asks a worker for its report, as a sign of life; it serves core.Prober.
+// Probe requests a worker's report as a health check. It implements core.Prober.
 func (c *Calls) Probe(ctx context.Context, worker core.Worker) error {
 	answer, err := c.callWithoutBody(ctx, worker, http.MethodGet, "/v1/report")
 	if err != nil {
@@ -61,19 +61,19 @@
 	if answer.StatusCode >= http.StatusInternalServerError {
 		return &core.AttemptError{Stage: core.Head, Verdict: core.Faulted, Err: fmt.Errorf("report: status %d", answer.StatusCode)}
 	}
-	return nil // any other answer is a sign of life
+	return nil // any other answer shows that the worker is alive
 }
 
-// Forget closes the idle connections to a worker that gets nothing new; it serves core.Prober.
+// Forget closes the idle connections to a worker that gets no new work. It implements core.Prober.
 func (c *Calls) Forget(worker core.Worker) { c.pool.Drop(worker.Addr) }
 
-// LimitConnections bounds the connections to each worker's address; to addresses that are not among them there is no bound.
+// LimitConnections sets the connection limit of each worker address. Other addresses have no limit.
 func (c *Calls) LimitConnections(limits map[string]int) { c.pool.Allot(limits) }
 
-// releaseTimeout bounds one try to have a reader free what it holds.
+// releaseTimeout bounds one attempt to release a reader's KV cache.
 const releaseTimeout = 300 * time.Millisecond
 
-// release has a reader free a prompt's memory. A reader that can't be reached frees it by itself when the ticket lapses.
+// release has a reader free the KV cache of a prompt. A reader that can't be reached frees it when the ticket expires.
 func (c *Calls) release(ctx context.Context, held *ticket) {
 	for range 2 {
 		attempt, cancel := context.WithTimeout(ctx, releaseTimeout)
@@ -85,7 +85,7 @@
 	}
 }
 
-// callWithoutBody makes a call without a body and reads its answer whole.
+// callWithoutBody makes a call without a body and reads the whole answer.
 func (c *Calls) callWithoutBody(ctx context.Context, worker core.Worker, method, path string) (*upstream.Answer, error) {
 	head := method + " " + path + " HTTP/1.1\r\nHost: " + worker.Addr + "\r\n" +
 		headerMeantServer + ": " + worker.Name + "\r\n\r\n"
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if answer.Header.Get(headerRequestID) != "" { // a surplus one to a request: calls of this kind have no id
+	if answer.Header.Get(headerRequestID) != "" { // a duplicate answer to a request; these calls have no ID
 		answer.Close()
 		return nil, &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errOtherRequest}
 	}
--- a/internal/proxy/calls/connection_test.go
+++ b/internal/proxy/calls/connection_test.go
@@ -23,7 +23,8 @@
 	successAnswer = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nX-Request-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// serveDuplicates turns the first request away, says so once more if another comes on that connection, and runs all others.
+// serveDuplicates turns the first request away, repeats that answer if another request arrives on the same connection,
+// and runs all others.
 func serveDuplicates(listener net.Listener) {
 	for number := 0; ; number++ {
 		connection, err := listener.Accept()
@@ -34,7 +35,7 @@
 	}
 }
 
-// serveConnection serves one connection, the first one or another.
+// serveConnection serves one connection. On the first one it sends the duplicate answer.
 func serveConnection(connection net.Conn, first bool) {
 	reader := bufio.NewReader(connection)
 	for turn := 0; ; turn++ {
@@ -47,13 +48,13 @@
 		if first && turn == 0 {
 			continue
 		}
-		time.Sleep(100 * time.Millisecond) // it runs
+		time.Sleep(100 * time.Millisecond) // the run takes some time
 		_, _ = io.WriteString(connection, successAnswer)
 	}
 }
 
-// secondAttempt makes two attempts of one request at a worker that says twice that it has not run the first, and tells
-// whether the second, which runs, counts as turned away.
+// secondAttempt makes two attempts of one request at a worker that sends its refusal of the first attempt twice. It
+// reports whether the second attempt, which runs, is taken as turned away.
 func secondAttempt(t *testing.T, faults Faults) (turnedAway bool) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -71,7 +72,7 @@
 		worker, clear := core.Worker{Name: "w", Addr: workerAddr}, func() error { return nil }
 		_, err = job.Try(context.Background(), worker, clear)
 		c.Assert(err, qt.IsNotNil)
-		time.Sleep(50 * time.Millisecond) // the connection has rested
+		time.Sleep(50 * time.Millisecond) // the connection is idle in the pool
 		_, err = job.Try(context.Background(), worker, clear)
 		turnedAway = err != nil
 		workerProcess.Kill()
@@ -81,7 +82,7 @@
 	return turnedAway
 }
 
-// A late surplus word that a request has not run must not be taken for the answer to its next attempt, which runs.
+// A late duplicate of a refusal must not be taken for the answer to the request's next attempt, which runs.
 func TestAttemptsOfOneRequestDoNotShareAConnection(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(secondAttempt(t, Faults{}), qt.IsFalse)
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -16,55 +16,56 @@
 	"sumacloft/internal/upstream"
 )
 
-// Job is one client's request on its way to workers; it serves core.Job.
+// Job is a client's request that is being sent to workers. It implements core.Job.
 type Job struct {
 	calls   *Calls
 	request *Request
 	budget  RetryBudget
 
 	mu             sync.Mutex
-	closed         bool     // the client has its final answer, or has left: nothing more is written
-	held           *ticket  // of the last read, until it is taken or released
-	prefills       int      // calls to have the prompt read that workers took up or turned away
-	failedPrefills int      // of them those that workers took up and failed
-	prefilledFirst bool     // the first call had the prompt read
-	runs           int      // calls to have the request run
-	mayHaveRun     int      // of them those that may have run it
-	extraTaken     bool     // the allowance has one more arrival for this request that has not come about yet
-	stateLost      bool     // a prompt's memory was once taken for lost and the prompt read anew
-	failure        *Failure // a worker's answer that is no success; the last one
-	connections    []uint64 // on which an answer has come
+	closed         bool     // the client has its final answer or has disconnected; nothing more is written
+	held           *ticket  // of the last prefill, until it is consumed or released
+	prefills       int      // prefill calls that were written to workers
+	failedPrefills int      // prefill calls that workers accepted and failed
+	prefilledFirst bool     // the first call was a successful prefill
+	runs           int      // run calls that were written to workers
+	mayHaveRun     int      // run calls after which the request may have run
+	extraTaken     bool     // the retry budget has counted an extra attempt that was not written yet
+	stateLost      bool     // a KV cache was treated as lost once, and the prompt prefilled again
+	failure        *Failure // the last unsuccessful answer of a worker
+	connections    []uint64 // IDs of connections on which an answer arrived
 	brokenAt       []string // names of the workers at which the request's stream broke
-	avoided        int      // times that one of them was chosen again
+	avoided        int      // how often such a worker was chosen again
 }
 
-// ticket names a prompt's memory that a reading worker holds.
+// ticket refers to the KV cache of a prompt at a reader.
 type ticket struct {
 	reader  core.Worker
 	id      string
-	version int64 // of the weights that read it
-	misses  int   // writers that could not have it
+	version int64 // of the model weights used for the prefill
+	misses  int   // writers that could not use it
 }
 
-// Failure is a worker's answer that is no success, to be passed on as it is.
+// Failure is an unsuccessful answer of a worker, to be forwarded unchanged.
 type Failure struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// NewJob makes the job of a request.
+// NewJob creates the job of a request.
 func NewJob(calls *Calls, request *Request, budget RetryBudget) *Job {
 	return &Job{calls: calls, request: request, budget: budget}
 }
 
-// Arrival serves core.Job.
+// Arrival implements core.Job.
 func (j *Job) Arrival(id brain.RequestID) brain.Arrived { return j.request.arrival(id) }
 
-// Over serves core.Job.
+// Over implements core.Job.
 func (j *Job) Over() {}
 
-// Close bars all that was not written yet. mayHaveRun tells whether a worker may have run the request, or may still.
+// Close prevents all further writes. mayHaveRun reports whether a worker may have run the request or may still be
+// running it.
 func (j *Job) Close() (mayHaveRun bool, failure *Failure) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -72,7 +73,7 @@
 	return j.mayHaveRun > 0, j.failure
 }
 
-// Try serves core.Job.
+// Try implements core.Job.
 func (j *Job) Try(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	if err := j.avoid(worker); err != nil {
 		return core.Reply{}, err
@@ -83,7 +84,7 @@
 	return j.run(ctx, worker, clear)
 }
 
-// Release serves core.Job: the reader that holds the prompt's memory is told, whichever worker is named.
+// Release implements core.Job. It calls the reader that holds the KV cache, whichever worker is passed.
 func (j *Job) Release(ctx context.Context, _ core.Worker) error {
 	j.mu.Lock()
 	held := j.held
@@ -95,11 +96,11 @@
 	return nil
 }
 
-// maxFailedPrefills is how many workers may take a prompt up and fail: what more calls would take of the allowance, other
-// requests need.
+// maxFailedPrefills is how many workers may accept a prompt and fail. More attempts would use up the retry budget that
+// other requests need.
 const maxFailedPrefills = 3
 
-// prefill has a worker prefill the prompt, unless a few have failed to.
+// prefill has a worker prefill the prompt, unless too many have failed to.
 func (j *Job) prefill(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	if j.locked(func() bool { return j.failedPrefills >= maxFailedPrefills }) {
 		return core.Reply{}, noAttemptLeft()
@@ -115,8 +116,8 @@
 	return reply, err
 }
 
-// countFailedPrefill counts the failure of a worker that may have begun to read. What was turned away does not count, nor
-// what was called off.
+// countFailedPrefill counts the failure of a worker that may have started the prefill. Rejected and cancelled calls do
+// not count.
 func (j *Job) countFailedPrefill(err error) {
 	attempt, failed := err.(*core.AttemptError)
 	if !failed || attempt.Stage < core.Written {
@@ -129,7 +130,7 @@
 	}
 }
 
-// sendPrefill makes one call to have the prompt read.
+// sendPrefill makes one prefill call.
 func (j *Job) sendPrefill(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	headers := []string{headerStage, RoleReading, headerMeantServer, worker.Name}
 	answer, err := j.call(ctx, worker, traffic.Read, clear, headers, func() {
@@ -163,8 +164,9 @@
 	return core.Reply{}, nil
 }
 
-// prefillError takes a worker's word that it has not read the prompt. One that finds the prompt at fault speaks for all: the
-// client gets its answer. Other failures are not the client's, as nothing has run.
+// prefillError handles an answer of a worker that has not prefilled the prompt. If the worker rejects the prompt as
+// invalid, the client gets its answer, since any worker would reject it. The client does not get other failures, as
+// nothing has run.
 func (j *Job) prefillError(answer *upstream.Answer, body []byte) error {
 	e := errorOf(answer)
 	if e.Verdict == core.Rejected {
@@ -175,7 +177,7 @@
 	return e
 }
 
-// run has a worker run the request, unless as many have as may or the allowance has no room.
+// run has a worker run the request, unless the maximum number of runs is reached or the retry budget denies it.
 func (j *Job) run(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	if j.locked(j.exhausted) {
 		return core.Reply{}, noAttemptLeft()
@@ -186,12 +188,12 @@
 	}
 	reply, err := j.sendRun(ctx, worker, clear)
 	if first && err != nil && j.locked(func() bool { return j.runs > 0 && j.prefills > 0 }) {
-		j.budget.Charge(ExtraFailedFirstRun) // of a request that has not run the read before it counts
+		j.budget.Charge(ExtraFailedFirstRun) // until the request has run, its prefill counts as an extra attempt
 	}
 	return reply, err
 }
 
-// sendRun makes one call to have the request run, from the memory of the last read if there is one.
+// sendRun makes one run call, with the KV cache of the last prefill if there is one.
 func (j *Job) sendRun(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	held := j.ticket()
 	headers := []string{headerMeantServer, worker.Name}
@@ -211,8 +213,8 @@
 	return j.handleAnswer(worker, answer, held)
 }
 
-// call writes the request to a worker with headers of our own, names and values in turn, unless it is called off or closed
-// by then. It is counted under the lock just before it is written.
+// call writes the request to a worker with additional headers, given as alternating names and values. It writes nothing
+// if the job was cancelled or closed before. count runs under the lock just before the write.
 func (j *Job) call(ctx context.Context, worker core.Worker, kind traffic.Kind, clear func() error, headers []string, count func()) (*upstream.Answer, error) {
 	encode := func() ([]byte, error) {
 		if err := clear(); err != nil {
@@ -234,8 +236,8 @@
 	return answer, err
 }
 
-// connectionUsed tells whether an answer to this request has come on a connection: a surplus one may still come there, and nothing
-// tells it from the answer to another attempt.
+// connectionUsed reports whether an answer to this request has arrived on a connection. A duplicate of that answer may
+// still arrive there, and could not be told from the answer to another attempt.
 func (j *Job) connectionUsed(connection uint64) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -248,7 +250,7 @@
 	j.connections = append(j.connections, connection)
 }
 
-// handleAnswer takes the answer to a request that was sent to run.
+// handleAnswer handles the answer to a run call.
 func (j *Job) handleAnswer(worker core.Worker, answer *upstream.Answer, held *ticket) (core.Reply, error) {
 	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
 	if success && answer.Header.Get(headerSeal) == "" {
@@ -284,14 +286,14 @@
 	return core.Reply{}, errorOf(answer)
 }
 
-// maxMisses is how many writers may turn away a request whose prompt was read anew: each is a further arrival, and what
-// more of them would take of the allowance, other requests need.
+// maxMisses is how many writers may turn a request away after its prompt was prefilled again. Each is an extra attempt,
+// and more of them would use up the retry budget that other requests need.
 const maxMisses = 4
 
-// recordMiss notes that a writer did not run the request for want of room or of the prompt's memory: the answer does not
-// tell which. When a second writer says so, the memory is taken for lost, once for a request: after that it is the
-// writers that are full, and reading the prompt again and again would take the readers from others. A few writers later
-// the request ends.
+// recordMiss counts a writer that did not run the request because it was full or could not get the KV cache. The answer
+// does not distinguish the two. After the second such writer the KV cache is treated as lost, but only once per
+// request. Later misses mean that the writers are full, and repeated prefills would take reader capacity from other
+// requests. The request ends after maxMisses writers.
 func (j *Job) recordMiss(held *ticket, e *core.AttemptError) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -303,25 +305,25 @@
 		j.stateLost = true
 		j.held = nil
 		e.Verdict = core.StateGone
-		go j.calls.release(context.Background(), held) // it may be there all the same, and nobody else would let go of it
+		go j.calls.release(context.Background(), held) // the KV cache may still be there, and nothing else would release it
 	}
 }
 
-// dropTicket notes that the prompt's memory is with the writer.
+// dropTicket records that the writer has taken over the KV cache.
 func (j *Job) dropTicket() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.held = nil
 }
 
-// recordNotRun notes a worker's word that it has not run the request.
+// recordNotRun records a worker's guarantee that it has not run the request.
 func (j *Job) recordNotRun() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.mayHaveRun--
 }
 
-// recordUnwritten takes the error of a call without an answer: one that was not written whole can't have run.
+// recordUnwritten handles the error of a call without an answer. A request that was only partly written can't have run.
 func (j *Job) recordUnwritten(err error) error {
 	attempt, ok := err.(*core.AttemptError)
 	if ok && attempt.Stage == core.PartlyWritten {
@@ -336,15 +338,16 @@
 	return j.held
 }
 
-// locked asks about the job's counts under its lock.
+// locked evaluates a condition under the job's lock.
 func (j *Job) locked(check func() bool) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return check()
 }
 
-// checkOwner checks that an answer belongs to this request: a surplus one may stand in its place. One without an id is taken for
-// its checkOwner only where no other can have come, and its connection carries nothing more.
+// checkOwner checks that an answer belongs to this request, as a duplicate of an earlier answer may arrive first. An
+// answer without an ID is accepted only on a fresh connection, where no other answer can arrive, and that connection is
+// not reused.
 func (j *Job) checkOwner(answer *upstream.Answer) error {
 	id := answer.Header.Get(headerRequestID)
 	if id == j.request.ID && id != "" || j.calls.Faults.AnyAnswer {
@@ -361,7 +364,7 @@
 	return &core.AttemptError{Stage: core.Written, Verdict: core.Mishap, Err: errOtherRequest}
 }
 
-// workerDeadline is when the worker's work is of no more use.
+// workerDeadline returns when the worker's result becomes useless.
 func workerDeadline(ctx context.Context, request *Request) time.Time {
 	if deadline, ok := ctx.Deadline(); ok && deadline.Before(request.Deadline) {
 		return deadline
--- a/internal/proxy/calls/pay_test.go
+++ b/internal/proxy/calls/pay_test.go
@@ -14,22 +14,22 @@
 	"sumacloft/internal/upstream"
 )
 
-// unreachable is a network on which nobody answers.
+// unreachable is a network on which every dial fails.
 type unreachable struct{ network.Network }
 
 func (unreachable) Dial(context.Context, string, network.Terms) (net.Conn, error) {
 	return nil, errors.New("refused")
 }
 
-// countingBudget is an allowance that counts what is taken.
+// countingBudget is a retry budget that counts what is taken.
 type countingBudget struct{ taken int }
 
 func (c *countingBudget) Take(ExtraReason) bool { c.taken++; return true }
 func (c *countingBudget) HasSpare() bool        { return true }
 func (c *countingBudget) Charge(ExtraReason)    {}
 
-// Given a request whose repeat finds no connection at one worker after the other, then the allowance is asked once: nothing
-// has arrived.
+// Given a request that is retried and finds no connection at several workers in turn, then it takes from the retry
+// budget once, because no attempt was written.
 func TestUnwrittenAttemptsTakeFromTheBudgetOnce(t *testing.T) {
 	c := qt.New(t)
 	pool := upstream.NewPoolOn(upstream.Terms{Network: unreachable{}}, upstream.NewBudget(10), time.Second, time.Second)
--- a/internal/proxy/calls/request.go
+++ b/internal/proxy/calls/request.go
@@ -12,10 +12,10 @@
 	"sumacloft/brain"
 )
 
-// Error is the class of faults of clients' requests.
+// Error is the class of errors in clients' requests.
 var Error = errs.Class("request")
 
-// Request is a client's request as it was taken.
+// Request is a client's request as received.
 type Request struct {
 	ID       string // X-Request-Id, as the client sent it
 	Method   string
@@ -23,35 +23,35 @@
 	Host     string
 	Header   http.Header
 	Body     []byte
-	Deadline time.Time // the client's, or the route's if that comes first
+	Deadline time.Time // the client's or the route's, whichever is earlier
 	Terms    Terms
-	Class    int // of the route, in the lane's settings
+	Class    int // index of the route in the lane's settings
 	Prompt   Prompt
 }
 
-// Terms are what a route says of its requests.
+// Terms are a route's settings for its requests.
 type Terms struct {
 	Streaming  bool // the answer is a stream of events
 	Repeatable bool // a request may run more than once
-	MaxRuns    int  // workers that one request may be run by
-	Priority   int  // among other work at a worker, from 0, the most urgent, to 9
+	MaxRuns    int  // maximum number of workers that may run one request
+	Priority   int  // priority at the worker, from 0 (most urgent) to 9
 }
 
-// Prompt describes what a model worker is to read and write, in tokens.
+// Prompt describes the tokens that a model worker reads and writes.
 type Prompt struct {
 	Tokens       float64 // of the whole prompt
 	MaxTokens    float64
-	Prefix       uint64  // key of the longest beginning that other requests share; 0: none
-	PrefixTokens float64 // its tokens
-	Session      uint64  // key of the last part; 0: none
+	Prefix       uint64  // key of the longest prefix shared with other requests; 0 if none
+	PrefixTokens float64 // size of that prefix
+	Session      uint64  // key of the last part; 0 if none
 }
 
-// reservedHeaders are never passed on: they concern one connection only, or are the system's to set.
+// reservedHeaders are never forwarded. They concern a single connection, or are set by the proxy only.
 var reservedHeaders = []string{"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 	"Content-Length", "Expect", "Host", headerTimeLeft, headerMeantServer, headerStage, headerKvFrom, headerPriority, "Expect-Version"}
 
-// ReadPrompt takes the description of a prompt out of X-Token-Count and X-Prompt-Start. Requests without them have an
-// empty one; what can't be read is passed over, as it only serves the choice of a worker.
+// ReadPrompt reads the description of a prompt from X-Token-Count and X-Prompt-Start. Invalid parts are ignored, as the
+// description only serves the choice of a worker. The result is empty without these headers.
 func ReadPrompt(header http.Header) Prompt {
 	var prompt Prompt
 	in, out, _ := strings.Cut(header.Get("X-Token-Count"), ",")
@@ -77,7 +77,7 @@
 	return prompt
 }
 
-// number reads a count; what is none counts as 0.
+// number parses a count. Invalid text counts as 0.
 func number(text string) float64 {
 	value, err := strconv.ParseUint(strings.TrimSpace(text), 10, 40)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return float64(value)
 }
 
-// arrival is the request as the decision module sees it.
+// arrival returns the request as the decision module sees it.
 func (r *Request) arrival(id brain.RequestID) brain.Arrived {
 	return brain.Arrived{
 		Request:      id,
@@ -101,7 +101,7 @@
 	}
 }
 
-// encode is the request as it goes to a worker, with the time that is left and the headers of this call.
+// encode returns the request as sent to a worker, with the remaining time and the headers of this call.
 func (r *Request) encode(deadline time.Time, headers ...string) []byte {
 	left := max(time.Until(deadline).Milliseconds(), 1)
 	var out strings.Builder
--- a/internal/proxy/calls/request_test.go
+++ b/internal/proxy/calls/request_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// parsed is an encoded request as a worker reads it.
+// parsed returns an encoded request as a worker parses it.
 func parsed(c *qt.C, encoded []byte) *http.Request {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(encoded)))
 	c.Assert(err, qt.IsNil)
@@ -21,16 +21,16 @@
 
 func TestClientCannotSetReservedHeaders(t *testing.T) {
 	c := qt.New(t)
-	// Given a client that sends every header that is the system's to set, or its connection's.
+	// Given a client that sends every reserved header,
 	header := http.Header{"X-Request-Id": {"1"}, "X-Other": {"stays"}}
 	for _, name := range reservedHeaders {
 		header.Set(name, "from the client")
 	}
 	request := &Request{ID: "1", Method: "POST", URI: "/a/b?c=d", Host: "h.example", Header: header, Body: []byte("body"),
 		Deadline: time.Now().Add(time.Second), Terms: Terms{Priority: 4}}
-	// When the request goes to a worker.
+	// when the request is sent to a worker,
 	got := parsed(c, request.encode(request.Deadline, headerMeantServer, "i-1"))
-	// Then what it says there is the system's own, and the rest is as the client sent it.
+	// then the reserved headers have the proxy's values, and the rest is as the client sent it.
 	c.Assert(got.Header.Get(headerMeantServer), qt.Equals, "i-1")
 	c.Assert(got.Header.Get(headerPriority), qt.Equals, "4")
 	for _, name := range []string{headerStage, headerKvFrom, "Expect-Version", "Upgrade", "Te", "Keep-Alive"} {
@@ -44,14 +44,14 @@
 
 func TestWorkerIsSentTheTimeLeft(t *testing.T) {
 	c := qt.New(t)
-	// Given a request that was taken with 500 ms left and is sent 200 ms later.
+	// Given a request that was received with 500 ms left and is sent 200 ms later,
 	request := &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{headerTimeLeft: {"500"}}}
 	sent := parsed(c, request.encode(time.Now().Add(300*time.Millisecond)))
-	// Then the worker is told at most the 300 ms that are left.
+	// then the worker is sent at most the remaining 300 ms.
 	left, err := strconv.Atoi(sent.Header.Get(headerTimeLeft))
 	c.Assert(err, qt.IsNil)
 	c.Assert(left <= 300 && left > 200, qt.IsTrue, qt.Commentf("%d ms", left))
-	// And one whose time is up is told the least there is, never a negative time.
+	// And a request whose deadline has passed is sent the minimum, never a negative time.
 	late := parsed(c, request.encode(time.Now().Add(-time.Second)))
 	c.Assert(late.Header.Get(headerTimeLeft), qt.Equals, "1")
 }
@@ -66,7 +66,7 @@
 	c.Assert(ReadPrompt(http.Header{}), qt.Equals, Prompt{})
 }
 
-// Whatever stands in the headers, reading them neither fails nor gives a negative size.
+// Any header values can be read, and no size is negative.
 func TestReadPromptAcceptsAnyHeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		header := http.Header{
@@ -75,7 +75,7 @@
 		}
 		prompt := ReadPrompt(header)
 		if prompt.Tokens < 0 || prompt.MaxTokens < 0 || prompt.PrefixTokens < 0 {
-			t.Fatalf("%+v of %v", prompt, header)
+			t.Fatalf("got negative sizes in %+v for headers %v", prompt, header)
 		}
 	})
 }
--- a/internal/proxy/calls/rest.go
+++ b/internal/proxy/calls/rest.go
@@ -8,16 +8,15 @@
 	"sumacloft/internal/core"
 )
 
-// maxAvoided is how often a worker may be chosen at which the request's stream broke: where there is no other, none is
-// waited for.
+// maxAvoided is how often a worker may be chosen again after the request's stream broke there. If there is no other
+// worker, the request does not wait for one.
 const maxAvoided = 4
 
-// errStreamBroke says why a worker was not asked.
+// errStreamBroke is why a worker was not called.
 var errStreamBroke = errors.New("the request's stream broke there")
 
-// Remainder makes the job of what is left of a request whose stream broke at a worker behind an event. All that was counted for
-// the request counts for it as well. Close the job before. It is not allowed once as many workers may have run the request
-// as its terms say.
+// Remainder returns the job for the rest of a request whose stream broke at a worker after an event. The counts of the
+// request carry over. Close the job first. It is not allowed if the maximum number of workers may have run the request.
 func (j *Job) Remainder(lastEvent, brokenAt string) (remainder *Job, allowed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -43,10 +42,10 @@
 	}, true
 }
 
-// exhausted tells whether as many workers may have run the request as its terms say. The lock is held.
+// exhausted reports whether the maximum number of workers may have run the request. The caller holds the lock.
 func (j *Job) exhausted() bool { return j.mayHaveRun >= max(j.request.Terms.MaxRuns, 1) }
 
-// avoid has another worker chosen in place of one at which the request's stream broke; nil for all others.
+// avoid returns an error for a worker at which the request's stream broke, so that another one is chosen.
 func (j *Job) avoid(worker core.Worker) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/proxy/calls/rest_test.go
+++ b/internal/proxy/calls/rest_test.go
@@ -13,7 +13,7 @@
 	"sumacloft/internal/upstream"
 )
 
-// brokenStream is the job of the rest of a request that one worker of three has run.
+// brokenStream returns a request that one of at most three workers has run, and the job for its remainder.
 func brokenStream(c *qt.C, budget RetryBudget) (whole, remainder *Job) {
 	pool := upstream.NewPoolOn(upstream.Terms{Network: unreachable{}}, upstream.NewBudget(10), time.Second, time.Second)
 	request := &Request{
@@ -34,15 +34,15 @@
 
 func TestRemainderResumesAfterTheLastEvent(t *testing.T) {
 	c := qt.New(t)
-	// Given a request of which one worker broke off the stream behind event 7, when the remainder goes to a worker.
+	// Given a request whose stream broke after event 7, when the remainder is sent to a worker,
 	whole, remainder := brokenStream(c, &countingBudget{})
-	// Then it names that event, and to the module it is one that was resumed; the request itself stays as it was.
+	// then it names that event and counts as resumed for the decision module. The original request is unchanged.
 	sent := parsed(c, remainder.request.encode(remainder.request.Deadline))
 	c.Assert(sent.Header.Get("Last-Event-Id"), qt.Equals, "7")
 	c.Assert(sent.Header.Get("X-Other"), qt.Equals, "stays")
 	c.Assert(remainder.Arrival(1).Resumed, qt.IsTrue)
 	c.Assert(whole.Arrival(1).Resumed, qt.IsFalse)
-	// And that a worker may have run the request is not forgotten.
+	// And the remainder knows that a worker may have run the request.
 	mayHaveRun, _ := remainder.Close()
 	c.Assert(mayHaveRun, qt.IsTrue)
 }
@@ -55,17 +55,17 @@
 		_, err := remainder.Try(context.Background(), core.Worker{Name: name}, func() error { return nil })
 		return err
 	}
-	// When the module chooses the worker that broke a few times, then each time another one is asked for, which is no word
-	// on that worker and costs nothing,
+	// When the module chooses the worker where the stream broke a few times, then the job asks for another worker each
+	// time. That is not held against the worker and takes nothing from the retry budget.
 	for range maxAvoided {
 		err := try("broke")
 		c.Assert(core.Withdrawn(err), qt.IsTrue)
 		c.Assert(errors.Is(err, core.ErrShut), qt.IsFalse)
 	}
 	c.Assert(budget.taken, qt.Equals, 0)
-	// another is tried,
+	// Another worker is tried.
 	c.Assert(core.Withdrawn(try("other")), qt.IsFalse)
 	c.Assert(budget.taken, qt.Equals, 1)
-	// and chosen yet again, the request ends.
+	// When the first worker is chosen yet again, then the request ends.
 	c.Assert(errors.Is(try("broke"), core.ErrShut), qt.IsTrue)
 }
--- a/internal/proxy/run/ready.go
+++ b/internal/proxy/run/ready.go
@@ -7,16 +7,16 @@
 	"sumacloft/internal/mesh/message"
 )
 
-// readiness is the answer to the platform's question, for people who look at it. The status alone counts: 200 says that
-// this proxy takes new connections.
+// readiness is the body of the readiness answer, for operators. The platform uses the status only: 200 means that this
+// proxy accepts new connections.
 type readiness struct {
 	Ready   bool     `json:"ready"`
-	Link    string   `json:"link"` // of this router to the control plane
+	Link    string   `json:"link"` // state of this router's connection to the control plane
 	Reasons []string `json:"reasons,omitempty"`
 }
 
-// readiness says whether this proxy takes new connections, and what an operator should know of it. A router that is out of
-// touch serves on by what it knows, and says so.
+// readiness returns whether this proxy accepts new connections, and the reasons and advice for an operator. A router
+// without contact to the control plane keeps serving with its last known state and includes that in its reasons.
 func (p *Proxy) readiness() readiness {
 	link := p.feed.Link()
 	answer := readiness{Ready: p.ready.Load() && p.feed.Ready(), Link: link.String()}
@@ -32,12 +32,12 @@
 	return answer
 }
 
-// serveReady tells the platform whether this proxy takes new connections.
+// serveReady answers the platform's readiness check.
 func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
 	answer := p.readiness()
 	w.Header().Set("Content-Type", "application/json")
 	if !answer.Ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_ = json.NewEncoder(w).Encode(answer) // the platform has its status
+	_ = json.NewEncoder(w).Encode(answer) // the platform has the status already
 }
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -1,4 +1,4 @@
-// Package run is the proxy's process: its listeners, its readiness and its orderly end.
+// Package run is the proxy's process: its listeners, its readiness and its graceful shutdown.
 package run
 
 import (
@@ -32,28 +32,31 @@
 	"sumacloft/internal/upstream"
 )
 
-// Error is the class of failures to start: the boot file's addresses may be taken by another process.
+// Error is the class of startup errors. Another process may use the addresses of the boot file.
 var Error = errs.Class("proxy: check listen_on in the boot file")
 
 const (
-	// dialTimeout bounds how long a connection to a worker may take to come up.
+	// dialTimeout bounds how long connecting to a worker may take.
 	dialTimeout = 700 * time.Millisecond
-	// idleTimeout is how long workers keep an idle connection where they do not announce it.
+	// idleTimeout is how long an idle connection is assumed to stay open at workers that do not announce a time.
 	idleTimeout = 10 * time.Second
-	// sweepInterval is how often idle connections are looked through.
+	// sweepInterval is how often idle connections are checked.
 	sweepInterval = 2 * time.Second
-	// reservedDescriptors are kept for files, listeners and the agent; the rest is for clients and workers alike.
+	// reservedDescriptors is the number of file descriptors for files, listeners and the agent. Clients and workers
+	// share the rest.
 	reservedDescriptors = 300
-	// drainNotice is how long the platform may go on sending new connections after the proxy says that it is not ready.
+	// drainNotice is how long the platform may keep sending new connections after the proxy reports that it is not
+	// ready.
 	drainNotice = 2500 * time.Millisecond
-	// closeMargin is how long before the end of the grace what is still open is given up.
+	// closeMargin is how long before the end of the grace period open requests are aborted.
 	closeMargin = 500 * time.Millisecond
-	// headerTimeout bounds the head of the platform's question for readiness. Clients are held to the configuration's limits.
+	// headerTimeout bounds the time to read the headers of a readiness check. Connections of clients have the
+	// configuration's limits.
 	headerTimeout = 10 * time.Second
 	closeWait     = 20 * time.Millisecond
 )
 
-// Proxy is the process.
+// Proxy is the proxy's process.
 type Proxy struct {
 	settings *boot.Settings
 	network  network.Network
@@ -61,13 +64,13 @@
 	front    *front.Front
 	feed     *feed.Feed
 	pool     *upstream.Pool
-	meter    *traffic.Meter // of exchanges with workers
+	meter    *traffic.Meter // traffic with workers
 	hints    *hints.Hints
 	ready    atomic.Bool
 	started  time.Time
 }
 
-// WorkerTerms are the terms on which a proxy speaks to workers.
+// WorkerTerms are the protocol settings for connections to workers.
 func WorkerTerms(transport network.Network) upstream.Terms {
 	return upstream.Terms{
 		Patient:            true,
@@ -78,7 +81,7 @@
 	}
 }
 
-// New makes a proxy on a machine's network. The output of the parts that log by logrus goes to the same ring.
+// New creates a proxy on a machine's network. Components that log with logrus write to the same ring.
 func New(settings *boot.Settings, transport network.Network, logger zerolog.Logger, ring io.Writer) *Proxy {
 	sockets := max(settings.Limits.OpenFiles-reservedDescriptors, 64) / 2
 	terms := WorkerTerms(transport)
@@ -111,7 +114,7 @@
 	return p
 }
 
-// Run serves until the context ends, then ends in good order within the grace.
+// Run serves until the context ends, then shuts down within the grace period.
 func (p *Proxy) Run(ctx context.Context) error {
 	server := p.front.Bounds.Server(p.front, log.New(p.log, "", 0))
 	if err := p.serve(server, p.settings.ListenOn.Front, p.front.Bounds.Listen); err != nil {
@@ -146,7 +149,7 @@
 	return nil
 }
 
-// serve has a server take the connections to an address, each wrapped as wrap does.
+// serve starts a server on an address. wrap is applied to the listener.
 func (p *Proxy) serve(server *http.Server, address string, wrap func(net.Listener) net.Listener) error {
 	listener, err := p.network.Listen(address)
 	if err != nil {
@@ -156,10 +159,10 @@
 	return nil
 }
 
-// unbounded leaves a listener as it is.
+// unbounded returns a listener unchanged.
 func unbounded(l net.Listener) net.Listener { return l }
 
-// drain serves on until the platform has noticed that this proxy is not ready, then finishes what is open.
+// drain keeps serving until the platform has seen that this proxy is not ready, then finishes the open requests.
 func (p *Proxy) drain(server *http.Server) {
 	started := time.Now()
 	p.ready.Store(false)
@@ -168,8 +171,8 @@
 	ctx, cancel := context.WithDeadline(context.Background(), started.Add(p.settings.Rules.Grace-closeMargin))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		p.log.Warn().Int64("open", p.front.Open()).Msg("ending with requests still open")
-		_ = server.Close() // what is open is given up
+		p.log.Warn().Int64("open", p.front.Open()).Msg("grace period is over; aborting open requests")
+		_ = server.Close() // aborts what is still open
 		time.Sleep(closeWait)
 	}
 }
--- a/internal/proxy/run/status.go
+++ b/internal/proxy/run/status.go
@@ -10,12 +10,12 @@
 	"sumacloft/internal/status"
 )
 
-// HandleStatus serves what operators ask a proxy about its decisions.
+// HandleStatus registers the handler for operators' status queries.
 func (p *Proxy) HandleStatus(mux *http.ServeMux) {
 	status.CallStatus.Handle(mux, p.report)
 }
 
-// report is what the proxy has decided since it began.
+// report returns the status of the proxy, with its decisions since it started.
 func (p *Proxy) report(context.Context, *status.Question) (*status.Report, error) {
 	report := &status.Report{
 		Kind: status.KindProxy,
