--- a/internal/proxy/calls/allowance.go
+++ b/internal/proxy/calls/allowance.go
@@ -13,9 +13,9 @@
 
 // RetryBudget limits the extra attempts at the request's service.
 type RetryBudget interface {
-	Take(why ExtraReason) bool // takes one extra attempt if the budget allows it
-	HasSpare() bool            // whether the budget allows the extra attempt that the failure of a first attempt would cause
-	Charge(why ExtraReason)    // counts an extra attempt that could not be requested in advance
+	Take(reason ExtraReason) bool // takes one extra attempt if the budget allows it
+	HasSpare() bool               // whether the budget allows the extra attempt that the failure of a first attempt would cause
+	Charge(reason ExtraReason)    // counts an extra attempt that could not be requested in advance
 }
 
 // runIsFirstAttempt reports whether a run is not an extra attempt. That holds for the first call of a request, and for
--- a/internal/proxy/calls/request.go
+++ b/internal/proxy/calls/request.go
@@ -55,8 +55,8 @@
 func ReadPrompt(header http.Header) Prompt {
 	var prompt Prompt
 	in, out, _ := strings.Cut(header.Get("X-Token-Count"), ",")
-	prompt.Tokens = number(in)
-	prompt.MaxTokens = number(out)
+	prompt.Tokens = parseCount(in)
+	prompt.MaxTokens = parseCount(out)
 	parts := strings.Split(header.Get("X-Prompt-Start"), ",")
 	for i, part := range parts {
 		id, size, found := strings.Cut(strings.TrimSpace(part), ":")
@@ -72,13 +72,13 @@
 			continue
 		}
 		prompt.Prefix = key
-		prompt.PrefixTokens += number(size)
+		prompt.PrefixTokens += parseCount(size)
 	}
 	return prompt
 }
 
-// number parses a count. Invalid text counts as 0.
-func number(text string) float64 {
+// parseCount parses a count. Invalid text counts as 0.
+func parseCount(text string) float64 {
 	value, err := strconv.ParseUint(strings.TrimSpace(text), 10, 40)
 	if err != nil {
 		return 0
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -45,11 +45,11 @@
 }
 
 func largeFeed() *Feed {
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
 	workerCalls := calls.New(upstream.NewPool(upstream.NewBudget(100), time.Second, time.Second))
 	env := lane.Environment{
-		Calls: workerCalls, Zone: "zone-0", Log: quiet,
+		Calls: workerCalls, Zone: "zone-0", Log: logger,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50},
 	}
 	for number := range 7 {
--- a/internal/proxy/lane/lane.go
+++ b/internal/proxy/lane/lane.go
@@ -34,11 +34,11 @@
 
 // processAge is how long this process has existed. If no process ran before it, it is the whole retry window, as no
 // predecessor can have used the retry budget.
-func (s *Environment) processAge() time.Duration {
-	if s.Started.IsZero() {
-		return s.Budget.Window
+func (e *Environment) processAge() time.Duration {
+	if e.Started.IsZero() {
+		return e.Budget.Window
 	}
-	return time.Since(s.Started)
+	return time.Since(e.Started)
 }
 
 // Lane serves one service. Create it with New, then call Configure and List after each change.
--- a/internal/proxy/lane/lane_test.go
+++ b/internal/proxy/lane/lane_test.go
@@ -15,10 +15,10 @@
 )
 
 func newLane(disabled trial.Off) *Lane {
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
 	return New(opconf.Service{Name: "model", Runner: &opconf.Runner{MemoryTokens: 1000}}, Environment{
-		Log:      quiet,
+		Log:      logger,
 		Zone:     "north",
 		Zones:    []string{"north", "south"},
 		Budget:   budget.Terms{Window: 10 * time.Second, Extra: 5},
