--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -53,7 +53,8 @@
 	// headerTimeout bounds the time to read the headers of a readiness check. Connections of clients have the
 	// configuration's limits.
 	headerTimeout = 10 * time.Second
-	closeWait     = 20 * time.Millisecond
+	// closeWait is the pause after the abort, for the handlers to return.
+	closeWait = 20 * time.Millisecond
 )
 
 // Proxy is the proxy's process.
