--- a/internal/proxy/budget/budget_test.go
+++ b/internal/proxy/budget/budget_test.go
@@ -10,33 +10,33 @@
 
 var terms = Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: 50}
 
-func TestFixedPartIsShared(t *testing.T) {
+func TestFixedAllowanceIsShared(t *testing.T) {
 	c := qt.New(t)
-	// Given one of five routers without a request.
+	// Given one of five routers without requests,
 	b := New(terms, 5, terms.Window)
-	// When it asks for further arrivals until it is refused.
+	// when it takes extra attempts until it is refused,
 	taken := 0
 	for b.Take(time.Second) {
 		taken++
 	}
-	// Then it got its part of the fixed allowance, less the margin.
+	// then it got its part of the fixed allowance, less the margin.
 	c.Assert(taken, qt.Equals, 8)
 }
 
-func TestRequestsAllowMore(t *testing.T) {
+func TestRequestsRaiseTheLimit(t *testing.T) {
 	c := qt.New(t)
-	// Given a router that took 100 requests.
+	// Given a router that counted 100 requests,
 	b := New(terms, 5, terms.Window)
 	for range 100 {
-		b.Request(time.Second)
+		b.CountRequest(time.Second)
 	}
 	taken := 0
 	for b.Take(time.Second) {
 		taken++
 	}
-	// Then a ratio of them is allowed besides.
+	// then a ratio of them is allowed in addition.
 	c.Assert(taken, qt.Equals, 24)
-	// And when the window has passed, only the fixed part is left.
+	// And when the window has passed, only the fixed allowance is left.
 	taken = 0
 	for b.Take(20 * time.Second) {
 		taken++
@@ -44,20 +44,20 @@
 	c.Assert(taken, qt.Equals, 8)
 }
 
-// Whatever comes when, no window of the operator's length holds more further arrivals than the bound allows for the
-// requests of that window and the one before it.
-func TestEveryWindowKeepsTheBound(t *testing.T) {
+// In any sequence of events, no window contains more extra attempts than the limit allows for the requests of that
+// window and the one before it.
+func TestEveryWindowStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(terms, 1, terms.Window)
 		var now time.Duration
-		var requests, repeats []time.Duration
+		var requests, extra []time.Duration
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.CountRequest(now)
 				requests = append(requests, now)
 			} else if b.Take(now) {
-				repeats = append(repeats, now)
+				extra = append(extra, now)
 			}
 		}
 		within := func(list []time.Duration, from, to time.Duration) (n int) {
@@ -68,33 +68,34 @@
 			}
 			return n
 		}
-		for _, end := range repeats {
+		for _, end := range extra {
 			from := end - terms.Window
 			bound := terms.Ratio*float64(within(requests, from-terms.Window, end+1)) + float64(terms.Extra)
-			if got := within(repeats, from+1, end+1); float64(got) > bound {
-				t.Fatalf("%d further arrivals until %v, at most %v are allowed", got, end, bound)
+			if got := within(extra, from+1, end+1); float64(got) > bound {
+				t.Fatalf("%d extra attempts in the window until %v, at most %v are allowed", got, end, bound)
 			}
 		}
 	})
 }
 
-// What can only be charged once it has come about keeps to the bound too: nothing is begun once a failure has no room.
-func TestChargesEndWhereThereIsNoRoom(t *testing.T) {
+// Attempts that are charged after a failure stay within the limit too, because no request is started without spare
+// budget.
+func TestChargedFailuresStayWithinTheLimit(t *testing.T) {
 	c := qt.New(t)
-	// Given a proxy all of whose requests fail at their first call, which costs a further arrival each.
+	// Given a proxy whose requests all fail at their first attempt, which costs an extra attempt each,
 	b := New(terms, 1, terms.Window)
-	begun := 0
+	started := 0
 	for i := range 1000 {
 		now := time.Duration(i) * terms.Window / 1000
-		b.Request(now)
-		if b.Spare(now) {
-			begun++
+		b.CountRequest(now)
+		if b.HasSpare(now) {
+			started++
 			b.Charge(now)
 		}
 	}
-	// Then no more of them are begun than the bound allows, and more than repeats may take.
+	// then no more requests are started than the limit allows, and more than the margin for retries.
 	bound := float64(terms.Extra) + terms.Ratio*1000
-	c.Assert(float64(begun) <= bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", begun, bound))
-	c.Assert(float64(begun) > margin*bound, qt.IsTrue, qt.Commentf("%d begun, bound %.0f", begun, bound))
+	c.Assert(float64(started) <= bound, qt.IsTrue, qt.Commentf("%d requests started, limit %.0f", started, bound))
+	c.Assert(float64(started) > margin*bound, qt.IsTrue, qt.Commentf("%d requests started, limit %.0f", started, bound))
 	c.Assert(b.Take(terms.Window), qt.IsFalse)
 }
--- a/internal/proxy/budget/many_test.go
+++ b/internal/proxy/budget/many_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// latestWord is how long after the end of a proxy the others may still count it.
-const latestWord = 5 * time.Second
+// maxNoticeDelay is how long after the end of a proxy the others may still count it.
+const maxNoticeDelay = 5 * time.Second
 
-// proxy is one proxy of a fleet whose number changes.
+// proxy is one proxy of a fleet of varying size.
 type proxy struct {
-	budget *Budget
-	born   time.Duration
-	told   map[time.Duration]int // numbers of proxies that it will be told of, by time
+	budget  *Budget
+	started time.Duration
+	notices map[time.Duration]int // fleet sizes that the proxy will be notified of, by time
 }
 
-// proxies are a fleet whose proxies take as many further arrivals as they are let.
-type proxies struct {
+// fleet is a set of proxies that take as many extra attempts as allowed.
+type fleet struct {
 	now      time.Duration
 	living   []*proxy
-	births   []time.Duration
-	fewest   map[time.Duration]int // living at the end of each change
+	starts   []time.Duration
+	fewest   map[time.Duration]int // fleet sizes after the changes at each time
 	requests []time.Duration
-	repeats  []time.Duration
+	extra    []time.Duration
 }
 
-// within counts what happened after one time and up to another.
+// within counts the events after one time and until another.
 func within(list []time.Duration, after, until time.Duration) (n int) {
 	for _, at := range list {
 		if at > after && at <= until {
@@ -39,91 +39,91 @@
 	return n
 }
 
-// start adds a proxy that knows how many there are with it.
-func (f *proxies) start() {
-	f.living = append(f.living, &proxy{budget: New(terms, len(f.living)+1, 0), born: f.now, told: map[time.Duration]int{}})
-	f.births = append(f.births, f.now)
-	f.tell(0)
+// start adds a proxy that knows the current fleet size.
+func (f *fleet) start() {
+	f.living = append(f.living, &proxy{budget: New(terms, len(f.living)+1, 0), started: f.now, notices: map[time.Duration]int{}})
+	f.starts = append(f.starts, f.now)
+	f.announce(0)
 }
 
-// end ends a proxy; the others are told later.
-func (f *proxies) end(number int, later time.Duration) {
-	f.living = slices.Delete(f.living, number, number+1)
-	f.tell(later)
+// stop ends a proxy. The others are notified after a delay.
+func (f *fleet) stop(index int, delay time.Duration) {
+	f.living = slices.Delete(f.living, index, index+1)
+	f.announce(delay)
 }
 
-// tell has all proxies told of their number.
-func (f *proxies) tell(later time.Duration) {
+// announce notifies all proxies of the fleet size after a delay.
+func (f *fleet) announce(delay time.Duration) {
 	f.fewest[f.now] = len(f.living)
-	for _, one := range f.living {
-		one.told[f.now+later] = len(f.living)
+	for _, p := range f.living {
+		p.notices[f.now+delay] = len(f.living)
 	}
 }
 
-// pass lets time pass.
-func (f *proxies) pass(gap time.Duration) {
+// advance advances the time and delivers the notices that are due.
+func (f *fleet) advance(gap time.Duration) {
 	until := f.now + gap
-	for _, one := range f.living {
+	for _, p := range f.living {
 		due := []time.Duration{}
-		for at := range one.told {
+		for at := range p.notices {
 			if at <= until {
 				due = append(due, at)
 			}
 		}
 		slices.Sort(due)
 		for _, at := range due {
-			one.budget.Share(max(at, f.now)-one.born, one.told[at])
-			delete(one.told, at)
+			p.budget.SetRouters(max(at, f.now)-p.started, p.notices[at])
+			delete(p.notices, at)
 		}
 	}
 	f.now = until
 }
 
-// mayStart tells whether one more start keeps to what the margin covers: within a window no more than half of the
-// proxies are new.
-func (f *proxies) mayStart() bool {
+// mayStart reports whether the margin covers one more start. It covers starts of at most half of the proxies in a
+// window.
+func (f *fleet) mayStart() bool {
 	fewest := len(f.living)
 	for at, number := range f.fewest {
-		if at > f.now-terms.Window-latestWord {
+		if at > f.now-terms.Window-maxNoticeDelay {
 			fewest = min(fewest, number)
 		}
 	}
-	return 2*(within(f.births, f.now-terms.Window, f.now)+1) <= fewest
+	return 2*(within(f.starts, f.now-terms.Window, f.now)+1) <= fewest
 }
 
-// greedy has one proxy take all that it is let.
-func (f *proxies) greedy(one *proxy) {
-	for one.budget.Take(f.now - one.born) {
-		f.repeats = append(f.repeats, f.now)
+// takeAll has one proxy take all extra attempts that it is allowed.
+func (f *fleet) takeAll(p *proxy) {
+	for p.budget.Take(f.now - p.started) {
+		f.extra = append(f.extra, f.now)
 	}
 }
 
-// Whatever proxies end, and up to half of them start in a window: no window of the operator's length holds more
-// further arrivals of all proxies together than the bound allows, for the requests of that window and the one before.
-func TestManyProxiesKeepTheBoundTogether(t *testing.T) {
+// Proxies end at any time, and up to half of them start in a window. No window contains more extra attempts of all
+// proxies together than the limit allows for the requests of that window and the one before it.
+func TestManyProxiesStayWithinTheLimitTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &proxies{fewest: map[time.Duration]int{}, now: time.Hour}
-		count := rapid.IntRange(1, 40).Draw(t, "proxies")
-		for range count {
-			f.living = append(f.living, &proxy{budget: New(terms, count, terms.Window), told: map[time.Duration]int{}})
+		f := &fleet{fewest: map[time.Duration]int{}, now: time.Hour}
+		initial := rapid.IntRange(1, 40).Draw(t, "proxies")
+		for range initial {
+			f.living = append(f.living, &proxy{budget: New(terms, initial, terms.Window), notices: map[time.Duration]int{}})
 		}
-		f.tell(0)
+		f.announce(0)
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
-			f.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * time.Millisecond)
-			number := rapid.IntRange(0, len(f.living)-1).Draw(t, "proxy")
+			f.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * time.Millisecond)
+			index := rapid.IntRange(0, len(f.living)-1).Draw(t, "proxy")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				f.living[number].budget.Request(f.now - f.living[number].born)
+				f.living[index].budget.CountRequest(f.now - f.living[index].started)
 				f.requests = append(f.requests, f.now)
 			case 1:
-				f.greedy(f.living[number])
+				f.takeAll(f.living[index])
 			case 2:
-				for _, one := range f.living {
-					f.greedy(one)
+				for _, p := range f.living {
+					f.takeAll(p)
 				}
 			case 3:
 				if len(f.living) > 1 {
-					f.end(number, time.Duration(rapid.IntRange(0, int(latestWord/time.Millisecond)).Draw(t, "later"))*time.Millisecond)
+					f.stop(index, time.Duration(rapid.IntRange(0, int(maxNoticeDelay/time.Millisecond)).Draw(t, "later"))*time.Millisecond)
 				}
 			case 4:
 				if f.mayStart() {
@@ -131,18 +131,18 @@
 				}
 			}
 		}
-		for _, end := range f.repeats {
+		for _, end := range f.extra {
 			bound := float64(terms.Extra) + terms.Ratio*float64(within(f.requests, end-2*terms.Window, end))
-			if got := within(f.repeats, end-terms.Window, end); float64(got) > bound {
-				t.Fatalf("%d further arrivals until %v, at most %v are allowed", got, end, bound)
+			if got := within(f.extra, end-terms.Window, end); float64(got) > bound {
+				t.Fatalf("%d extra attempts in the window until %v, at most %v are allowed", got, end, bound)
 			}
 		}
 	})
 }
 
-func TestFallingNumberCountsOnceTheWindowHasPassed(t *testing.T) {
+func TestLowerRouterCountAppliesAfterOneWindow(t *testing.T) {
 	c := qt.New(t)
-	// Given one of five routers that has taken its part, and is told that the other four have ended.
+	// Given one of five routers that has used its part, and learns that the other four have ended,
 	b := New(terms, 5, terms.Window)
 	taken := 0
 	take := func(now time.Duration) int {
@@ -152,20 +152,20 @@
 		return taken
 	}
 	c.Assert(take(time.Second), qt.Equals, 8)
-	b.Share(2*time.Second, 1)
-	// Then it takes no more while what they have taken is in the window, and all of the allowance after that.
+	b.SetRouters(2*time.Second, 1)
+	// then it takes no more while their attempts are in the window, and the whole allowance after that.
 	c.Assert(take(11*time.Second), qt.Equals, 8)
 	taken = 0
 	c.Assert(take(13*time.Second), qt.Equals, 40)
-	// And a larger number counts at once.
-	b.Share(14*time.Second, 5)
+	// And a higher number takes effect at once.
+	b.SetRouters(14*time.Second, 5)
 	taken = 0
 	c.Assert(take(30*time.Second), qt.Equals, 8)
 }
 
-func TestProxyThatStartsLeavesTheFixedPartToItsFormerLife(t *testing.T) {
+func TestRestartedProxyReservesTheAllowanceOfItsPredecessor(t *testing.T) {
 	c := qt.New(t)
-	// Given the only router, whose process started two seconds ago.
+	// Given the only router, whose process started two seconds ago,
 	b := New(terms, 1, 2*time.Second)
 	taken := 0
 	take := func(now time.Duration) int {
@@ -174,12 +174,12 @@
 		}
 		return taken
 	}
-	// Then it takes no more of the fixed part than the margin, and a ratio of its own requests,
+	// then it takes no more than the start margin of the fixed allowance, and a ratio of its own requests,
 	c.Assert(take(time.Second), qt.Equals, 10)
 	for range 100 {
-		b.Request(time.Second)
+		b.CountRequest(time.Second)
 	}
 	c.Assert(take(time.Second), qt.Equals, 26)
-	// and its whole part once a window has passed since its start.
+	// and the whole fixed allowance once a window has passed since its start.
 	c.Assert(take(8*time.Second), qt.Equals, 56)
 }
--- a/internal/proxy/calls/allowance.go
+++ b/internal/proxy/calls/allowance.go
@@ -1,51 +1,51 @@
 package calls
 
-// Further is why a request arrives at a worker once more.
-type Further string
+// ExtraReason is why a request is sent to a worker again.
+type ExtraReason string
 
-// The reasons.
+// The reasons for extra attempts.
 const (
-	FurtherRead      Further = "the prompt is read at another worker"
-	FurtherRun       Further = "another worker is asked to run it"
-	FurtherFirstRun  Further = "it is run after a read that failed"
-	FurtherFailedRun Further = "the first run after its read failed"
+	ExtraPrefill               ExtraReason = "the prompt is read at another worker"
+	ExtraRun                   ExtraReason = "another worker is asked to run it"
+	ExtraRunAfterFailedPrefill ExtraReason = "it is run after a read that failed"
+	ExtraFailedFirstRun        ExtraReason = "the first run after its read failed"
 )
 
-// Allowance is the budget of further arrivals at the request's service.
-type Allowance interface {
-	Take(why Further) bool // one more, if there is room
-	Spare() bool           // whether there is room for one that a first call would cause by failing
-	Charge(why Further)    // one more, that could not be asked for
+// RetryBudget limits the extra attempts at the request's service.
+type RetryBudget interface {
+	Take(reason ExtraReason) bool // takes one extra attempt if the budget allows it
+	HasSpare() bool               // whether the budget allows the extra attempt that the failure of a first attempt would cause
+	Charge(reason ExtraReason)    // counts an extra attempt that could not be requested in advance
 }
 
-// runIsFree tells whether a call to have the request run is no further arrival: the first call of all, or the one after a
-// read that succeeded as the first call. The lock is held.
-func (j *Job) runIsFree() bool {
-	if j.sent > 0 {
+// runIsFirstAttempt reports whether a run is not an extra attempt. That holds for the first call of a request, and for
+// the first run after a prefill that succeeded as the first call. The caller holds the lock.
+func (j *Job) runIsFirstAttempt() bool {
+	if j.runs > 0 {
 		return false
 	}
-	return j.reads == 0 || j.reads == 1 && j.readAtOnce
+	return j.prefills == 0 || j.prefills == 1 && j.prefilledFirst
 }
 
-// whyRun is why a run is a further arrival.
-func (j *Job) whyRun() Further {
-	if j.again(func() bool { return j.sent > 0 }) {
-		return FurtherRun
+// extraRunReason returns why a run is an extra attempt.
+func (j *Job) extraRunReason() ExtraReason {
+	if j.locked(func() bool { return j.runs > 0 }) {
+		return ExtraRun
 	}
-	return FurtherFirstRun
+	return ExtraRunAfterFailedPrefill
 }
 
-// pay takes one more arrival from the allowance. What was taken for an attempt that was never written, for want of a
-// connection, is still there.
-func (j *Job) pay(why Further) bool {
-	if j.again(func() bool { return j.paid }) {
+// takeExtra takes one extra attempt from the retry budget. An attempt that was taken but not written, for lack of a
+// connection, is used first.
+func (j *Job) takeExtra(reason ExtraReason) bool {
+	if j.locked(func() bool { return j.extraTaken }) {
 		return true
 	}
-	if !j.allowance.Take(why) {
+	if !j.budget.Take(reason) {
 		return false
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.paid = true
+	j.extraTaken = true
 	return true
 }
--- a/internal/proxy/calls/pay_test.go
+++ b/internal/proxy/calls/pay_test.go
@@ -14,33 +14,33 @@
 	"sumacloft/internal/upstream"
 )
 
-// unreachable is a network on which nobody answers.
+// unreachable is a network on which every dial fails.
 type unreachable struct{ network.Network }
 
 func (unreachable) Dial(context.Context, string, network.Terms) (net.Conn, error) {
 	return nil, errors.New("refused")
 }
 
-// counted is an allowance that counts what is taken.
-type counted struct{ taken int }
+// countingBudget is a retry budget that counts what is taken.
+type countingBudget struct{ taken int }
 
-func (c *counted) Take(Further) bool { c.taken++; return true }
-func (c *counted) Spare() bool       { return true }
-func (c *counted) Charge(Further)    {}
+func (c *countingBudget) Take(ExtraReason) bool { c.taken++; return true }
+func (c *countingBudget) HasSpare() bool        { return true }
+func (c *countingBudget) Charge(ExtraReason)    {}
 
-// Given a request whose repeat finds no connection at one worker after the other, then the allowance is asked once: nothing
-// has arrived.
-func TestAttemptsThatAreNeverWrittenDrawOnTheAllowanceOnce(t *testing.T) {
+// Given a request that is retried and finds no connection at several workers in turn, then it takes from the retry
+// budget once, because no attempt was written.
+func TestUnwrittenAttemptsTakeFromTheBudgetOnce(t *testing.T) {
 	c := qt.New(t)
 	pool := upstream.NewPoolOn(upstream.Terms{Network: unreachable{}}, upstream.NewBudget(10), time.Second, time.Second)
 	for _, role := range []string{"", RoleReading} {
-		allowance := &counted{}
-		job := NewJob(New(pool), &Request{Deadline: time.Now().Add(time.Minute), Terms: Terms{Tries: 3}}, allowance)
-		job.sent, job.reads = 1, 1
+		budget := &countingBudget{}
+		job := NewJob(New(pool), &Request{Deadline: time.Now().Add(time.Minute), Terms: Terms{MaxRuns: 3}}, budget)
+		job.runs, job.prefills = 1, 1
 		for range 5 {
 			_, err := job.Try(context.Background(), core.Worker{Role: role}, func() error { return nil })
 			c.Assert(err, qt.IsNotNil)
 		}
-		c.Assert(allowance.taken, qt.Equals, 1)
+		c.Assert(budget.taken, qt.Equals, 1)
 	}
 }
--- a/internal/proxy/run/ready.go
+++ b/internal/proxy/run/ready.go
@@ -7,37 +7,37 @@
 	"sumacloft/internal/mesh/message"
 )
 
-// readiness is the answer to the platform's question, for people who look at it. The status alone counts: 200 says that
-// this proxy takes new connections.
+// readiness is the body of the readiness answer, for operators. The platform uses the status only: 200 means that this
+// proxy accepts new connections.
 type readiness struct {
 	Ready   bool     `json:"ready"`
-	Link    string   `json:"link"` // of this router to the control plane
+	Link    string   `json:"link"` // state of this router's connection to the control plane
 	Reasons []string `json:"reasons,omitempty"`
 }
 
-// readiness says whether this proxy takes new connections, and what an operator should know of it. A router that is out of
-// touch serves on by what it knows, and says so.
+// readiness returns whether this proxy accepts new connections, and the reasons and advice for an operator. A router
+// without contact to the control plane keeps serving with its last known state and includes that in its reasons.
 func (p *Proxy) readiness() readiness {
 	link := p.feed.Link()
-	told := readiness{Ready: p.ready.Load() && p.feed.Ready(), Link: link.String()}
+	answer := readiness{Ready: p.ready.Load() && p.feed.Ready(), Link: link.String()}
 	switch {
 	case !p.ready.Load():
-		told.Reasons = append(told.Reasons, "this proxy is starting or ending")
+		answer.Reasons = append(answer.Reasons, "this proxy is starting or ending")
 	case !p.feed.Ready():
-		told.Reasons = append(told.Reasons, "no configuration is known yet")
+		answer.Reasons = append(answer.Reasons, "no configuration is known yet")
 	}
 	if advice := link.Advice(); advice != "" && link != message.LinkSeeking || !p.feed.Ready() {
-		told.Reasons = append(told.Reasons, advice)
+		answer.Reasons = append(answer.Reasons, advice)
 	}
-	return told
+	return answer
 }
 
-// answerReady tells the platform whether this proxy takes new connections.
-func (p *Proxy) answerReady(w http.ResponseWriter, _ *http.Request) {
-	told := p.readiness()
+// serveReady answers the platform's readiness check.
+func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
+	answer := p.readiness()
 	w.Header().Set("Content-Type", "application/json")
-	if !told.Ready {
+	if !answer.Ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_ = json.NewEncoder(w).Encode(told) // the platform has its status
+	_ = json.NewEncoder(w).Encode(answer) // the platform has the status already
 }
