--- a/internal/control/consensus/model_action_test.go
+++ b/internal/control/consensus/model_action_test.go
@@ -332,7 +332,7 @@
 // reconfigure has a leader take the step that follows from who asks to join.
 func (w *world) reconfigure(leader *actor) {
 	situation := reconfigure.Situation{Now: leader.clock, Status: leader.node.Status(), Target: w.plan.voters, Leaving: w.plan.leaving}
-	situation.Settled = situation.Status.Commit
+	situation.RecentCommit = situation.Status.Commit
 	for _, member := range w.members {
 		if member != nil && member.replaces != 0 {
 			situation.Joining = append(situation.Joining, named(member.id, machineName(member.replaces)))
--- a/internal/control/member/leave.go
+++ b/internal/control/member/leave.go
@@ -35,7 +35,7 @@
 	var waits []status.Wait
 	for _, number := range slices.Sorted(maps.Keys(holds)) {
 		why := holds[number].String()
-		if holds[number] == reconfigure.Free {
+		if holds[number] == reconfigure.HoldNone {
 			why = "the answer of its leader"
 		}
 		waits = append(waits, status.Wait{Partition: partitionName(number), For: why})
--- a/internal/control/partition/duties.go
+++ b/internal/control/partition/duties.go
@@ -44,7 +44,7 @@
 		if status.Role != consensus.RoleLeader {
 			continue
 		}
-		if why := reconfigure.HoldOf(h.situationFor(g, status, id), id); why != reconfigure.Free {
+		if why := reconfigure.HoldOf(h.situationFor(g, status, id), id); why != reconfigure.HoldNone {
 			answer.Holds = append(answer.Holds, Held{Group: g.number, Why: why})
 			continue
 		}
@@ -105,12 +105,12 @@
 func (h *Host) situation(g *group, status consensus.Status) reconfigure.Situation {
 	now := h.now()
 	situation := reconfigure.Situation{
-		Now:       now,
-		Status:    status,
-		Leading:   now - g.ledSince,
-		Target:    h.config.Voters,
-		Settled:   g.settled,
-		DropFirst: h.config.Faults.DropFirst,
+		Now:          now,
+		Status:       status,
+		LeadingFor:   now - g.ledSince,
+		Target:       h.config.Voters,
+		RecentCommit: g.settled,
+		DropFirst:    h.config.Faults.DropFirst,
 	}
 	for id, wish := range h.joining {
 		if now-wish.at > joinMemory {
--- a/internal/control/partition/leave.go
+++ b/internal/control/partition/leave.go
@@ -11,7 +11,7 @@
 // ending is what a member that was told to end still waits for. Its zero value waits for nothing.
 type ending struct {
 	mu    sync.Mutex
-	holds map[Group]reconfigure.Hold // partitions that have not let it end; Free: their leader has not said why
+	holds map[Group]reconfigure.Hold // partitions that have not let it end; HoldNone: their leader has not said why
 }
 
 // begin notes that the partitions are waited for.
@@ -20,7 +20,7 @@
 	defer e.mu.Unlock()
 	e.holds = make(map[Group]reconfigure.Hold, len(groups))
 	for number := range groups {
-		e.holds[number] = reconfigure.Free
+		e.holds[number] = reconfigure.HoldNone
 	}
 }
 
@@ -46,7 +46,7 @@
 }
 
 // Ending lists what this member, told to end, waits for, by partition: none if it was not told to, or may end. A
-// partition whose leader has not answered yet stands there with reconfigure.Free.
+// partition whose leader has not answered yet stands there with reconfigure.HoldNone.
 func (h *Host) Ending() map[Group]reconfigure.Hold {
 	h.ending.mu.Lock()
 	defer h.ending.mu.Unlock()
--- a/internal/control/reconfigure/hold.go
+++ b/internal/control/reconfigure/hold.go
@@ -5,12 +5,12 @@
 
 // The reasons.
 const (
-	// Free: it may end.
-	Free Hold = iota
+	// HoldNone: it may end.
+	HoldNone Hold = iota
 	// HoldChange: a change of the membership is under way.
 	HoldChange
-	// HoldPlace: a machine that lives is about to take its place.
-	HoldPlace
+	// HoldReplacement: a machine that lives is about to take its place.
+	HoldReplacement
 	// HoldMajority: without it no majority of the voters lives, stays and holds all that is committed.
 	HoldMajority
 )
@@ -18,11 +18,11 @@
 // String says what the member waits for.
 func (h Hold) String() string {
 	switch h {
-	case Free:
+	case HoldNone:
 		return "nothing"
 	case HoldChange:
 		return "a change of the membership to be committed"
-	case HoldPlace:
+	case HoldReplacement:
 		return "a machine that is about to take its place"
 	case HoldMajority:
 		return "another voter to be back, to catch up or to be replaced: without this one no majority would be left"
--- a/internal/control/reconfigure/reconfigure.go
+++ b/internal/control/reconfigure/reconfigure.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// silentLimit is how long a voter may be silent before a learner that is up to date takes its place.
-	silentLimit = 2 * time.Second
-	// forgetLimit is how long a learner may be silent before it is dropped.
-	forgetLimit = 10 * time.Second
-	// answerLimit is how long ago a member that lives may have answered.
-	answerLimit = time.Second
-	// staysLimit is the same where another member asks whether it may end. It is shorter than the time for which the word
+	// voterSilenceTimeout is how long a voter may be silent before a learner that is up to date takes its place.
+	voterSilenceTimeout = 2 * time.Second
+	// learnerSilenceTimeout is how long a learner may be silent before it is dropped.
+	learnerSilenceTimeout = 10 * time.Second
+	// aliveTimeout is how long ago a member that lives may have answered.
+	aliveTimeout = time.Second
+	// leaveAliveTimeout is the same where another member asks whether it may end. It is shorter than the time for which the word
 	// that a member ends is remembered: one that ended must not count as staying once its word is forgotten.
-	staysLimit = 400 * time.Millisecond
+	leaveAliveTimeout = 400 * time.Millisecond
 )
 
 // Situation is what the leader of a partition knows.
@@ -28,13 +28,13 @@
 	Status  consensus.Status   // the leader's own
 	Joining []consensus.Member // that asked to join lately
 	Leaving []consensus.MemberID
-	// Leading is for how long this member has led: right after its election nobody has answered it yet.
-	Leading time.Duration
-	Target  int // voters wanted
-	// Settled is the commit index as it was a moment ago: who counts as a voter holds all up to it.
-	Settled consensus.Index
-	// answered is how long ago a member that lives may have answered; 0: answerLimit.
-	answered time.Duration
+	// LeadingFor is for how long this member has led: right after its election nobody has answered it yet.
+	LeadingFor time.Duration
+	Target     int // voters wanted
+	// RecentCommit is the commit index as it was a moment ago: who counts as a voter holds all up to it.
+	RecentCommit consensus.Index
+	// aliveTimeout is how long ago a member that lives may have aliveTimeout; 0: answerLimit.
+	aliveTimeout time.Duration
 	// DropFirst drops a leaving or silent voter before another votes and whoever is left, for the tests of the tests.
 	DropFirst bool
 }
@@ -44,7 +44,7 @@
 	if s.Status.MembershipPending || len(s.Status.Membership.Voters) == 0 {
 		return consensus.Membership{}, false
 	}
-	for _, step := range []func(Situation) (consensus.Membership, bool){dropReplaced, admit, promote, dropSurplus, replaceSilent, dropSilentLearner} {
+	for _, step := range []func(Situation) (consensus.Membership, bool){dropReplaced, addLearner, promote, dropSurplus, replaceSilent, dropSilentLearner} {
 		if membership, change := step(s); change {
 			return membership, true
 		}
@@ -55,7 +55,7 @@
 // dropReplaced drops a member whose machine asks to join under another identity: its disk is lost.
 func dropReplaced(s Situation) (consensus.Membership, bool) {
 	for _, joiner := range s.Joining {
-		for _, old := range all(s.Status.Membership) {
+		for _, old := range allMembers(s.Status.Membership) {
 			if old.Address == joiner.Address && old.ID != joiner.ID && old.ID != s.Status.Self {
 				return without(s.Status.Membership, old.ID), true
 			}
@@ -64,8 +64,8 @@
 	return consensus.Membership{}, false
 }
 
-// admit takes in as a learner who asks to join.
-func admit(s Situation) (consensus.Membership, bool) {
+// addLearner takes in as a learner who asks to join.
+func addLearner(s Situation) (consensus.Membership, bool) {
 	for _, joiner := range s.Joining {
 		if !contains(s.Status.Membership, joiner.ID) {
 			next := clone(s.Status.Membership)
@@ -78,7 +78,7 @@
 
 // promote makes a learner that is up to date a voter while too few stay.
 func promote(s Situation) (consensus.Membership, bool) {
-	if s.staying() >= s.Target {
+	if s.stayingVoters() >= s.Target {
 		return consensus.Membership{}, false
 	}
 	for _, learner := range s.Status.Membership.Learners {
@@ -98,8 +98,8 @@
 		return consensus.Membership{}, false
 	}
 	for _, voter := range voters {
-		goes := slices.Contains(s.Leaving, voter.ID) || s.silent(voter.ID, silentLimit)
-		if goes && voter.ID != s.Status.Self && s.bears(voter.ID) {
+		removable := slices.Contains(s.Leaving, voter.ID) || s.silent(voter.ID, voterSilenceTimeout)
+		if removable && voter.ID != s.Status.Self && s.canLose(voter.ID) {
 			return without(s.Status.Membership, voter.ID), true
 		}
 	}
@@ -112,8 +112,8 @@
 		return consensus.Membership{}, false
 	}
 	for _, voter := range s.Status.Membership.Voters {
-		goes := s.silent(voter.ID, silentLimit) || s.DropFirst && slices.Contains(s.Leaving, voter.ID)
-		if goes && voter.ID != s.Status.Self && s.bears(voter.ID) {
+		removable := s.silent(voter.ID, voterSilenceTimeout) || s.DropFirst && slices.Contains(s.Leaving, voter.ID)
+		if removable && voter.ID != s.Status.Self && s.canLose(voter.ID) {
 			return without(s.Status.Membership, voter.ID), true
 		}
 	}
@@ -126,48 +126,48 @@
 	switch {
 	case s.Status.MembershipPending:
 		return HoldChange
-	case !s.votes(id):
-		return Free
-	case len(s.Status.Membership.Voters) > s.Target || s.replacing():
-		return HoldPlace
+	case !s.isVoter(id):
+		return HoldNone
+	case len(s.Status.Membership.Voters) > s.Target || s.replacementPending():
+		return HoldReplacement
 	}
-	s.Settled = s.Status.Commit
-	s.answered = staysLimit
-	if s.DropFirst || s.soundBut(id) > len(s.Status.Membership.Voters)/2 {
-		return Free
+	s.RecentCommit = s.Status.Commit
+	s.aliveTimeout = leaveAliveTimeout
+	if s.DropFirst || s.healthyExcept(id) > len(s.Status.Membership.Voters)/2 {
+		return HoldNone
 	}
 	return HoldMajority
 }
 
-// votes tells whether a member is a voter.
-func (s Situation) votes(id consensus.MemberID) bool {
+// isVoter tells whether a member is a voter.
+func (s Situation) isVoter(id consensus.MemberID) bool {
 	return slices.ContainsFunc(s.Status.Membership.Voters, func(m consensus.Member) bool { return m.ID == id })
 }
 
-// replacing tells whether a machine that lives is on its way to become a voter.
-func (s Situation) replacing() bool {
-	return slices.ContainsFunc(s.Joining, func(m consensus.Member) bool { return !s.votes(m.ID) }) ||
-		slices.ContainsFunc(s.Status.Membership.Learners, func(m consensus.Member) bool { return s.lives(m.ID) })
+// replacementPending tells whether a machine that lives is on its way to become a voter.
+func (s Situation) replacementPending() bool {
+	return slices.ContainsFunc(s.Joining, func(m consensus.Member) bool { return !s.isVoter(m.ID) }) ||
+		slices.ContainsFunc(s.Status.Membership.Learners, func(m consensus.Member) bool { return s.alive(m.ID) })
 }
 
-// bears tells whether without a member a majority of the voters that are left lives, stays and holds what is committed.
-func (s Situation) bears(without consensus.MemberID) bool {
-	return s.DropFirst || s.soundBut(without) > (len(s.Status.Membership.Voters)-1)/2
+// canLose tells whether without a member a majority of the voters that are left lives, stays and holds what is committed.
+func (s Situation) canLose(excluded consensus.MemberID) bool {
+	return s.DropFirst || s.healthyExcept(excluded) > (len(s.Status.Membership.Voters)-1)/2
 }
 
-// soundBut is how many voters but one live, stay and hold what is committed.
-func (s Situation) soundBut(id consensus.MemberID) int {
-	sound := 0
+// healthyExcept is how many voters but one live, stay and hold what is committed.
+func (s Situation) healthyExcept(id consensus.MemberID) int {
+	healthy := 0
 	for _, voter := range s.Status.Membership.Voters {
 		if voter.ID != id && (voter.ID == s.Status.Self || s.ready(voter.ID)) {
-			sound++
+			healthy++
 		}
 	}
-	return sound
+	return healthy
 }
 
-// staying is how many voters are not about to end. One that is silent may come back.
-func (s Situation) staying() int {
+// stayingVoters is how many voters are not about to end. One that is silent may come back.
+func (s Situation) stayingVoters() int {
 	count := 0
 	for _, voter := range s.Status.Membership.Voters {
 		if s.DropFirst || !slices.Contains(s.Leaving, voter.ID) {
@@ -180,7 +180,7 @@
 // dropSilentLearner drops a learner that is gone.
 func dropSilentLearner(s Situation) (consensus.Membership, bool) {
 	for _, learner := range s.Status.Membership.Learners {
-		if s.silent(learner.ID, forgetLimit) {
+		if s.silent(learner.ID, learnerSilenceTimeout) {
 			return without(s.Status.Membership, learner.ID), true
 		}
 	}
@@ -189,7 +189,7 @@
 
 // silent tells whether a member has not answered for longer than the limit.
 func (s Situation) silent(id consensus.MemberID, limit time.Duration) bool {
-	if s.Leading <= limit {
+	if s.LeadingFor <= limit {
 		return false
 	}
 	for _, member := range s.Status.Members {
@@ -202,33 +202,33 @@
 
 // ready tells whether a member holds all that was committed a moment ago, lives and stays.
 func (s Situation) ready(id consensus.MemberID) bool {
-	if slices.Contains(s.Leaving, id) || !s.lives(id) {
+	if slices.Contains(s.Leaving, id) || !s.alive(id) {
 		return false
 	}
 	for _, member := range s.Status.Members {
 		if member.Member.ID == id {
-			return member.Match > 0 && member.Match >= s.Settled
+			return member.Match > 0 && member.Match >= s.RecentCommit
 		}
 	}
 	return false
 }
 
-// lives tells whether a member has answered a moment ago.
-func (s Situation) lives(id consensus.MemberID) bool {
+// alive tells whether a member has answered a moment ago.
+func (s Situation) alive(id consensus.MemberID) bool {
 	for _, member := range s.Status.Members {
 		if member.Member.ID == id {
-			return member.Contacted && s.Now-member.LastContact <= cmp.Or(s.answered, answerLimit)
+			return member.Contacted && s.Now-member.LastContact <= cmp.Or(s.aliveTimeout, aliveTimeout)
 		}
 	}
 	return false
 }
 
-func all(membership consensus.Membership) []consensus.Member {
+func allMembers(membership consensus.Membership) []consensus.Member {
 	return slices.Concat(membership.Voters, membership.Learners)
 }
 
 func contains(membership consensus.Membership, id consensus.MemberID) bool {
-	return slices.ContainsFunc(all(membership), func(m consensus.Member) bool { return m.ID == id })
+	return slices.ContainsFunc(allMembers(membership), func(m consensus.Member) bool { return m.ID == id })
 }
 
 func clone(membership consensus.Membership) consensus.Membership {
@@ -237,9 +237,9 @@
 
 // without is a membership less one member.
 func without(membership consensus.Membership, id consensus.MemberID) consensus.Membership {
-	is := func(m consensus.Member) bool { return m.ID == id }
+	matches := func(m consensus.Member) bool { return m.ID == id }
 	next := clone(membership)
-	next.Voters = slices.DeleteFunc(next.Voters, is)
-	next.Learners = slices.DeleteFunc(next.Learners, is)
+	next.Voters = slices.DeleteFunc(next.Voters, matches)
+	next.Learners = slices.DeleteFunc(next.Learners, matches)
 	return next
 }
--- a/internal/control/reconfigure/reconfigure_test.go
+++ b/internal/control/reconfigure/reconfigure_test.go
@@ -17,11 +17,11 @@
 }
 
 // mayLeave tells whether a member may end.
-func mayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == Free }
+func mayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == HoldNone }
 
 // situation is that of leader 1 with voters 1 to voters and further learners, all of them up to date and just heard.
 func situation(voters, learners int) Situation {
-	s := Situation{Now: now, Leading: now, Target: 3, Settled: 100}
+	s := Situation{Now: now, LeadingFor: now, Target: 3, RecentCommit: 100}
 	s.Status.Self = 1
 	s.Status.Commit = 100
 	for id := 1; id <= voters+learners; id++ {
@@ -43,12 +43,12 @@
 	return list
 }
 
-func TestQuietGroupStaysAsItIs(t *testing.T) {
+func TestStableMembershipIsUnchanged(t *testing.T) {
 	_, change := Next(situation(3, 1))
 	qt.New(t).Assert(change, qt.IsFalse)
 }
 
-func TestMachineThatLostItsDiskMakesRoomForItself(t *testing.T) {
+func TestMachineWithLostDiskReplacesItsOldMember(t *testing.T) {
 	c := qt.New(t)
 	s := situation(3, 0)
 	// Given the machine of voter 3 asks to join under another identity.
@@ -66,7 +66,7 @@
 	c.Assert(ids(next.Learners), qt.DeepEquals, []int{9})
 }
 
-func TestLearnerIsPromotedOnceItIsUpToDate(t *testing.T) {
+func TestUpToDateLearnerIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	s := situation(2, 1)
 	s.Status.Members[2].Match = 99
@@ -78,12 +78,12 @@
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2, 3})
 }
 
-func TestLearnerThatHasReceivedNothingStaysOne(t *testing.T) {
+func TestLearnerWithoutLogIsNotPromoted(t *testing.T) {
 	c := qt.New(t)
 	// Given a short log and a learner that answers and holds nothing of it
 	s := situation(2, 1)
 	s.Status.Commit = 1
-	s.Settled = 0
+	s.RecentCommit = 0
 	s.Status.Members[2].Match = 0
 	// then it stays a learner,
 	_, change := Next(s)
@@ -95,27 +95,27 @@
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2, 3})
 }
 
-func TestSilentVoterIsReplacedOnlyIfAnotherCanTakeItsPlace(t *testing.T) {
+func TestSilentVoterIsReplacedOnlyByReadyLearner(t *testing.T) {
 	c := qt.New(t)
 	s := situation(3, 1)
-	s.Status.Members[1].LastContact = now - silentLimit - 1
+	s.Status.Members[1].LastContact = now - voterSilenceTimeout - 1
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3})
 	// Without a learner it stays: it may come back.
 	s = situation(3, 0)
-	s.Status.Members[1].LastContact = now - silentLimit - 1
+	s.Status.Members[1].LastContact = now - voterSilenceTimeout - 1
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
 	// Nor does a leader that has just been elected judge silences.
 	s = situation(3, 1)
 	s.Status.Members[1].Contacted = false
-	s.Leading = silentLimit
+	s.LeadingFor = voterSilenceTimeout
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
 }
 
-func TestLeavingVoterIsReplacedAtOnce(t *testing.T) {
+func TestLeavingVoterIsReplacedBeforeItIsDropped(t *testing.T) {
 	c := qt.New(t)
 	// Given a voter that is about to end, and a learner that can take its place
 	s := situation(3, 1)
@@ -137,12 +137,12 @@
 	c.Assert(change, qt.IsFalse)
 }
 
-func TestVoterIsDroppedOnlyIfAMajorityOfTheOthersIsSound(t *testing.T) {
+func TestVoterIsDroppedOnlyWithHealthyMajority(t *testing.T) {
 	c := qt.New(t)
 	// Given a voter that is silent, another that says it is about to end, and a learner that can take a place
 	s := situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
-	s.Status.Members[2].LastContact = now - silentLimit - 1
+	s.Status.Members[2].LastContact = now - voterSilenceTimeout - 1
 	// then the learner votes, and neither the silent one nor the other is dropped while a loss would follow:
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
@@ -155,14 +155,14 @@
 	// The build without this rule drops it, and is left with one that is silent.
 	s = situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
-	s.Status.Members[2].LastContact = now - silentLimit - 1
+	s.Status.Members[2].LastContact = now - voterSilenceTimeout - 1
 	s.DropFirst = true
 	next, change = Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3})
 }
 
-func TestMemberEndsOnlyOnceTheOthersHoldEverything(t *testing.T) {
+func TestMemberLeavesOnlyOnceOthersAreCaughtUp(t *testing.T) {
 	c := qt.New(t)
 	// Given a member that is about to end while another lacks an entry, then it may not;
 	s := situation(3, 0)
@@ -173,7 +173,7 @@
 	s.Status.Members[1].Match = 100
 	c.Assert(mayLeave(s, 3), qt.IsTrue)
 	// unless the other is silent, or about to end too, or the membership changes.
-	s.Status.Members[1].LastContact = now - answerLimit - 1
+	s.Status.Members[1].LastContact = now - aliveTimeout - 1
 	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	s = situation(3, 0)
 	s.Leaving = []consensus.MemberID{2, 3}
@@ -188,11 +188,11 @@
 	c.Assert(mayLeave(s, 3), qt.IsTrue)
 }
 
-func TestSilentVoterBeyondTheWantedOnesIsDropped(t *testing.T) {
+func TestSurplusSilentVoterIsDropped(t *testing.T) {
 	c := qt.New(t)
 	// Given four voters, as one that was about to end is gone before it was dropped
 	s := situation(4, 0)
-	s.Status.Members[1].LastContact = now - silentLimit - 1
+	s.Status.Members[1].LastContact = now - voterSilenceTimeout - 1
 	// then it is dropped, though no learner waits.
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
@@ -203,7 +203,7 @@
 	c.Assert(change, qt.IsFalse)
 }
 
-func TestNothingFollowsAPendingChange(t *testing.T) {
+func TestNoChangeWhileOneIsPending(t *testing.T) {
 	s := situation(2, 1)
 	s.Status.MembershipPending = true
 	_, change := Next(s)
@@ -211,7 +211,7 @@
 }
 
 // Whatever is known, each step differs in one member, keeps the leader, and leaves somebody who votes.
-func TestEveryStepIsSmall(t *testing.T) {
+func TestEachStepChangesOneMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := situation(rapid.IntRange(1, 5).Draw(t, "voters"), rapid.IntRange(0, 3).Draw(t, "learners"))
 		s.Target = rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "target")
@@ -228,29 +228,29 @@
 		if !change {
 			return
 		}
-		before, after := places(s.Status.Membership), places(next)
-		differs := 0
+		before, after := votingByID(s.Status.Membership), votingByID(next)
+		differences := 0
 		for id, voter := range after {
-			if was, there := before[id]; !there || was != voter {
-				differs++
+			if wasVoter, found := before[id]; !found || wasVoter != voter {
+				differences++
 			}
 		}
 		for id := range before {
-			if _, there := after[id]; !there {
-				differs++
+			if _, found := after[id]; !found {
+				differences++
 			}
 		}
-		if differs != 1 {
+		if differences != 1 {
 			t.Fatalf("%v becomes %v", before, after)
 		}
-		if voter, there := after[1]; !there || !voter {
+		if voter, found := after[1]; !found || !voter {
 			t.Fatalf("the leader is dropped: %v", after)
 		}
 	})
 }
 
-// places tells of each member whether it votes.
-func places(membership consensus.Membership) map[int]bool {
+// votingByID tells of each member whether it votes.
+func votingByID(membership consensus.Membership) map[int]bool {
 	all := map[int]bool{}
 	for _, id := range ids(membership.Voters) {
 		all[id] = true
--- a/internal/control/steering/cells.go
+++ b/internal/control/steering/cells.go
@@ -64,16 +64,16 @@
 		Kind:    coordination.WatchCells,
 		Name:    coordination.CellGroup(request.PathValue("id")),
 		After:   after,
-		QueueMS: min(queue, queueLimitMS),
+		QueueMS: min(queue, maxQueueMS),
 	})
 	if !ok {
 		return
 	}
-	told := eventsAnswer{Events: []eventAnswer{}, Revision: answer.Revision}
+	response := eventsAnswer{Events: []eventAnswer{}, Revision: answer.Revision}
 	for _, event := range answer.Events {
-		told.Events = append(told.Events, eventAnswer{Name: event.Key, Amount: event.Amount, Revision: event.Revision})
+		response.Events = append(response.Events, eventAnswer{Name: event.Key, Amount: event.Amount, Revision: event.Revision})
 	}
-	answerJSON(w, http.StatusOK, told)
+	answerJSON(w, http.StatusOK, response)
 }
 
 // wholeNumber reads a number of a query; one that is missing is 0.
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	callLimit   = 16 << 10 // bytes of a call
-	nameLimit   = 512      // bytes of a name or an owner
-	amountLimit = 4 << 10  // bytes of a value
-	// holdLimitMS and queueLimitMS bound how long a lock is held without renewal and how long a watch waits.
-	holdLimitMS  = 10 * 60 * 1000
-	queueLimitMS = 30 * 1000
+	maxCallBytes   = 16 << 10 // bytes of a call
+	maxNameBytes   = 512      // bytes of a name or an owner
+	maxAmountBytes = 4 << 10  // bytes of a value
+	// maxHoldMS and queueLimitMS bound how long a lock is held without renewal and how long a watch waits.
+	maxHoldMS  = 10 * 60 * 1000
+	maxQueueMS = 30 * 1000
 )
 
 func handleCoordination(mux *http.ServeMux, calls Coordination) {
@@ -32,7 +32,7 @@
 	numbers := &numberHandler{calls: calls}
 	cells := &cellHandler{calls: calls}
 	watches := &watchHandler{calls: calls} // bounded where they wait
-	limit := &callerLimit{}
+	limit := &callLimiter{}
 	mux.HandleFunc("POST /v1/Locks.Start/{id}", limit.wrap(locks.start))
 	mux.HandleFunc("POST /v1/Locks.Beat/{id}", limit.wrap(locks.beat))
 	mux.HandleFunc("POST /v1/Locks.Finish/{id}", limit.wrap(locks.finish))
@@ -44,40 +44,40 @@
 
 // field is a part of a call.
 type field struct {
-	name     string
-	kind     gjson.Type
-	most     uint64 // of a number
-	bytes    int    // of a text
-	optional bool   // it may be missing
+	name      string
+	kind      gjson.Type
+	maxNumber uint64 // of a number
+	maxBytes  int    // of a text
+	optional  bool   // it may be missing
 }
 
 var (
-	ownerField    = field{name: "owner", kind: gjson.String, bytes: nameLimit}
-	holdField     = field{name: "hold_ms", kind: gjson.Number, most: holdLimitMS}
-	fenceField    = field{name: "fence_number", kind: gjson.Number, most: 1 << 62}
-	amountField   = field{name: "amount", kind: gjson.String, bytes: amountLimit}
-	expectedField = field{name: "expected", kind: gjson.Number, most: 1 << 62, optional: true}
+	ownerField    = field{name: "owner", kind: gjson.String, maxBytes: maxNameBytes}
+	holdField     = field{name: "hold_ms", kind: gjson.Number, maxNumber: maxHoldMS}
+	fenceField    = field{name: "fence_number", kind: gjson.Number, maxNumber: 1 << 62}
+	amountField   = field{name: "amount", kind: gjson.String, maxBytes: maxAmountBytes}
+	expectedField = field{name: "expected", kind: gjson.Number, maxNumber: 1 << 62, optional: true}
 )
 
-// wanted names the kind of value that the field takes.
-func (f field) wanted() string {
+// typeName names the kind of value that the field takes.
+func (f field) typeName() string {
 	if f.kind == gjson.String {
 		return "text"
 	}
 	return "whole number"
 }
 
-// wrongWith says what is wrong with the field in a call's body; empty: nothing.
-func (f field) wrongWith(body []byte) string {
+// validate says what is wrong with the field in a call's body; empty: nothing.
+func (f field) validate(body []byte) string {
 	value := gjson.GetBytes(body, f.name)
 	switch {
 	case f.optional && !value.Exists():
 	case value.Type != f.kind:
-		return f.name + ": give it, as a " + f.wanted()
-	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.bytes):
-		return f.name + ": give 1 to " + strconv.Itoa(f.bytes) + " bytes"
-	case f.kind == gjson.Number && (value.Num < 0 || value.Uint() > f.most || value.Num != float64(value.Uint())):
-		return f.name + ": give a whole number from 0 to " + strconv.FormatUint(f.most, 10)
+		return f.name + ": give it, as a " + f.typeName()
+	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.maxBytes):
+		return f.name + ": give 1 to " + strconv.Itoa(f.maxBytes) + " bytes"
+	case f.kind == gjson.Number && (value.Num < 0 || value.Uint() > f.maxNumber || value.Num != float64(value.Uint())):
+		return f.name + ": give a whole number from 0 to " + strconv.FormatUint(f.maxNumber, 10)
 	}
 	return ""
 }
@@ -85,18 +85,18 @@
 // readCall reads a call's name and body; false says that it was answered as wrong.
 func readCall(w http.ResponseWriter, request *http.Request, kind coordination.Kind, fields ...field) (coordination.Call, bool) {
 	call := coordination.Call{Kind: kind, Name: request.PathValue("id")}
-	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, callLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxCallBytes))
 	if err != nil {
 		fail(w, http.StatusBadRequest, "the call can't be read, or is larger than 16 KiB")
 		return call, false
 	}
-	if len(call.Name) > nameLimit {
+	if len(call.Name) > maxNameBytes {
 		fail(w, http.StatusBadRequest, "the name is longer than 512 bytes")
 		return call, false
 	}
 	for _, f := range fields {
-		if wrong := f.wrongWith(body); wrong != "" {
-			fail(w, http.StatusBadRequest, wrong)
+		if problem := f.validate(body); problem != "" {
+			fail(w, http.StatusBadRequest, problem)
 			return call, false
 		}
 	}
--- a/internal/control/steering/coordination_test.go
+++ b/internal/control/steering/coordination_test.go
@@ -14,30 +14,30 @@
 	"sumacloft/internal/control/steering"
 )
 
-// decider answers all calls alike and keeps the last.
-type decider struct {
+// fakeCoordination answers all calls alike and keeps the last.
+type fakeCoordination struct {
 	answer coordination.Answer
 	call   coordination.Call
 }
 
-func (d *decider) Do(_ context.Context, call coordination.Call) coordination.Answer {
+func (d *fakeCoordination) Do(_ context.Context, call coordination.Call) coordination.Answer {
 	d.call = call
 	return d.answer
 }
 
-// ask makes one call of an application.
-func (d *decider) ask(method, path, body string) *httptest.ResponseRecorder {
+// request makes one call of an application.
+func (d *fakeCoordination) request(method, path, body string) *httptest.ResponseRecorder {
 	answer := httptest.NewRecorder()
 	s := &stub{}
 	steering.Handler(s, s, d).ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return answer
 }
 
-func TestCallsOfApplications(t *testing.T) {
+func TestCoordinationCalls(t *testing.T) {
 	done := coordination.Answer{Status: coordination.Done, Fence: 41, Number: 5120, Amount: `a"b`, Revision: 931}
 	withEvent := coordination.Answer{Status: coordination.Done, Revision: 934,
 		Events: []coordination.Event{{Key: "g1.2d", Amount: "5c", Revision: 931}}}
-	for name, given := range map[string]struct {
+	for name, test := range map[string]struct {
 		method, path, body string
 		answer             coordination.Answer
 		call               coordination.Call
@@ -65,16 +65,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			d := &decider{answer: given.answer}
-			answer := d.ask(given.method, given.path, given.body)
+			d := &fakeCoordination{answer: test.answer}
+			answer := d.request(test.method, test.path, test.body)
 			c.Assert(answer.Code, qt.Equals, http.StatusOK)
-			c.Assert(answer.Body.String(), qt.Equals, given.text)
-			c.Assert(d.call, qt.DeepEquals, given.call)
+			c.Assert(answer.Body.String(), qt.Equals, test.text)
+			c.Assert(d.call, qt.DeepEquals, test.call)
 		})
 	}
 }
 
-func TestOutcomesOfApplicationsCalls(t *testing.T) {
+func TestCoordinationStatusCodes(t *testing.T) {
 	for outcome, status := range map[coordination.Status]int{
 		coordination.Held:      http.StatusConflict,
 		coordination.Lost:      http.StatusConflict,
@@ -87,8 +87,8 @@
 	} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			c := qt.New(t)
-			d := &decider{answer: coordination.Answer{Status: outcome, Revision: 922}}
-			answer := d.ask(http.MethodPost, "/v1/Cells.Replace/g.a", `{"amount":"5c","expected":907}`)
+			d := &fakeCoordination{answer: coordination.Answer{Status: outcome, Revision: 922}}
+			answer := d.request(http.MethodPost, "/v1/Cells.Replace/g.a", `{"amount":"5c","expected":907}`)
 			c.Assert(answer.Code, qt.Equals, status)
 			c.Assert(answer.Header().Get("Retry-After") != "", qt.Equals, outcome == coordination.Full)
 			if outcome == coordination.Different {
@@ -98,8 +98,8 @@
 	}
 }
 
-func TestWrongCallsOfApplications(t *testing.T) {
-	for name, given := range map[string]struct{ path, body, text string }{
+func TestInvalidCoordinationCallsAreRejected(t *testing.T) {
+	for name, test := range map[string]struct{ path, body, text string }{
 		"no owner":          {"/v1/Locks.Start/l", `{"hold_ms":1}`, `{"error":"owner: give it, as a text"}`},
 		"an empty owner":    {"/v1/Locks.Start/l", `{"owner":"","hold_ms":1}`, `{"error":"owner: give 1 to 512 bytes"}`},
 		"too long":          {"/v1/Locks.Start/l", `{"owner":"o","hold_ms":600001}`, `{"error":"hold_ms: give a whole number from 0 to 600000"}`},
@@ -111,33 +111,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			d := &decider{}
-			answer := d.ask(http.MethodPost, given.path, given.body)
+			d := &fakeCoordination{}
+			answer := d.request(http.MethodPost, test.path, test.body)
 			c.Assert(answer.Code, qt.Equals, http.StatusBadRequest)
-			c.Assert(answer.Body.String(), qt.Equals, given.text)
+			c.Assert(answer.Body.String(), qt.Equals, test.text)
 			c.Assert(d.call, qt.DeepEquals, coordination.Call{})
 		})
 	}
 	c := qt.New(t)
-	c.Assert((&decider{}).ask(http.MethodGet, "/v1/watch/g.?after=x", "").Code, qt.Equals, http.StatusBadRequest)
-	c.Assert((&decider{}).ask(http.MethodGet, "/v1/watch/g.?queue_ms=-1", "").Code, qt.Equals, http.StatusBadRequest)
+	c.Assert((&fakeCoordination{}).request(http.MethodGet, "/v1/watch/g.?after=x", "").Code, qt.Equals, http.StatusBadRequest)
+	c.Assert((&fakeCoordination{}).request(http.MethodGet, "/v1/watch/g.?queue_ms=-1", "").Code, qt.Equals, http.StatusBadRequest)
 }
 
-// waiter answers calls once it is told to.
-type waiter struct {
-	begun chan struct{}
-	goOn  chan struct{}
+// blockingCoordination answers calls once it is told to.
+type blockingCoordination struct {
+	started chan struct{}
+	proceed chan struct{}
 }
 
-func (w *waiter) Do(context.Context, coordination.Call) coordination.Answer {
-	w.begun <- struct{}{}
-	<-w.goOn
+func (w *blockingCoordination) Do(context.Context, coordination.Call) coordination.Answer {
+	w.started <- struct{}{}
+	<-w.proceed
 	return coordination.Answer{Status: coordination.Done}
 }
 
-func TestCallerThatRepeatsAtOnceAndOftenStarvesNoOther(t *testing.T) {
+func TestCallerLimitDoesNotAffectOtherCallers(t *testing.T) {
 	c := qt.New(t)
-	calls := &waiter{begun: make(chan struct{}), goOn: make(chan struct{})}
+	calls := &blockingCoordination{started: make(chan struct{}), proceed: make(chan struct{})}
 	handler := steering.Handler(&stub{}, &stub{}, calls)
 	ask := func(caller string) *httptest.ResponseRecorder {
 		answer := httptest.NewRecorder()
@@ -150,20 +150,20 @@
 	answers := make(chan int, 65)
 	for port := range 64 {
 		go func() { answers <- ask(fmt.Sprintf("10.0.0.1:%d", 1000+port)).Code }()
-		<-calls.begun
+		<-calls.started
 	}
 	// then a further one is refused at once, and another caller is not.
 	refused := ask("10.0.0.1:9999")
 	c.Assert(refused.Code, qt.Equals, http.StatusTooManyRequests)
 	c.Assert(refused.Header().Get("Retry-After"), qt.Equals, "1")
 	go func() { answers <- ask("10.0.0.2:1000").Code }()
-	<-calls.begun
-	close(calls.goOn)
+	<-calls.started
+	close(calls.proceed)
 	for range 65 {
 		c.Assert(<-answers, qt.Equals, http.StatusOK)
 	}
 	// Once they are answered there is room again.
 	go func() { answers <- ask("10.0.0.1:9999").Code }()
-	<-calls.begun
+	<-calls.started
 	c.Assert(<-answers, qt.Equals, http.StatusOK)
 }
--- a/internal/control/steering/steering.go
+++ b/internal/control/steering/steering.go
@@ -29,9 +29,9 @@
 }
 
 const (
-	beatLimit     = 64 << 10      // bytes of a heartbeat
-	documentLimit = 8 << 20       // bytes of an order; it must fit a segment of the disk log
-	beatToOpening = `{"beat_to":` // of a heartbeat's answer
+	maxBeatBytes  = 64 << 10      // bytes of a heartbeat
+	maxOrderBytes = 8 << 20       // bytes of an order; it must fit a segment of the disk log
+	beatToPrefix  = `{"beat_to":` // of a heartbeat's answer
 )
 
 // Handler serves all resources. Without coordination its calls are unknown.
@@ -56,7 +56,7 @@
 type beatHandler struct{ workers Workers }
 
 func (h *beatHandler) post(w http.ResponseWriter, request *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, beatLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBeatBytes))
 	if err != nil {
 		fail(w, http.StatusBadRequest, "the heartbeat can't be read")
 		return
@@ -75,7 +75,7 @@
 		reply(w, []byte("{}"))
 		return
 	}
-	reply(w, []byte(beatToOpening+strconv.Quote(beatTo)+"}"))
+	reply(w, []byte(beatToPrefix+strconv.Quote(beatTo)+"}"))
 }
 
 // leaveHandler serves workers that end.
@@ -106,7 +106,7 @@
 		fail(w, http.StatusBadRequest, "X-Built-On: name the version that the order builds on")
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, documentLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxOrderBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		fail(w, http.StatusRequestEntityTooLarge, "the order is larger than 8 MiB: send its parts by Settings.Change")
--- a/internal/control/steering/steering_test.go
+++ b/internal/control/steering/steering_test.go
@@ -60,9 +60,9 @@
 	readPath    = "/v1/Settings.Read"
 )
 
-func TestAnswersSayWhatBecameOfAnOrder(t *testing.T) {
+func TestOrderOutcomeStatusCodes(t *testing.T) {
 	cause := errors.New("why")
-	for name, given := range map[string]struct {
+	for name, test := range map[string]struct {
 		stub   stub
 		status int
 		body   string
@@ -77,18 +77,18 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			for path, kind := range map[string]configstate.OrderKind{replacePath: configstate.Replace, changePath: configstate.Change} {
-				answer := call(&given.stub, http.MethodPost, path, "5", "{}")
-				c.Assert(answer.Code, qt.Equals, given.status)
-				c.Assert(answer.Body.String(), qt.Equals, given.body)
-				c.Assert(given.stub.order.Kind, qt.Equals, kind)
-				c.Assert(given.stub.order.BuiltOn, qt.Equals, uint64(5))
-				c.Assert(string(given.stub.order.Body), qt.Equals, "{}")
+				answer := call(&test.stub, http.MethodPost, path, "5", "{}")
+				c.Assert(answer.Code, qt.Equals, test.status)
+				c.Assert(answer.Body.String(), qt.Equals, test.body)
+				c.Assert(test.stub.order.Kind, qt.Equals, kind)
+				c.Assert(test.stub.order.BuiltOn, qt.Equals, uint64(5))
+				c.Assert(string(test.stub.order.Body), qt.Equals, "{}")
 			}
 		})
 	}
 }
 
-func TestOrdersThatCantBeOrdersAreRefusedHere(t *testing.T) {
+func TestMalformedOrdersAreRejected(t *testing.T) {
 	c := qt.New(t)
 	s := &stub{}
 	// Given orders without a base, with one that is no number, and larger than the disks hold, then no member is asked.
@@ -98,7 +98,7 @@
 	c.Assert(s.order.Kind, qt.Equals, configstate.OrderKind(0))
 }
 
-func TestDocumentIsGivenWhole(t *testing.T) {
+func TestReadReturnsWholeDocument(t *testing.T) {
 	c := qt.New(t)
 	answer := call(&stub{document: []byte(`{"version":3}`)}, http.MethodGet, readPath, "", "")
 	c.Assert(answer.Code, qt.Equals, http.StatusOK)
@@ -108,7 +108,7 @@
 	c.Assert(call(&stub{err: errors.New("no leader")}, http.MethodGet, readPath, "", "").Code, qt.Equals, http.StatusServiceUnavailable)
 }
 
-func TestWorkersAreHeard(t *testing.T) {
+func TestWorkerBeatAndLeave(t *testing.T) {
 	c := qt.New(t)
 	const beat = `{"service":"s","address":"10.0.0.9:1","zone":"z","version":"v1","capacity":4,"state":"up","call_count":3}`
 	s := &stub{beatTo: "10.0.0.4:8080"}
