--- a/internal/control/reconfigure/hold.go
+++ b/internal/control/reconfigure/hold.go
@@ -1,21 +1,21 @@
 package reconfigure
 
-// Hold says why a member that was told to end has to go on for now.
+// Hold is the reason why a member that is shutting down must keep running for now.
 type Hold uint8
 
-// The reasons.
 const (
-	// HoldNone: it may end.
+	// HoldNone means that the member can stop.
 	HoldNone Hold = iota
-	// HoldChange: a change of the membership is under way.
+	// HoldChange means that a membership change is pending.
 	HoldChange
-	// HoldReplacement: a machine that lives is about to take its place.
+	// HoldReplacement means that a live machine is about to replace the member.
 	HoldReplacement
-	// HoldMajority: without it no majority of the voters lives, stays and holds all that is committed.
+	// HoldMajority means that without the member less than a majority of the voters is alive, not leaving and up to date with
+	// the commit index.
 	HoldMajority
 )
 
-// String says what the member waits for.
+// String describes what the member waits for.
 func (h Hold) String() string {
 	switch h {
 	case HoldNone:
--- a/internal/control/reconfigure/leaving_test.go
+++ b/internal/control/reconfigure/leaving_test.go
@@ -10,7 +10,7 @@
 	"sumacloft/internal/control/consensus"
 )
 
-// voterState is how a voter stands in the search of endings.
+// voterState is the health of a voter in the exhaustive search of shutdown orders.
 type voterState uint8
 
 const (
@@ -20,14 +20,15 @@
 	voterStateCount
 )
 
-// shutdownState is a state of the search: members that were told to end at the same moment, some of which have ended.
+// shutdownState is a state of the search. Several members were asked to stop at the same time, and some of them have stopped.
 type shutdownState struct {
-	voters  []voterState // that of the leader, member 1, is sound
-	leaving []bool       // to end
+	voters  []voterState // the leader, member 1, is healthy
+	leaving []bool       // asked to stop
 	ended   []bool
 }
 
-// situation is what the leader knows when a member asks whether it may end: those that said so after it count as staying.
+// situation is the view of the leader when asker asks whether it can stop. The leave requests of later members have not
+// arrived yet.
 func (e shutdownState) situation(asker int, target int) Situation {
 	s := situation(len(e.voters), 0)
 	s.Target = target
@@ -45,7 +46,7 @@
 	return s
 }
 
-// healthyCount is how many voters still run, hold all that is committed and were not let go.
+// healthyCount counts the voters that are running and up to date.
 func (e shutdownState) healthyCount() int {
 	count := 0
 	for i, state := range e.voters {
@@ -56,7 +57,7 @@
 	return count
 }
 
-// explore has members end in any order in which they are let go, until none is, and hands each last state to check.
+// explore stops members in every order that HoldOf permits and passes each final state to check.
 func (e shutdownState) explore(target int, check func(shutdownState)) {
 	progressed := false
 	for i := range e.voters {
@@ -74,7 +75,7 @@
 	}
 }
 
-// forEachState calls do with every state of count voters but the first, which is sound, and every choice of those that end.
+// forEachState calls do with every combination of voter states and leave requests. The first voter is always healthy and stays.
 func forEachState(count int, do func(shutdownState)) {
 	states := 1
 	for range count - 1 {
@@ -97,16 +98,16 @@
 	for count := 2; count <= 5; count++ {
 		searched := 0
 		forEachState(count, func(e shutdownState) {
-			// Given voters of which any are behind or dead, when any of them are told to end at the same moment,
+			// Given any voters that lag or are dead, when any set of voters is asked to stop at the same time,
 			before := e.healthyCount()
 			e.explore(max(3, count|1), func(last shutdownState) {
 				searched++
-				// then a majority of all voters that holds everything is left, or nobody was let go,
+				// then a majority of all voters stays healthy, or no voter has stopped,
 				comment := qt.Commentf("%d voters: %+v", count, last)
 				if last.healthyCount() < before {
 					c.Assert(last.healthyCount() > count/2, qt.IsTrue, comment)
 				}
-				// and as many end as a majority can spare.
+				// and as many voters stop as the majority allows.
 				spare := max(before-(count/2+1), 0)
 				ending := 0
 				for i := range last.voters {
@@ -118,13 +119,14 @@
 			})
 		})
 		c.Assert(searched > 0, qt.IsTrue)
-		t.Logf("%d voters: %d ends", count, searched)
+		t.Logf("%d voters: %d final states", count, searched)
 	}
 }
 
 func TestRecentlySilentVoterDoesNotCountTowardsLeave(t *testing.T) {
 	c := qt.New(t)
-	// Given three voters, one of which ended half a second ago so that its word is forgotten, when another asks, it goes on.
+	// Given three voters, one of which stopped half a second ago and whose leave request is forgotten, when another voter asks,
+	// then it must keep running.
 	s := situation(3, 0)
 	s.Leaving = []consensus.MemberID{3}
 	s.Status.Members[1].LastContact = now - 500*time.Millisecond
@@ -133,11 +135,11 @@
 
 func TestHoldReasons(t *testing.T) {
 	c := qt.New(t)
-	// Given three voters of which one ended, when a second asks, then it hears that no majority would be left.
+	// Given three voters of which one is leaving, when a second asks, then it is held for the majority.
 	s := situation(3, 0)
 	s.Leaving = []consensus.MemberID{2, 3}
 	c.Assert(HoldOf(s, 3), qt.Equals, HoldMajority)
-	// With a learner that lives it waits for its place to be taken, with a change under way for its commit.
+	// With a live learner it waits for its replacement, and with a pending change for the commit.
 	s = situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
 	c.Assert(HoldOf(s, 2), qt.Equals, HoldReplacement)
--- a/internal/control/reconfigure/reconfigure.go
+++ b/internal/control/reconfigure/reconfigure.go
@@ -1,5 +1,6 @@
-// Package reconfigure decides how the membership of a partition follows the machines: members that lost their disk or are
-// gone for good make room for those that join. One step at a time; each leaves a majority that can carry the next.
+// Package reconfigure decides membership changes of a partition. Members that lost their disk or failed permanently are
+// replaced by machines that join. Each change adds, promotes or removes one member and leaves a majority that can commit
+// the next change.
 package reconfigure
 
 import (
@@ -11,35 +12,36 @@
 )
 
 const (
-	// voterSilenceTimeout is how long a voter may be silent before a learner that is up to date takes its place.
+	// voterSilenceTimeout is how long a voter may be silent before an up-to-date learner replaces it.
 	voterSilenceTimeout = 2 * time.Second
-	// learnerSilenceTimeout is how long a learner may be silent before it is dropped.
+	// learnerSilenceTimeout is how long a learner may be silent before it is removed.
 	learnerSilenceTimeout = 10 * time.Second
-	// aliveTimeout is how long ago a member that lives may have answered.
+	// aliveTimeout is the age of the last contact up to which a member counts as alive.
 	aliveTimeout = time.Second
-	// leaveAliveTimeout is the same where another member asks whether it may end. It is shorter than the time for which the word
-	// that a member ends is remembered: one that ended must not count as staying once its word is forgotten.
+	// leaveAliveTimeout replaces aliveTimeout when a member asks whether it can stop. It is shorter than the time for which the
+	// leader remembers leave requests. Otherwise a member that has stopped would count as alive after its request is forgotten.
 	leaveAliveTimeout = 400 * time.Millisecond
 )
 
-// Situation is what the leader of a partition knows.
+// Situation is the state of a partition as its leader knows it.
 type Situation struct {
 	Now     time.Duration
-	Status  consensus.Status   // the leader's own
-	Joining []consensus.Member // that asked to join lately
+	Status  consensus.Status   // status of the leader
+	Joining []consensus.Member // machines that recently asked to join
 	Leaving []consensus.MemberID
-	// LeadingFor is for how long this member has led: right after its election nobody has answered it yet.
+	// LeadingFor is the time since this member was elected. Right after the election no member has answered it yet.
 	LeadingFor time.Duration
-	Target     int // voters wanted
-	// RecentCommit is the commit index as it was a moment ago: who counts as a voter holds all up to it.
+	Target     int // target number of voters
+	// RecentCommit is a slightly older commit index. A member counts as up to date if its log matches up to this index.
 	RecentCommit consensus.Index
-	// aliveTimeout is how long ago a member that lives may have aliveTimeout; 0: answerLimit.
+	// aliveTimeout overrides the constant aliveTimeout unless it is 0.
 	aliveTimeout time.Duration
-	// DropFirst drops a leaving or silent voter before another votes and whoever is left, for the tests of the tests.
+	// DropFirst is an injected fault. It removes a leaving or silent voter before its replacement is promoted, and without
+	// checking that the remaining voters form a majority. Tests use it to check that they detect the fault.
 	DropFirst bool
 }
 
-// Next is the membership to propose, or false if nothing is to be changed.
+// Next returns the membership to propose, or false if no change is needed.
 func Next(s Situation) (consensus.Membership, bool) {
 	if s.Status.MembershipPending || len(s.Status.Membership.Voters) == 0 {
 		return consensus.Membership{}, false
@@ -52,7 +54,7 @@
 	return consensus.Membership{}, false
 }
 
-// dropReplaced drops a member whose machine asks to join under another identity: its disk is lost.
+// dropReplaced removes a member whose machine asks to join under a new identity, because it has lost its disk.
 func dropReplaced(s Situation) (consensus.Membership, bool) {
 	for _, joiner := range s.Joining {
 		for _, old := range allMembers(s.Status.Membership) {
@@ -64,7 +66,7 @@
 	return consensus.Membership{}, false
 }
 
-// addLearner takes in as a learner who asks to join.
+// addLearner adds a machine that asks to join as a learner.
 func addLearner(s Situation) (consensus.Membership, bool) {
 	for _, joiner := range s.Joining {
 		if !contains(s.Status.Membership, joiner.ID) {
@@ -76,7 +78,7 @@
 	return consensus.Membership{}, false
 }
 
-// promote makes a learner that is up to date a voter while too few stay.
+// promote makes an up-to-date learner a voter while too few voters stay.
 func promote(s Situation) (consensus.Membership, bool) {
 	if s.stayingVoters() >= s.Target {
 		return consensus.Membership{}, false
@@ -91,7 +93,7 @@
 	return consensus.Membership{}, false
 }
 
-// dropSurplus drops a voter that is leaving or silent while there are more than are wanted.
+// dropSurplus removes a leaving or silent voter while there are more voters than the target.
 func dropSurplus(s Situation) (consensus.Membership, bool) {
 	voters := s.Status.Membership.Voters
 	if len(voters) <= s.Target {
@@ -106,7 +108,7 @@
 	return consensus.Membership{}, false
 }
 
-// replaceSilent drops a voter that is silent once a learner can take its place.
+// replaceSilent removes a silent voter once a learner is ready to replace it.
 func replaceSilent(s Situation) (consensus.Membership, bool) {
 	if !slices.ContainsFunc(s.Status.Membership.Learners, func(m consensus.Member) bool { return s.ready(m.ID) }) {
 		return consensus.Membership{}, false
@@ -120,8 +122,9 @@
 	return consensus.Membership{}, false
 }
 
-// HoldOf says why a member that was told to end has to go on. It is Free once it votes no more, or once without it a
-// majority of all voters lives, stays and holds all that is committed, and nobody is about to take its place.
+// HoldOf returns the reason why a member that is shutting down must keep running. It returns HoldNone if the member is not a
+// voter. It also returns HoldNone if no replacement is pending and a majority of all voters, not counting the member, is
+// alive, not leaving and up to date.
 func HoldOf(s Situation, id consensus.MemberID) Hold {
 	switch {
 	case s.Status.MembershipPending:
@@ -139,23 +142,23 @@
 	return HoldMajority
 }
 
-// isVoter tells whether a member is a voter.
+// isVoter reports whether a member is a voter.
 func (s Situation) isVoter(id consensus.MemberID) bool {
 	return slices.ContainsFunc(s.Status.Membership.Voters, func(m consensus.Member) bool { return m.ID == id })
 }
 
-// replacementPending tells whether a machine that lives is on its way to become a voter.
+// replacementPending reports whether a joining machine or a live learner is about to become a voter.
 func (s Situation) replacementPending() bool {
 	return slices.ContainsFunc(s.Joining, func(m consensus.Member) bool { return !s.isVoter(m.ID) }) ||
 		slices.ContainsFunc(s.Status.Membership.Learners, func(m consensus.Member) bool { return s.alive(m.ID) })
 }
 
-// canLose tells whether without a member a majority of the voters that are left lives, stays and holds what is committed.
+// canLose reports whether a majority of the remaining voters is healthy if one member is removed.
 func (s Situation) canLose(excluded consensus.MemberID) bool {
 	return s.DropFirst || s.healthyExcept(excluded) > (len(s.Status.Membership.Voters)-1)/2
 }
 
-// healthyExcept is how many voters but one live, stay and hold what is committed.
+// healthyExcept counts the voters other than id that are alive, not leaving and up to date.
 func (s Situation) healthyExcept(id consensus.MemberID) int {
 	healthy := 0
 	for _, voter := range s.Status.Membership.Voters {
@@ -166,7 +169,7 @@
 	return healthy
 }
 
-// stayingVoters is how many voters are not about to end. One that is silent may come back.
+// stayingVoters counts the voters that are not leaving. Silent voters count, since they may come back.
 func (s Situation) stayingVoters() int {
 	count := 0
 	for _, voter := range s.Status.Membership.Voters {
@@ -177,7 +180,7 @@
 	return count
 }
 
-// dropSilentLearner drops a learner that is gone.
+// dropSilentLearner removes a learner that has been silent for learnerSilenceTimeout.
 func dropSilentLearner(s Situation) (consensus.Membership, bool) {
 	for _, learner := range s.Status.Membership.Learners {
 		if s.silent(learner.ID, learnerSilenceTimeout) {
@@ -187,7 +190,8 @@
 	return consensus.Membership{}, false
 }
 
-// silent tells whether a member has not answered for longer than the limit.
+// silent reports whether a member has not answered for longer than the limit. It is false until this member has led for that
+// long.
 func (s Situation) silent(id consensus.MemberID, limit time.Duration) bool {
 	if s.LeadingFor <= limit {
 		return false
@@ -200,7 +204,7 @@
 	return false
 }
 
-// ready tells whether a member holds all that was committed a moment ago, lives and stays.
+// ready reports whether a member is alive, not leaving and has the log up to RecentCommit.
 func (s Situation) ready(id consensus.MemberID) bool {
 	if slices.Contains(s.Leaving, id) || !s.alive(id) {
 		return false
@@ -213,7 +217,7 @@
 	return false
 }
 
-// alive tells whether a member has answered a moment ago.
+// alive reports whether a member answered within the alive timeout.
 func (s Situation) alive(id consensus.MemberID) bool {
 	for _, member := range s.Status.Members {
 		if member.Member.ID == id {
@@ -235,7 +239,7 @@
 	return consensus.Membership{Voters: slices.Clone(membership.Voters), Learners: slices.Clone(membership.Learners)}
 }
 
-// without is a membership less one member.
+// without returns a copy of a membership with one member removed.
 func without(membership consensus.Membership, id consensus.MemberID) consensus.Membership {
 	matches := func(m consensus.Member) bool { return m.ID == id }
 	next := clone(membership)
--- a/internal/control/reconfigure/reconfigure_test.go
+++ b/internal/control/reconfigure/reconfigure_test.go
@@ -16,10 +16,11 @@
 	return consensus.Member{ID: consensus.MemberID(id), Address: "10.0.0." + string(rune('0'+id)), Node: "n"}
 }
 
-// mayLeave tells whether a member may end.
+// mayLeave reports whether a member can stop.
 func mayLeave(s Situation, id consensus.MemberID) bool { return HoldOf(s, id) == HoldNone }
 
-// situation is that of leader 1 with voters 1 to voters and further learners, all of them up to date and just heard.
+// situation is the view of leader 1. Members 1 to voters are voters, the following ones learners. All are up to date and have
+// just answered.
 func situation(voters, learners int) Situation {
 	s := Situation{Now: now, LeadingFor: now, Target: 3, RecentCommit: 100}
 	s.Status.Self = 1
@@ -51,15 +52,15 @@
 func TestMachineWithLostDiskReplacesItsOldMember(t *testing.T) {
 	c := qt.New(t)
 	s := situation(3, 0)
-	// Given the machine of voter 3 asks to join under another identity.
+	// Given that the machine of voter 3 asks to join under a new identity,
 	back := member(9)
 	back.Address = member(3).Address
 	s.Joining = []consensus.Member{back}
-	// Then its old identity goes first,
+	// then its old member is removed first,
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2})
-	// and the new one is taken in as a learner.
+	// and the new one is added as a learner.
 	s.Status.Membership = next
 	next, change = Next(s)
 	c.Assert(change, qt.IsTrue)
@@ -80,7 +81,7 @@
 
 func TestLearnerWithoutLogIsNotPromoted(t *testing.T) {
 	c := qt.New(t)
-	// Given a short log and a learner that answers and holds nothing of it
+	// Given a short log and a learner that answers but has none of it,
 	s := situation(2, 1)
 	s.Status.Commit = 1
 	s.RecentCommit = 0
@@ -88,7 +89,7 @@
 	// then it stays a learner,
 	_, change := Next(s)
 	c.Assert(change, qt.IsFalse)
-	// and becomes a voter once it holds something.
+	// and becomes a voter once it has an entry.
 	s.Status.Members[2].Match = 1
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
@@ -102,12 +103,12 @@
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3})
-	// Without a learner it stays: it may come back.
+	// Without a learner it stays, since it may come back.
 	s = situation(3, 0)
 	s.Status.Members[1].LastContact = now - voterSilenceTimeout - 1
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
-	// Nor does a leader that has just been elected judge silences.
+	// A newly elected leader does not treat members as silent yet.
 	s = situation(3, 1)
 	s.Status.Members[1].Contacted = false
 	s.LeadingFor = voterSilenceTimeout
@@ -117,17 +118,17 @@
 
 func TestLeavingVoterIsReplacedBeforeItIsDropped(t *testing.T) {
 	c := qt.New(t)
-	// Given a voter that is about to end, and a learner that can take its place
+	// Given a voter that is leaving and a learner that can replace it,
 	s := situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
 	c.Assert(mayLeave(s, 2), qt.IsFalse)
-	// then the learner votes first, so that no loss is borne worse meanwhile,
+	// then the learner is promoted first, so that fault tolerance does not drop in between,
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2, 3, 4})
 	s.Status.Membership = next
 	c.Assert(mayLeave(s, 2), qt.IsFalse)
-	// and the other is dropped after it; only then it may end.
+	// and the leaving voter is removed afterwards. Only then can it stop.
 	next, change = Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3, 4})
@@ -139,11 +140,11 @@
 
 func TestVoterIsDroppedOnlyWithHealthyMajority(t *testing.T) {
 	c := qt.New(t)
-	// Given a voter that is silent, another that says it is about to end, and a learner that can take a place
+	// Given a silent voter, a leaving voter and a learner that can replace one of them,
 	s := situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
 	s.Status.Members[2].LastContact = now - voterSilenceTimeout - 1
-	// then the learner votes, and neither the silent one nor the other is dropped while a loss would follow:
+	// then the learner is promoted. Neither other voter is removed while the rest would have no healthy majority.
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 2, 3, 4})
@@ -152,7 +153,7 @@
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
 	c.Assert(mayLeave(s, 2), qt.IsFalse)
-	// The build without this rule drops it, and is left with one that is silent.
+	// With the DropFirst fault the leaving voter is removed, and a silent one remains.
 	s = situation(3, 1)
 	s.Leaving = []consensus.MemberID{2}
 	s.Status.Members[2].LastContact = now - voterSilenceTimeout - 1
@@ -164,15 +165,15 @@
 
 func TestMemberLeavesOnlyOnceOthersAreCaughtUp(t *testing.T) {
 	c := qt.New(t)
-	// Given a member that is about to end while another lacks an entry, then it may not;
+	// A leaving member cannot stop while another voter lacks an entry.
 	s := situation(3, 0)
 	s.Leaving = []consensus.MemberID{3}
 	s.Status.Members[1].Match = 99
 	c.Assert(mayLeave(s, 3), qt.IsFalse)
-	// once the other has it, it may,
+	// It can stop once the other voter has the entry,
 	s.Status.Members[1].Match = 100
 	c.Assert(mayLeave(s, 3), qt.IsTrue)
-	// unless the other is silent, or about to end too, or the membership changes.
+	// unless the other is silent or leaving too, or a membership change is pending.
 	s.Status.Members[1].LastContact = now - aliveTimeout - 1
 	c.Assert(mayLeave(s, 3), qt.IsFalse)
 	s = situation(3, 0)
@@ -181,7 +182,7 @@
 	s = situation(3, 0)
 	s.Status.MembershipPending = true
 	c.Assert(mayLeave(s, 3), qt.IsFalse)
-	// Of five, one may be silent.
+	// With five voters, one may be silent.
 	s = situation(5, 0)
 	s.Target = 5
 	s.Status.Members[1].LastContact = now - time.Minute
@@ -190,14 +191,14 @@
 
 func TestSurplusSilentVoterIsDropped(t *testing.T) {
 	c := qt.New(t)
-	// Given four voters, as one that was about to end is gone before it was dropped
+	// Given four voters, one of which stopped before it was removed,
 	s := situation(4, 0)
 	s.Status.Members[1].LastContact = now - voterSilenceTimeout - 1
-	// then it is dropped, though no learner waits.
+	// then it is removed, although there is no learner.
 	next, change := Next(s)
 	c.Assert(change, qt.IsTrue)
 	c.Assert(ids(next.Voters), qt.DeepEquals, []int{1, 3, 4})
-	// One that is back stays.
+	// A voter that is back stays.
 	s.Status.Members[1].LastContact = now
 	_, change = Next(s)
 	c.Assert(change, qt.IsFalse)
@@ -210,7 +211,7 @@
 	qt.New(t).Assert(change, qt.IsFalse)
 }
 
-// Whatever is known, each step differs in one member, keeps the leader, and leaves somebody who votes.
+// In any situation a step changes one member and keeps the leader as a voter.
 func TestEachStepChangesOneMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := situation(rapid.IntRange(1, 5).Draw(t, "voters"), rapid.IntRange(0, 3).Draw(t, "learners"))
@@ -241,15 +242,15 @@
 			}
 		}
 		if differences != 1 {
-			t.Fatalf("%v becomes %v", before, after)
+			t.Fatalf("%v becomes %v in one step", before, after)
 		}
 		if voter, found := after[1]; !found || !voter {
-			t.Fatalf("the leader is dropped: %v", after)
+			t.Fatalf("the leader is no longer a voter: %v", after)
 		}
 	})
 }
 
-// votingByID tells of each member whether it votes.
+// votingByID maps each member to whether it is a voter.
 func votingByID(membership consensus.Membership) map[int]bool {
 	all := map[int]bool{}
 	for _, id := range ids(membership.Voters) {
--- a/internal/control/steering/callerlimit.go
+++ b/internal/control/steering/callerlimit.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// maxCallsPerCaller bounds the calls of one caller, by its address, that are worked on at a time, and mostCalls those of all.
-	// A caller that repeats at once and often gets 429 beyond it, before anything is read of its call, and starves no other.
+	// maxCallsPerCaller and maxCalls bound the concurrent calls of one caller, identified by its IP address, and of all callers.
+	// A call above either limit gets 429 before its body is read, so a client that retries in a tight loop cannot starve the
+	// others.
 	maxCallsPerCaller = 64
 	maxCalls          = 512
 )
 
-// callLimiter counts the calls that are worked on. Its zero value is ready.
+// callLimiter limits concurrent calls. The zero value is ready to use.
 type callLimiter struct {
 	mu     sync.Mutex
 	total  int
-	active map[string]int // by the caller's address without its port
+	active map[string]int // by the caller's IP address
 }
 
-// acquire takes a call in; false says that there is no room for it.
+// acquire admits a call. It returns false if a limit is reached.
 func (l *callLimiter) acquire(caller string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// wrap answers calls beyond the bounds with 429: nothing is done.
+// wrap answers calls above the limits with 429 and does not pass them to the handler.
 func (l *callLimiter) wrap(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		caller, _, err := net.SplitHostPort(request.RemoteAddr)
--- a/internal/control/steering/cells.go
+++ b/internal/control/steering/cells.go
@@ -8,13 +8,13 @@
 	"sumacloft/internal/control/coordination"
 )
 
-// cellAnswer is a key's value.
+// cellAnswer is the response to a read of a key.
 type cellAnswer struct {
 	Amount   string `json:"amount"`
 	Revision uint64 `json:"revision"`
 }
 
-// cellHandler serves small keys.
+// cellHandler serves reads and writes of keys.
 type cellHandler struct{ calls Coordination }
 
 func (h *cellHandler) replace(w http.ResponseWriter, request *http.Request) {
@@ -32,20 +32,20 @@
 	answerJSON(w, http.StatusOK, cellAnswer{Amount: answer.Amount, Revision: answer.Revision})
 }
 
-// eventAnswer is one put.
+// eventAnswer is one write to a key.
 type eventAnswer struct {
 	Name     string `json:"name"`
 	Amount   string `json:"amount"`
 	Revision uint64 `json:"revision"`
 }
 
-// eventsAnswer is that of a watch.
+// eventsAnswer is the response to a watch.
 type eventsAnswer struct {
 	Events   []eventAnswer `json:"events"`
 	Revision uint64        `json:"revision"`
 }
 
-// watchHandler serves watches of groups of keys.
+// watchHandler serves watches on groups of keys.
 type watchHandler struct{ calls Coordination }
 
 func (h *watchHandler) get(w http.ResponseWriter, request *http.Request) {
@@ -76,7 +76,7 @@
 	answerJSON(w, http.StatusOK, response)
 }
 
-// wholeNumber reads a number of a query; one that is missing is 0.
+// wholeNumber parses a query parameter. A missing parameter is 0.
 func wholeNumber(query url.Values, name string) (uint64, error) {
 	if !query.Has(name) {
 		return 0, nil
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -12,8 +12,8 @@
 	"sumacloft/internal/control/coordination"
 )
 
-// Coordination answers applications' calls for locks, numbers and keys. Answers with Elsewhere or Full promise that the
-// call has not taken effect and never will.
+// Coordination executes applications' calls for locks, counters and keys. The statuses Elsewhere and Full guarantee that
+// the call has not taken effect and never will.
 type Coordination interface {
 	Do(ctx context.Context, call coordination.Call) coordination.Answer
 }
@@ -22,7 +22,7 @@
 	maxCallBytes   = 16 << 10 // bytes of a call
 	maxNameBytes   = 512      // bytes of a name or an owner
 	maxAmountBytes = 4 << 10  // bytes of a value
-	// maxHoldMS and queueLimitMS bound how long a lock is held without renewal and how long a watch waits.
+	// maxHoldMS bounds the lease of a lock, maxQueueMS the long poll of a watch.
 	maxHoldMS  = 10 * 60 * 1000
 	maxQueueMS = 30 * 1000
 )
@@ -31,7 +31,7 @@
 	locks := &lockHandler{calls: calls}
 	numbers := &numberHandler{calls: calls}
 	cells := &cellHandler{calls: calls}
-	watches := &watchHandler{calls: calls} // bounded where they wait
+	watches := &watchHandler{calls: calls} // the coordinator limits concurrent watches itself
 	limit := &callLimiter{}
 	mux.HandleFunc("POST /v1/Locks.Start/{id}", limit.wrap(locks.start))
 	mux.HandleFunc("POST /v1/Locks.Beat/{id}", limit.wrap(locks.beat))
@@ -42,13 +42,13 @@
 	mux.HandleFunc("GET /v1/watch/{id}", watches.get)
 }
 
-// field is a part of a call.
+// field describes a JSON field of a call's body.
 type field struct {
 	name      string
 	kind      gjson.Type
-	maxNumber uint64 // of a number
-	maxBytes  int    // of a text
-	optional  bool   // it may be missing
+	maxNumber uint64 // largest number
+	maxBytes  int    // longest text
+	optional  bool   // may be missing
 }
 
 var (
@@ -59,7 +59,7 @@
 	expectedField = field{name: "expected", kind: gjson.Number, maxNumber: 1 << 62, optional: true}
 )
 
-// typeName names the kind of value that the field takes.
+// typeName returns the type of the field for error messages.
 func (f field) typeName() string {
 	if f.kind == gjson.String {
 		return "text"
@@ -67,7 +67,7 @@
 	return "whole number"
 }
 
-// validate says what is wrong with the field in a call's body; empty: nothing.
+// validate checks the field in a call's body. It returns an error text, or "" if the field is valid.
 func (f field) validate(body []byte) string {
 	value := gjson.GetBytes(body, f.name)
 	switch {
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// readCall reads a call's name and body; false says that it was answered as wrong.
+// readCall parses and validates a call. If the call is invalid it answers the request and returns false.
 func readCall(w http.ResponseWriter, request *http.Request, kind coordination.Kind, fields ...field) (coordination.Call, bool) {
 	call := coordination.Call{Kind: kind, Name: request.PathValue("id")}
 	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxCallBytes))
@@ -110,7 +110,7 @@
 	return call, true
 }
 
-// readAndDecide reads a call and has it decided; false says that it was answered as wrong or not done.
+// readAndDecide parses a call and executes it. It returns false if the call was invalid or failed; the request is then answered.
 func readAndDecide(w http.ResponseWriter, request *http.Request, calls Coordination, kind coordination.Kind, fields ...field) (coordination.Answer, bool) {
 	call, ok := readCall(w, request, kind, fields...)
 	if !ok {
@@ -119,7 +119,7 @@
 	return decide(w, request, calls, call)
 }
 
-// decide has a call decided; false says that it was not done, and was answered so.
+// decide executes a call. It returns false if the call failed; the request is then answered.
 func decide(w http.ResponseWriter, request *http.Request, calls Coordination, call coordination.Call) (coordination.Answer, bool) {
 	answer := calls.Do(request.Context(), call)
 	if answer.Status != coordination.Done {
@@ -129,7 +129,7 @@
 	return answer, true
 }
 
-// failCall answers a call that was not done.
+// failCall answers a call that failed with the HTTP status of its outcome.
 func failCall(w http.ResponseWriter, answer coordination.Answer) {
 	switch answer.Status {
 	case coordination.Held:
@@ -155,15 +155,15 @@
 func answerJSON(w http.ResponseWriter, status int, answer any) {
 	body, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // encoding a plain struct cannot fail
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has left asks again
+	_, _ = w.Write(body) // a client that disconnected retries
 }
 
-// revisionAnswer names a revision of a key.
+// revisionAnswer is a response with the revision of a key.
 type revisionAnswer struct {
 	Revision uint64 `json:"revision"`
 }
--- a/internal/control/steering/coordination_test.go
+++ b/internal/control/steering/coordination_test.go
@@ -14,7 +14,7 @@
 	"sumacloft/internal/control/steering"
 )
 
-// fakeCoordination answers all calls alike and keeps the last.
+// fakeCoordination returns the same answer to every call and records the last call.
 type fakeCoordination struct {
 	answer coordination.Answer
 	call   coordination.Call
@@ -25,7 +25,7 @@
 	return d.answer
 }
 
-// request makes one call of an application.
+// request sends one application call to the handler.
 func (d *fakeCoordination) request(method, path, body string) *httptest.ResponseRecorder {
 	answer := httptest.NewRecorder()
 	s := &stub{}
@@ -45,22 +45,22 @@
 	}{
 		"a lock": {http.MethodPost, "/v1/Locks.Start/l1f", `{"owner":"a3.7","hold_ms":3000}`, done,
 			coordination.Call{Kind: coordination.StartLock, Name: "l1f", Owner: "a3.7", HoldMS: 3000}, `{"fence_number":41}`},
-		"more time": {http.MethodPost, "/v1/Locks.Beat/l1f", `{"owner":"a3.7","fence_number":41,"hold_ms":3000}`, done,
+		"a lock renewal": {http.MethodPost, "/v1/Locks.Beat/l1f", `{"owner":"a3.7","fence_number":41,"hold_ms":3000}`, done,
 			coordination.Call{Kind: coordination.BeatLock, Name: "l1f", Owner: "a3.7", Fence: 41, HoldMS: 3000}, `{}`},
-		"an end": {http.MethodPost, "/v1/Locks.Finish/l1f", `{"owner":"a3.7","fence_number":41}`, done,
+		"a lock release": {http.MethodPost, "/v1/Locks.Finish/l1f", `{"owner":"a3.7","fence_number":41}`, done,
 			coordination.Call{Kind: coordination.FinishLock, Name: "l1f", Owner: "a3.7", Fence: 41}, `{}`},
-		"a number": {http.MethodPost, "/v1/numbers/n2", `{}`, done,
+		"a counter": {http.MethodPost, "/v1/numbers/n2", `{}`, done,
 			coordination.Call{Kind: coordination.DrawNumber, Name: "n2"}, `{"amount":5120}`},
-		"a put": {http.MethodPost, "/v1/Cells.Replace/g1.2d", `{"amount":"5c","expected":907}`, done,
+		"a conditional write": {http.MethodPost, "/v1/Cells.Replace/g1.2d", `{"amount":"5c","expected":907}`, done,
 			coordination.Call{Kind: coordination.ReplaceCell, Name: "g1.2d", Amount: "5c", Expected: 907}, `{"revision":931}`},
-		"a put on any revision": {http.MethodPost, "/v1/Cells.Replace/g1.2d", `{"amount":"5c"}`, done,
+		"an unconditional write": {http.MethodPost, "/v1/Cells.Replace/g1.2d", `{"amount":"5c"}`, done,
 			coordination.Call{Kind: coordination.ReplaceCell, Name: "g1.2d", Amount: "5c", Always: true}, `{"revision":931}`},
 		"a read": {http.MethodGet, "/v1/Cells.Read/g1.2d", "", done,
 			coordination.Call{Kind: coordination.ReadCell, Name: "g1.2d"}, `{"amount":"a\"b","revision":931}`},
 		"a watch": {http.MethodGet, "/v1/watch/g1.?after=930&queue_ms=2000", "", withEvent,
 			coordination.Call{Kind: coordination.WatchCells, Name: "g1.", After: 930, QueueMS: 2000},
 			`{"events":[{"name":"g1.2d","amount":"5c","revision":931}],"revision":934}`},
-		"a watch of nothing": {http.MethodGet, "/v1/watch/g1.", "", coordination.Answer{Status: coordination.Done},
+		"a watch without events": {http.MethodGet, "/v1/watch/g1.", "", coordination.Answer{Status: coordination.Done},
 			coordination.Call{Kind: coordination.WatchCells, Name: "g1."}, `{"events":[],"revision":0}`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -100,14 +100,14 @@
 
 func TestInvalidCoordinationCallsAreRejected(t *testing.T) {
 	for name, test := range map[string]struct{ path, body, text string }{
-		"no owner":          {"/v1/Locks.Start/l", `{"hold_ms":1}`, `{"error":"owner: give it, as a text"}`},
-		"an empty owner":    {"/v1/Locks.Start/l", `{"owner":"","hold_ms":1}`, `{"error":"owner: give 1 to 512 bytes"}`},
-		"too long":          {"/v1/Locks.Start/l", `{"owner":"o","hold_ms":600001}`, `{"error":"hold_ms: give a whole number from 0 to 600000"}`},
-		"a part of a fence": {"/v1/Locks.Finish/l", `{"owner":"o","fence_number":1.5}`, `{"error":"fence_number: give a whole number from 0 to 4611686018427387904"}`},
-		"no revision":       {"/v1/Cells.Replace/g.a", `{"amount":"5c","expected":"1"}`, `{"error":"expected: give it, as a whole number"}`},
-		"a large value":     {"/v1/Cells.Replace/g.a", `{"amount":"` + strings.Repeat("x", 5000) + `","expected":0}`, `{"error":"amount: give 1 to 4096 bytes"}`},
-		"a long name":       {"/v1/numbers/" + strings.Repeat("n", 513), `{}`, `{"error":"the name is longer than 512 bytes"}`},
-		"too many bytes":    {"/v1/numbers/n", strings.Repeat(" ", 17<<10), `{"error":"the call can't be read, or is larger than 16 KiB"}`},
+		"no owner":                     {"/v1/Locks.Start/l", `{"hold_ms":1}`, `{"error":"owner: give it, as a text"}`},
+		"an empty owner":               {"/v1/Locks.Start/l", `{"owner":"","hold_ms":1}`, `{"error":"owner: give 1 to 512 bytes"}`},
+		"too long a lease":             {"/v1/Locks.Start/l", `{"owner":"o","hold_ms":600001}`, `{"error":"hold_ms: give a whole number from 0 to 600000"}`},
+		"a fractional fence":           {"/v1/Locks.Finish/l", `{"owner":"o","fence_number":1.5}`, `{"error":"fence_number: give a whole number from 0 to 4611686018427387904"}`},
+		"a revision that is no number": {"/v1/Cells.Replace/g.a", `{"amount":"5c","expected":"1"}`, `{"error":"expected: give it, as a whole number"}`},
+		"a large value":                {"/v1/Cells.Replace/g.a", `{"amount":"` + strings.Repeat("x", 5000) + `","expected":0}`, `{"error":"amount: give 1 to 4096 bytes"}`},
+		"a long name":                  {"/v1/numbers/" + strings.Repeat("n", 513), `{}`, `{"error":"the name is longer than 512 bytes"}`},
+		"too many bytes":               {"/v1/numbers/n", strings.Repeat(" ", 17<<10), `{"error":"the call can't be read, or is larger than 16 KiB"}`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -123,7 +123,7 @@
 	c.Assert((&fakeCoordination{}).request(http.MethodGet, "/v1/watch/g.?queue_ms=-1", "").Code, qt.Equals, http.StatusBadRequest)
 }
 
-// blockingCoordination answers calls once it is told to.
+// blockingCoordination blocks each call until proceed is closed.
 type blockingCoordination struct {
 	started chan struct{}
 	proceed chan struct{}
@@ -146,13 +146,13 @@
 		handler.ServeHTTP(answer, request)
 		return answer
 	}
-	// Given a caller with 64 calls that are worked on,
+	// Given a caller with 64 concurrent calls,
 	answers := make(chan int, 65)
 	for port := range 64 {
 		go func() { answers <- ask(fmt.Sprintf("10.0.0.1:%d", 1000+port)).Code }()
 		<-calls.started
 	}
-	// then a further one is refused at once, and another caller is not.
+	// a further call is rejected immediately, while a call of another caller is admitted.
 	refused := ask("10.0.0.1:9999")
 	c.Assert(refused.Code, qt.Equals, http.StatusTooManyRequests)
 	c.Assert(refused.Header().Get("Retry-After"), qt.Equals, "1")
@@ -162,7 +162,7 @@
 	for range 65 {
 		c.Assert(<-answers, qt.Equals, http.StatusOK)
 	}
-	// Once they are answered there is room again.
+	// Once they complete, the caller is admitted again.
 	go func() { answers <- ask("10.0.0.1:9999").Code }()
 	<-calls.started
 	c.Assert(<-answers, qt.Equals, http.StatusOK)
--- a/internal/control/steering/locks.go
+++ b/internal/control/steering/locks.go
@@ -6,17 +6,17 @@
 	"sumacloft/internal/control/coordination"
 )
 
-// fenceAnswer is that of a lock that was got.
+// fenceAnswer is the response to an acquired lock.
 type fenceAnswer struct {
 	Fence uint64 `json:"fence_number"`
 }
 
-// numberAnswer is a number that was drawn.
+// numberAnswer is the response to an incremented counter.
 type numberAnswer struct {
 	Amount uint64 `json:"amount"`
 }
 
-// lockHandler serves locks, and elections, which are locks that are held for long.
+// lockHandler serves locks. Leader elections use locks that are held for a long time.
 type lockHandler struct{ calls Coordination }
 
 func (h *lockHandler) start(w http.ResponseWriter, request *http.Request) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// numberHandler serves numbers that rise.
+// numberHandler serves monotonically increasing counters.
 type numberHandler struct{ calls Coordination }
 
 func (h *numberHandler) post(w http.ResponseWriter, request *http.Request) {
--- a/internal/control/steering/steering.go
+++ b/internal/control/steering/steering.go
@@ -1,4 +1,5 @@
-// Package steering serves the calls of workers and of the operator: one handler object for each resource.
+// Package steering is the HTTP API of a control member for workers, operators and applications. Each resource has its own
+// handler type.
 package steering
 
 import (
@@ -12,29 +13,30 @@
 	"sumacloft/internal/control/registry"
 )
 
-// Workers takes what workers say of themselves.
+// Workers receives heartbeats and leave requests of workers.
 type Workers interface {
-	// Beat takes a heartbeat; nil once it may be acknowledged. The address, if any, is where later ones should go.
+	// Beat processes a heartbeat and returns nil once it can be acknowledged. A non-empty beatTo is the address to which the
+	// worker should send later heartbeats.
 	Beat(ctx context.Context, beat registry.Beat) (beatTo string, err error)
-	// Leave takes a worker's word that it ends.
+	// Leave records that a worker is shutting down.
 	Leave(ctx context.Context, id string) error
 }
 
-// Settings takes the operator's orders.
+// Settings applies configuration orders of the operator.
 type Settings interface {
-	// Submit has an order decided. An error says that it is not known what becomes of it.
+	// Submit proposes an order. After an error it is not known whether the order is applied.
 	Submit(ctx context.Context, order configstate.Order) (configstate.Outcome, error)
-	// Read gives the newest document, empty while there is none.
+	// Read returns the current configuration document, or nothing if there is none yet.
 	Read(ctx context.Context) ([]byte, error)
 }
 
 const (
 	maxBeatBytes  = 64 << 10      // bytes of a heartbeat
-	maxOrderBytes = 8 << 20       // bytes of an order; it must fit a segment of the disk log
-	beatToPrefix  = `{"beat_to":` // of a heartbeat's answer
+	maxOrderBytes = 8 << 20       // bytes of an order; it must fit into one segment of the disk log
+	beatToPrefix  = `{"beat_to":` // start of the response to a heartbeat
 )
 
-// Handler serves all resources. Without coordination its calls are unknown.
+// Handler serves all resources. If coordination is nil, its paths are not registered.
 func Handler(workers Workers, settings Settings, coordination Coordination) http.Handler {
 	mux := http.NewServeMux()
 	if coordination != nil {
@@ -52,7 +54,7 @@
 	return mux
 }
 
-// beatHandler serves heartbeats of workers.
+// beatHandler serves the heartbeats of workers.
 type beatHandler struct{ workers Workers }
 
 func (h *beatHandler) post(w http.ResponseWriter, request *http.Request) {
@@ -78,7 +80,7 @@
 	reply(w, []byte(beatToPrefix+strconv.Quote(beatTo)+"}"))
 }
 
-// leaveHandler serves workers that end.
+// leaveHandler serves leave requests of workers that shut down.
 type leaveHandler struct{ workers Workers }
 
 func (h *leaveHandler) post(w http.ResponseWriter, request *http.Request) {
@@ -89,7 +91,7 @@
 	reply(w, []byte("{}"))
 }
 
-// orderHandler serves changes of the configuration.
+// orderHandler serves configuration changes.
 type orderHandler struct{ settings Settings }
 
 func (h *orderHandler) replace(w http.ResponseWriter, request *http.Request) {
@@ -133,7 +135,7 @@
 	}
 }
 
-// documentHandler serves the configuration in force.
+// documentHandler serves the current configuration.
 type documentHandler struct{ settings Settings }
 
 func (h *documentHandler) get(w http.ResponseWriter, request *http.Request) {
@@ -152,11 +154,11 @@
 func reply(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a caller that has left asks again
+	_, _ = w.Write(body) // a client that disconnected retries
 }
 
 func fail(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(`{"error":` + strconv.Quote(text) + "}")) // likewise
+	_, _ = w.Write([]byte(`{"error":` + strconv.Quote(text) + "}")) // a client that disconnected retries
 }
--- a/internal/control/steering/steering_test.go
+++ b/internal/control/steering/steering_test.go
@@ -15,7 +15,7 @@
 	"sumacloft/internal/control/steering"
 )
 
-// stub stands for a control member: it notes what it was asked and answers what it was told.
+// stub is a fake control member. It records the last request and returns preset results.
 type stub struct {
 	beat     registry.Beat
 	left     string
@@ -43,7 +43,7 @@
 
 func (s *stub) Read(context.Context) ([]byte, error) { return s.document, s.err }
 
-// call makes one call and gives its answer.
+// call sends one request to the handler and returns the response.
 func call(s *stub, method, path, builtOn, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if builtOn != "" {
@@ -68,8 +68,8 @@
 		body   string
 	}{
 		"taken":            {stub{outcome: configstate.Outcome{Status: configstate.Taken, Version: 7}}, http.StatusOK, `{"version":7}`},
-		"taken before":     {stub{outcome: configstate.Outcome{Status: configstate.AlreadyTaken, Version: 7}}, http.StatusOK, `{"version":7}`},
-		"on another":       {stub{outcome: configstate.Outcome{Status: configstate.OtherVersion, Err: cause}}, http.StatusPreconditionFailed, `{"error":"why"}`},
+		"already taken":    {stub{outcome: configstate.Outcome{Status: configstate.AlreadyTaken, Version: 7}}, http.StatusOK, `{"version":7}`},
+		"stale base":       {stub{outcome: configstate.Outcome{Status: configstate.OtherVersion, Err: cause}}, http.StatusPreconditionFailed, `{"error":"why"}`},
 		"invalid":          {stub{outcome: configstate.Outcome{Status: configstate.Invalid, Err: cause}}, http.StatusBadRequest, `{"error":"why"}`},
 		"not remembered":   {stub{outcome: configstate.Outcome{Status: configstate.Unknown, Err: cause}}, http.StatusServiceUnavailable, `{"error":"why"}`},
 		"without a leader": {stub{err: cause}, http.StatusServiceUnavailable, `{"error":"why"}`},
@@ -91,7 +91,7 @@
 func TestMalformedOrdersAreRejected(t *testing.T) {
 	c := qt.New(t)
 	s := &stub{}
-	// Given orders without a base, with one that is no number, and larger than the disks hold, then no member is asked.
+	// Orders without a base version, with an invalid one, or above the size limit are rejected without calling the member.
 	c.Assert(call(s, http.MethodPost, replacePath, "", "{}").Code, qt.Equals, http.StatusBadRequest)
 	c.Assert(call(s, http.MethodPost, replacePath, "-1", "{}").Code, qt.Equals, http.StatusBadRequest)
 	c.Assert(call(s, http.MethodPost, replacePath, "1", strings.Repeat(" ", 8<<20+1)).Code, qt.Equals, http.StatusRequestEntityTooLarge)
@@ -104,7 +104,7 @@
 	c.Assert(answer.Code, qt.Equals, http.StatusOK)
 	c.Assert(answer.Body.String(), qt.Equals, `{"version":3}`)
 	c.Assert(call(&stub{}, http.MethodGet, readPath, "", "").Code, qt.Equals, http.StatusNotFound)
-	// A member that can't be sure of the newest says so.
+	// A member that cannot confirm that its document is current returns 503.
 	c.Assert(call(&stub{err: errors.New("no leader")}, http.MethodGet, readPath, "", "").Code, qt.Equals, http.StatusServiceUnavailable)
 }
 
@@ -117,15 +117,15 @@
 	c.Assert(answer.Body.String(), qt.Equals, `{"beat_to":"10.0.0.4:8080"}`)
 	c.Assert(s.beat.ID, qt.Equals, "i-1")
 	c.Assert(s.beat.CallCount, qt.Equals, uint64(3))
-	// One that needs no other address gets none, one that can't be read is refused.
+	// Without a beatTo address the response is empty. Invalid and oversized heartbeats are rejected.
 	s.beatTo = ""
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Beat/i-1", "", beat).Body.String(), qt.Equals, "{}")
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Beat/i-1", "", "{").Code, qt.Equals, http.StatusBadRequest)
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Beat/i-1", "", strings.Repeat(" ", 64<<10+1)).Code, qt.Equals, http.StatusBadRequest)
-	// The end of one is noted by its id.
+	// A leave request is passed on with the worker's id.
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Leave/i-1", "", "{}").Code, qt.Equals, http.StatusOK)
 	c.Assert(s.left, qt.Equals, "i-1")
-	// A member that is cut off acknowledges neither.
+	// A partitioned member acknowledges neither.
 	s.err = errors.New("cut off")
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Beat/i-1", "", beat).Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(call(s, http.MethodPost, "/v1/Servers.Leave/i-1", "", "{}").Code, qt.Equals, http.StatusServiceUnavailable)
