--- a/internal/control/member/callcounts.go
+++ b/internal/control/member/callcounts.go
@@ -33,16 +33,16 @@
 func (c *callCounts) report() []status.Calls {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var seen []callOutcome
+	var outcomes []callOutcome
 	for outcome := range c.counts {
-		seen = append(seen, outcome)
+		outcomes = append(outcomes, outcome)
 	}
-	slices.SortFunc(seen, func(a, b callOutcome) int {
+	slices.SortFunc(outcomes, func(a, b callOutcome) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.status, b.status))
 	})
-	told := make([]status.Calls, 0, len(seen))
-	for _, outcome := range seen {
-		told = append(told, status.Calls{Kind: outcome.kind.String(), Outcome: outcome.status.String(), Count: c.counts[outcome]})
+	calls := make([]status.Calls, 0, len(outcomes))
+	for _, outcome := range outcomes {
+		calls = append(calls, status.Calls{Kind: outcome.kind.String(), Outcome: outcome.status.String(), Count: c.counts[outcome]})
 	}
-	return told
+	return calls
 }
--- a/internal/control/member/coordinate.go
+++ b/internal/control/member/coordinate.go
@@ -23,20 +23,20 @@
 	// coordinationPartitions is how many they are. It must be the same at all members.
 	coordinationPartitions = 2
 
-	// callLimit bounds how long a call is worked on: callers wait for a second.
-	callLimit = 850 * time.Millisecond
-	// forwardLimit bounds one attempt at another member: the call goes on when that one is frozen or cut off.
-	forwardLimit = 350 * time.Millisecond
+	// callTimeout bounds how long a call is worked on: callers wait for a second.
+	callTimeout = 850 * time.Millisecond
+	// forwardTimeout bounds one attempt at another member: the call goes on when that one is frozen or cut off.
+	forwardTimeout = 350 * time.Millisecond
 	// watchSlice is how long a watch waits at the leader before the member that was asked looks again who leads.
 	watchSlice = 500 * time.Millisecond
-	// watchLook is how often a waiting watch looks whether its member still leads.
-	watchLook = 250 * time.Millisecond
-	// mostWatches bounds the watches that wait at a member.
-	mostWatches = 1024
+	// watchRecheckInterval is how often a waiting watch looks whether its member still leads.
+	watchRecheckInterval = 250 * time.Millisecond
+	// maxWatches bounds the watches that wait at a member.
+	maxWatches = 1024
 	// sweepInterval is how often old events and holdings are looked for.
 	sweepInterval = time.Second
-	// historyShare and historyMargin make the time for which events are remembered of the one that is promised.
-	historyShare  = 1.5
+	// historyFactor and historyMargin make the time for which events are remembered of the one that is promised.
+	historyFactor = 1.5
 	historyMargin = 5 * time.Second
 )
 
@@ -80,7 +80,7 @@
 
 // decide has a call answered that does not wait for others.
 func (c *coordinator) decide(ctx context.Context, call coordination.Call) coordination.Answer {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	unclear := false
 	for {
@@ -95,13 +95,13 @@
 		default:
 			return answer
 		}
-		if !pause(ctx, leaderPause) {
-			return notAnswered(unclear)
+		if !pause(ctx, leaderRetryInterval) {
+			return unansweredStatus(unclear)
 		}
 	}
 }
 
-func notAnswered(unclear bool) coordination.Answer {
+func unansweredStatus(unclear bool) coordination.Answer {
 	if unclear {
 		return coordination.Answer{Status: coordination.Unclear}
 	}
@@ -110,58 +110,58 @@
 
 // attempt has a call answered here, or by the leader where that is another member.
 func (c *coordinator) attempt(ctx context.Context, call coordination.Call) coordination.Answer {
-	answer, leader := c.lead(ctx, call)
+	answer, leader := c.executeAsLeader(ctx, call)
 	if answer.Status != coordination.Elsewhere || leader == "" {
 		return answer
 	}
-	limit := forwardLimit + time.Duration(call.QueueMS)*time.Millisecond
+	limit := forwardTimeout + time.Duration(call.QueueMS)*time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	told, err := callCoordinate.Call(ctx, c.member.client, leader, &call)
+	forwarded, err := callCoordinate.Call(ctx, c.member.client, leader, &call)
 	var failed *net.OpError
 	switch {
 	case err == nil:
-		return *told
+		return *forwarded
 	case errors.As(err, &failed) && failed.Op == "dial":
 		return coordination.Answer{Status: coordination.Elsewhere}
 	}
 	return coordination.Answer{Status: coordination.Unclear}
 }
 
-// serve answers a call that another member passed on.
-func (c *coordinator) serve(ctx context.Context, call *coordination.Call) (*coordination.Answer, error) {
-	answer, _ := c.lead(ctx, *call)
+// serveForwarded answers a call that another member passed on.
+func (c *coordinator) serveForwarded(ctx context.Context, call *coordination.Call) (*coordination.Answer, error) {
+	answer, _ := c.executeAsLeader(ctx, *call)
 	return &answer, nil
 }
 
-// lead answers a call, if this member leads its partition. Else it gives the address of the leader, if that is known.
-func (c *coordinator) lead(ctx context.Context, call coordination.Call) (coordination.Answer, string) {
+// executeAsLeader answers a call, if this member leads its partition. Else it gives the address of the leader, if that is known.
+func (c *coordinator) executeAsLeader(ctx context.Context, call coordination.Call) (coordination.Answer, string) {
 	group := coordinationGroup(call)
 	machine := c.machines[group]
 	switch call.Kind {
 	case coordination.ReadCell:
-		return c.look(ctx, group, func() coordination.Answer { return machine.state.Read(call.Name) })
+		return c.readAsLeader(ctx, group, func() coordination.Answer { return machine.state.Read(call.Name) })
 	case coordination.WatchCells:
-		return c.wait(ctx, group, call)
+		return c.awaitEvents(ctx, group, call)
 	case coordination.StartLock:
-		return c.start(ctx, group, call)
+		return c.startLock(ctx, group, call)
 	}
 	return c.propose(ctx, group, call, 0)
 }
 
-// look gives what a look at the partition's state tells, if this member leads it. A look may still run once the context has
+// readAsLeader gives what a readAsLeader at the partition's state tells, if this member leads it. A readAsLeader may still run once the context has
 // ended; nobody takes its answer then.
-func (c *coordinator) look(ctx context.Context, group partition.Group, at func() coordination.Answer) (coordination.Answer, string) {
-	told := make(chan coordination.Answer, 1)
-	if err := c.member.host.Read(ctx, group, func() { told <- at() }); err != nil {
-		return answered(coordination.Answer{}, err)
+func (c *coordinator) readAsLeader(ctx context.Context, group partition.Group, read func() coordination.Answer) (coordination.Answer, string) {
+	result := make(chan coordination.Answer, 1)
+	if err := c.member.host.Read(ctx, group, func() { result <- read() }); err != nil {
+		return answerOrStatus(coordination.Answer{}, err)
 	}
-	return <-told, ""
+	return <-result, ""
 }
 
-// start has a lock granted. A holding of another counts as lapsed by this leader's own clock alone, and the command names
+// startLock has a lock granted. A holding of another counts as lapsed by this leader's own clock alone, and the command names
 // it: if it was renewed meanwhile, or another leader granted the lock, the command changes nothing.
-func (c *coordinator) start(ctx context.Context, group partition.Group, call coordination.Call) (coordination.Answer, string) {
+func (c *coordinator) startLock(ctx context.Context, group partition.Group, call coordination.Call) (coordination.Answer, string) {
 	machine := c.machines[group]
 	var lapsed uint64
 	var held bool
@@ -169,7 +169,7 @@
 		lapsed, held = machine.ages.Lapsed(c.member.now(), machine.state, call.Name, call.Owner)
 	})
 	if err != nil || held {
-		return answered(coordination.Answer{Status: coordination.Held}, err)
+		return answerOrStatus(coordination.Answer{Status: coordination.Held}, err)
 	}
 	return c.propose(ctx, group, call, lapsed)
 }
@@ -185,11 +185,11 @@
 	if err == nil && !is {
 		return coordination.Answer{Status: coordination.Unclear}, ""
 	}
-	return answered(answer, err)
+	return answerOrStatus(answer, err)
 }
 
-// answered is an answer unless the partition's host failed to give one.
-func answered(answer coordination.Answer, err error) (coordination.Answer, string) {
+// answerOrStatus is an answer unless the partition's host failed to give one.
+func answerOrStatus(answer coordination.Answer, err error) (coordination.Answer, string) {
 	var elsewhere partition.ErrElsewhere
 	switch {
 	case err == nil:
@@ -202,7 +202,7 @@
 
 // sweep has what is old dropped until the context ends.
 func (c *coordinator) sweep(ctx context.Context) {
-	history := time.Duration(historyShare*float64(c.member.settings.Rules.History)) + historyMargin
+	history := time.Duration(historyFactor*float64(c.member.settings.Rules.History)) + historyMargin
 	periodic.Run(ctx, sweepInterval, func() {
 		for group, machine := range c.machines {
 			var sweep coordination.Sweep
@@ -224,7 +224,7 @@
 		c.member.log.Error().Err(err).Msg("a sweep can't be encoded")
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, _ = c.member.host.Propose(ctx, group, command)
 }
--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -153,7 +153,7 @@
 	if d.leftOut(balance.View().Reason) {
 		orders = nil
 	}
-	d.note(service, balance.View(), len(orders))
+	d.recordView(service, balance.View(), len(orders))
 	addresses := map[string]string{}
 	for _, worker := range workers {
 		addresses[worker.ID] = worker.Address
@@ -220,7 +220,7 @@
 	if err != nil {
 		panic(err) // a plain struct can always be encoded
 	}
-	proposing, cancel := context.WithTimeout(ctx, orderLimit)
+	proposing, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if _, err := d.member.host.Propose(proposing, group, command); err != nil {
 		return // it is not pending, so it is not sent
@@ -251,9 +251,9 @@
 		known = &survey{}
 		d.surveys[service] = known
 	}
-	due := known.due(workers)
-	known.take(workers, d.ask(ctx, due))
-	reports := known.all(workers)
+	due := known.nextWorkers(workers)
+	known.record(workers, d.ask(ctx, due))
+	reports := known.estimates(workers)
 	for i := range reports {
 		_, reports[i].Changing = d.pending[reports[i].ID]
 	}
--- a/internal/control/member/heartbeats.go
+++ b/internal/control/member/heartbeats.go
@@ -15,11 +15,11 @@
 	worker, known := m.registry.Find(beat.ID)
 	m.mu.Unlock()
 	if known {
-		if err := m.tell(ctx, worker, changed); err != nil {
+		if err := m.propagate(ctx, worker, changed); err != nil {
 			return "", err
 		}
 	}
-	if !m.isLed(leaderless) {
+	if !m.isLed(leaderlessTimeout) {
 		return "", Error.New("this member is cut off from the others: tell another one")
 	}
 	return m.beatTo(beat), nil
@@ -32,14 +32,14 @@
 	worker, known := m.registry.Find(id)
 	m.mu.Unlock()
 	if known {
-		return m.tell(ctx, worker, changed)
+		return m.propagate(ctx, worker, changed)
 	}
 	return nil
 }
 
-// tell has the fleet know of a worker's change. The news of one that ends is with a majority of the control members before
+// propagate has the fleet know of a worker's change. The news of one that ends is with a majority of the control members before
 // it is acknowledged: whichever of them are cut off or lost right after, one that routers hear has it and passes it on.
-func (m *Member) tell(ctx context.Context, worker registry.Worker, changed bool) error {
+func (m *Member) propagate(ctx context.Context, worker registry.Worker, changed bool) error {
 	entry := registry.EntryOf(worker)
 	if changed {
 		m.members.Node().Put(entry)
@@ -47,14 +47,14 @@
 	if worker.State == registry.Up || m.isConfirmed(worker) {
 		return nil
 	}
-	wanted := m.members.OthersForMajority(m.voters())
+	required := m.members.OthersForMajority(m.voters())
 	switch {
 	case m.faults.AcknowledgeAlone:
-		wanted = 0
+		required = 0
 	case m.faults.AcknowledgeByTwo:
-		wanted = 1
+		required = 1
 	}
-	if !m.members.Confirm(ctx, []replica.Entry{entry}, wanted, confirmLimit) {
+	if !m.members.Confirm(ctx, []replica.Entry{entry}, required, confirmTimeout) {
 		return Error.New("too few other control members hear of worker %s's end: tell another one", worker.ID)
 	}
 	m.mu.Lock()
--- a/internal/control/member/intent.go
+++ b/internal/control/member/intent.go
@@ -27,8 +27,8 @@
 	Fence   uint64 `cbor:"4,keyasint"`
 }
 
-// intentLimit bounds the intents that are remembered.
-const intentLimit = 256
+// maxIntents bounds the intents that are remembered.
+const maxIntents = 256
 
 // intentMachine holds the newest intent for each worker of a partition's services; it serves partition.StateMachine.
 type intentMachine struct {
@@ -41,15 +41,15 @@
 	if err := cbor.Unmarshal(command, &next); err != nil {
 		return nil // written by another release: the order is not known here
 	}
-	kept := s.newest[:0]
+	others := s.newest[:0]
 	for _, old := range s.newest {
 		if old.Worker != next.Worker {
-			kept = append(kept, old)
+			others = append(others, old)
 		}
 	}
-	s.newest = append(kept, next)
-	if over := len(s.newest) - intentLimit; over > 0 {
-		s.newest = append([]intent(nil), s.newest[over:]...)
+	s.newest = append(others, next)
+	if surplus := len(s.newest) - maxIntents; surplus > 0 {
+		s.newest = append([]intent(nil), s.newest[surplus:]...)
 	}
 	return nil
 }
--- a/internal/control/member/leave.go
+++ b/internal/control/member/leave.go
@@ -34,11 +34,11 @@
 	holds := m.host.Ending()
 	var waits []status.Wait
 	for _, number := range slices.Sorted(maps.Keys(holds)) {
-		why := holds[number].String()
+		reason := holds[number].String()
 		if holds[number] == reconfigure.HoldNone {
-			why = "the answer of its leader"
+			reason = "the answer of its leader"
 		}
-		waits = append(waits, status.Wait{Partition: partitionName(number), For: why})
+		waits = append(waits, status.Wait{Partition: partitionName(number), For: reason})
 	}
 	return waits
 }
--- a/internal/control/member/locklist.go
+++ b/internal/control/member/locklist.go
@@ -40,7 +40,7 @@
 
 // handle serves the calls of other members and of operators.
 func (c *coordinator) handle(mux *http.ServeMux) {
-	callCoordinate.Handle(mux, c.serve)
+	callCoordinate.Handle(mux, c.serveForwarded)
 	CallLocks.Handle(mux, c.locks)
 	CallApplication.Handle(mux, func(ctx context.Context, call *coordination.Call) (*coordination.Answer, error) {
 		answer := c.Do(ctx, *call)
@@ -53,22 +53,22 @@
 	if question.Group != 0 {
 		return c.locksOf(ctx, question.Group)
 	}
-	all := &LocksAnswer{}
+	listed := &LocksAnswer{}
 	for group := range c.machines {
-		ctx, cancel := context.WithTimeout(ctx, callLimit)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		answer, err := atLeader(ctx, func() (*LocksAnswer, error) { return c.locksOf(ctx, group) },
 			func(leader string) (*LocksAnswer, error) {
 				return CallLocks.Call(ctx, c.member.client, leader, &LocksQuestion{Group: group})
 			})
 		cancel()
 		if err != nil {
-			all.Unknown = append(all.Unknown, partitionName(group))
+			listed.Unknown = append(listed.Unknown, partitionName(group))
 			continue
 		}
-		all.Locks = append(all.Locks, answer.Locks...)
+		listed.Locks = append(listed.Locks, answer.Locks...)
 	}
-	slices.SortFunc(all.Locks, func(a, b LockHeld) int { return cmp.Compare(a.Name, b.Name) })
-	return all, nil
+	slices.SortFunc(listed.Locks, func(a, b LockHeld) int { return cmp.Compare(a.Name, b.Name) })
+	return listed, nil
 }
 
 // locksOf lists those of one partition, if this member leads it.
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -38,45 +38,45 @@
 	fanOut = 3
 	// lapseInterval is how often silent workers are looked for.
 	lapseInterval = 500 * time.Millisecond
-	// silentBeats is how many heartbeats of a worker may be missing before it lapses.
-	silentBeats = 4
-	// confirmLimit is how long the acknowledgement of a leaving worker waits for other control members.
-	confirmLimit = 400 * time.Millisecond
-	// leaderless is how long a member without a leader still acknowledges heartbeats. After that it takes them and has
+	// maxMissedBeats is how many heartbeats of a worker may be missing before it lapses.
+	maxMissedBeats = 4
+	// confirmTimeout is how long the acknowledgement of a leaving worker waits for other control members.
+	confirmTimeout = 400 * time.Millisecond
+	// leaderlessTimeout is how long a member without a leader still acknowledges heartbeats. After that it takes them and has
 	// their workers go on to another member: those that it is cut off from would take the workers for lost.
-	leaderless = 2 * time.Second
-	// ledLimit is how long ago a member may have known a leader and still say so to routers.
-	ledLimit = 500 * time.Millisecond
-	// headerLimit bounds the time that a caller may take to send the head of a call.
-	headerLimit = 5 * time.Second
+	leaderlessTimeout = 2 * time.Second
+	// ledTimeout is how long ago a member may have known a leader and still say so to routers.
+	ledTimeout = 500 * time.Millisecond
+	// headerTimeout bounds the time that a caller may take to send the head of a call.
+	headerTimeout = 5 * time.Second
 )
 
 // Member is the process.
 type Member struct {
-	settings *boot.Settings
-	network  network.Network
-	disk     Disk
-	log      zerolog.Logger
-	client   *rpc.Client
-	members  *membership.Membership
-	began    time.Time
-	address  string
-	servers  []*rpc.Server
-	steering *http.Server
-	orders   *orders
+	settings  *boot.Settings
+	network   network.Network
+	disk      Disk
+	log       zerolog.Logger
+	client    *rpc.Client
+	members   *membership.Membership
+	startedAt time.Time
+	address   string
+	servers   []*rpc.Server
+	steering  *http.Server
+	orders    *orders
 	// coordination serves applications' locks, numbers and keys; nil where they are not promised
 	coordination *coordinator
 	host         *partition.Host
 	stopHost     context.CancelFunc
-	lines        status.Log // may be nil
+	logLines     status.Log // may be nil
 	faults       Faults
 	views        views // of the duty, for operators
 
-	mu        sync.Mutex
-	registry  *registry.Registry
-	kept      uint64                    // revision of the view that is on disk
-	confirmed map[string]registry.State // of workers that end, as a majority of the members knows it
-	past      *tombstone.Keeper         // of orders to workers that are not known
+	mu            sync.Mutex
+	registry      *registry.Registry
+	savedRevision uint64                    // revision of the view that is on disk
+	confirmed     map[string]registry.State // of workers that end, as a majority of the members knows it
+	pastOrders    *tombstone.Keeper         // of orders to workers that are not known
 }
 
 // Disk is where a member keeps its partitions.
@@ -86,12 +86,12 @@
 }
 
 // New makes a control member on a machine's network and disk.
-func New(settings *boot.Settings, over network.Network, disk Disk, log zerolog.Logger) *Member {
-	m := &Member{settings: settings, network: over, disk: disk, log: log, client: rpc.NewClient(over), began: time.Now()}
+func New(settings *boot.Settings, transport network.Network, disk Disk, log zerolog.Logger) *Member {
+	m := &Member{settings: settings, network: transport, disk: disk, log: log, client: rpc.NewClient(transport), startedAt: time.Now()}
 	m.confirmed = map[string]registry.State{}
 	m.address = membership.InsideAddress(settings.IP, settings.InsidePorts, membership.PortControl)
-	m.past = tombstone.New()
-	m.registry = registry.New(registry.Config{Self: settings.Node, Silence: silentBeats * settings.HeartbeatInterval})
+	m.pastOrders = tombstone.New()
+	m.registry = registry.New(registry.Config{Self: settings.Node, Silence: maxMissedBeats * settings.HeartbeatInterval})
 	m.members = membership.New(membership.Config{
 		Prefix: topic.Controls,
 		Self: topic.Peer{
@@ -105,15 +105,15 @@
 		FanOut:   fanOut,
 		Client:   m.client,
 		Log:      log,
-		OnNews:   m.news,
+		OnNews:   m.mergeUpdates,
 		Led:      func() bool { return m.standing() == message.Led },
 	})
 	m.members.Node().TellStanding(m.standing)
 	return m
 }
 
-// openRetry is how long the member waits until it opens its disk again after the disk refused.
-const openRetry = 200 * time.Millisecond
+// openRetryInterval is how long the member waits until it opens its disk again after the disk refused.
+const openRetryInterval = 200 * time.Millisecond
 
 // open opens the partitions on the member's disk, again and again while the disk refuses writes.
 func (m *Member) open(ctx context.Context) error {
@@ -147,7 +147,7 @@
 			return err
 		}
 		m.log.Warn().Err(err).Msg("the disk refuses writes")
-		if !pause(ctx, openRetry) {
+		if !pause(ctx, openRetryInterval) {
 			return err
 		}
 	}
@@ -173,8 +173,8 @@
 	ringSegments = 4
 	// ringShare is the share of the disk that they take.
 	ringShare = 0.5
-	// mostSegmentBytes and leastSegmentBytes bound one of them. The largest order has to fit.
-	mostSegmentBytes, leastSegmentBytes = 16 << 20, 1 << 20
+	// maxSegmentBytes and minSegmentBytes bound one of them. The largest order has to fit.
+	maxSegmentBytes, minSegmentBytes = 16 << 20, 1 << 20
 )
 
 // sizes are those of the disk log: given ones, or such that it takes its share of the disk.
@@ -183,7 +183,7 @@
 		return m.disk.Sizes
 	}
 	bytes := int64(ringShare * float64(m.settings.Limits.DiskMB) * (1 << 20) / ringSegments)
-	return disklog.Options{Segments: ringSegments, SegmentBytes: min(max(bytes, leastSegmentBytes), mostSegmentBytes)}
+	return disklog.Options{Segments: ringSegments, SegmentBytes: min(max(bytes, minSegmentBytes), maxSegmentBytes)}
 }
 
 // founders are the members that the starters of the very first boot file become.
@@ -222,15 +222,15 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	m.steering = &http.Server{Handler: m.steeringHandler(), ReadHeaderTimeout: headerLimit}
+	m.steering = &http.Server{Handler: m.steeringHandler(), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = m.steering.Serve(listener) }() // ends with Close
-	m.remember()
-	hosting, stop := context.WithCancel(context.WithoutCancel(ctx))
+	m.restoreRegistry()
+	hostContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	m.stopHost = stop
-	go m.host.Run(hosting) // it takes part until Close
+	go m.host.Run(hostContext) // it takes part until Close
 	m.members.Join(ctx)
 	m.members.Announce()
-	go m.lapses(ctx)
+	go m.runLapses(ctx)
 	go newDuty(m).run(ctx)
 	if m.coordination != nil {
 		go m.coordination.sweep(ctx)
@@ -257,18 +257,18 @@
 	m.stopHost()
 }
 
-func (m *Member) now() time.Duration { return time.Since(m.began) }
+func (m *Member) now() time.Duration { return time.Since(m.startedAt) }
 
 // isLed tells whether, within the limit, this member heard of the leaders of all partitions and is heard itself: by a
 // majority, if it leads, or by another member that is led.
 func (m *Member) isLed(limit time.Duration) bool {
-	return m.host.Led(limit) && (m.host.Leads() || m.members.InContact(leaderless))
+	return m.host.Led(limit) && (m.host.Leads() || m.members.InContact(leaderlessTimeout))
 }
 
 // standing is what stands behind this member's copy of the fleet's state.
 func (m *Member) standing() message.Standing {
 	switch {
-	case m.isLed(ledLimit):
+	case m.isLed(ledTimeout):
 		return message.Led
 	case m.host.Voter():
 		return message.Durable
@@ -276,15 +276,15 @@
 	return message.Hearsay
 }
 
-// news takes what other members tell of workers.
-func (m *Member) news(news []replica.Entry) {
+// mergeUpdates takes what other members tell of workers.
+func (m *Member) mergeUpdates(updates []replica.Entry) {
 	m.mu.Lock()
-	changed := m.registry.Merge(m.now(), news)
+	changed := m.registry.Merge(m.now(), updates)
 	m.mu.Unlock()
-	m.put(changed)
+	m.publishWorkers(changed)
 }
 
-func (m *Member) put(changed []registry.Worker) {
+func (m *Member) publishWorkers(changed []registry.Worker) {
 	if len(changed) == 0 {
 		return
 	}
@@ -295,11 +295,11 @@
 	m.members.Node().Put(entries...)
 }
 
-// lapses looks for workers that fell silent, and forgets those that are long gone.
-func (m *Member) lapses(ctx context.Context) {
+// runLapses looks for workers that fell silent, and forgets those that are long gone.
+func (m *Member) runLapses(ctx context.Context) {
 	periodic.Run(ctx, lapseInterval, func() {
 		m.lapse()
-		m.keep()
+		m.saveRegistry()
 	})
 }
 
@@ -313,12 +313,12 @@
 	for _, key := range forgotten {
 		delete(m.confirmed, topic.Node(key))
 	}
-	forgotten = append(forgotten, m.past.Expire(now, topic.PastOrders(snapshot))...)
+	forgotten = append(forgotten, m.pastOrders.Expire(now, topic.PastOrders(snapshot))...)
 	m.mu.Unlock()
 	for _, worker := range changed {
 		m.log.Info().Str("worker", worker.ID).Str("service", worker.Service).Msg("worker lapsed: no heartbeat")
 	}
-	m.put(changed)
+	m.publishWorkers(changed)
 	if len(forgotten) > 0 {
 		m.members.Node().Forget(forgotten...)
 	}
--- a/internal/control/member/orders.go
+++ b/internal/control/member/orders.go
@@ -15,11 +15,11 @@
 const settingsGroup partition.Group = 0
 
 const (
-	// orderLimit bounds how long an order is worked on before its caller is told that it is unclear: callers wait for
+	// orderTimeout bounds how long an order is worked on before its caller is told that it is unclear: callers wait for
 	// a second.
-	orderLimit = 900 * time.Millisecond
-	// leaderPause is how long a member without a leader waits until it looks again.
-	leaderPause = 40 * time.Millisecond
+	orderTimeout = 900 * time.Millisecond
+	// leaderRetryInterval is how long a member without a leader waits until it looks again.
+	leaderRetryInterval = 40 * time.Millisecond
 )
 
 // orders has the operator's orders decided by the leader of the configuration's partition, wherever they come in.
@@ -35,21 +35,21 @@
 }
 
 func (o *orders) handle(mux *http.ServeMux) {
-	message.CallOrder.Handle(mux, o.lead)
-	message.CallRead.Handle(mux, o.leadRead)
-	message.CallConfirm.Handle(mux, o.newest)
+	message.CallOrder.Handle(mux, o.proposeAsLeader)
+	message.CallRead.Handle(mux, o.readAsLeader)
+	message.CallConfirm.Handle(mux, o.readCurrent)
 }
 
 // Submit serves steering.Settings.
 func (o *orders) Submit(ctx context.Context, order configstate.Order) (configstate.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	encoded, err := order.Encode()
 	if err != nil {
 		return configstate.Outcome{}, Error.Wrap(err)
 	}
 	question := &message.Order{Order: encoded}
-	answer, err := atLeader(ctx, func() (*message.OrderAnswer, error) { return o.lead(ctx, question) },
+	answer, err := atLeader(ctx, func() (*message.OrderAnswer, error) { return o.proposeAsLeader(ctx, question) },
 		func(leader string) (*message.OrderAnswer, error) {
 			return message.CallOrder.Call(ctx, o.member.client, leader, question)
 		})
@@ -65,18 +65,18 @@
 
 // Read serves steering.Settings.
 func (o *orders) Read(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answer, err := o.newest(ctx, &message.Read{})
+	answer, err := o.readCurrent(ctx, &message.Read{})
 	if err != nil {
 		return nil, err
 	}
 	return answer.Document, nil
 }
 
-// newest gives the newest document as the leader knows it under its lease.
-func (o *orders) newest(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
-	return atLeader(ctx, func() (*message.ReadAnswer, error) { return o.leadRead(ctx, question) },
+// readCurrent gives the readCurrent document as the leader knows it under its lease.
+func (o *orders) readCurrent(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
+	return atLeader(ctx, func() (*message.ReadAnswer, error) { return o.readAsLeader(ctx, question) },
 		func(leader string) (*message.ReadAnswer, error) {
 			return message.CallRead.Call(ctx, o.member.client, leader, question)
 		})
@@ -84,17 +84,17 @@
 
 // atLeader has a call answered here, or by the leader where that is another member, until the context ends. Calls may be
 // made again: an order that was taken is recognised.
-func atLeader[Answer any](ctx context.Context, here func() (*Answer, error), there func(leader string) (*Answer, error)) (*Answer, error) {
+func atLeader[Answer any](ctx context.Context, local func() (*Answer, error), remote func(leader string) (*Answer, error)) (*Answer, error) {
 	for {
-		answer, err := here()
+		answer, err := local()
 		var elsewhere partition.ErrElsewhere
 		if errors.As(err, &elsewhere) && elsewhere.Leader.Address != "" {
-			answer, err = there(elsewhere.Leader.Address)
+			answer, err = remote(elsewhere.Leader.Address)
 		}
 		if err == nil {
 			return answer, nil
 		}
-		if !pause(ctx, leaderPause) {
+		if !pause(ctx, leaderRetryInterval) {
 			return nil, err
 		}
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// lead decides an order, if this member leads the partition.
-func (o *orders) lead(ctx context.Context, question *message.Order) (*message.OrderAnswer, error) {
+// proposeAsLeader decides an order, if this member leads the partition.
+func (o *orders) proposeAsLeader(ctx context.Context, question *message.Order) (*message.OrderAnswer, error) {
 	value, err := o.member.host.Propose(ctx, settingsGroup, question.Order)
 	if err != nil {
 		return nil, err
@@ -127,8 +127,8 @@
 	return answer, nil
 }
 
-// leadRead gives the newest document, if this member leads the partition.
-func (o *orders) leadRead(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
+// readAsLeader gives the newest document, if this member leads the partition.
+func (o *orders) readAsLeader(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
 	answer := &message.ReadAnswer{}
 	read := o.member.host.Read
 	if o.member.faults.ReadUnconfirmed {
--- a/internal/control/member/recall.go
+++ b/internal/control/member/recall.go
@@ -7,29 +7,29 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// keep has the disk keep the registry of workers, if it has changed. A worker's heartbeats would bring it back within a
+// saveRegistry has the disk saveRegistry the registry of workers, if it has changed. A worker's heartbeats would bring it back within a
 // moment, but in that moment a fleet that starts as a whole could serve nobody.
-func (m *Member) keep() {
+func (m *Member) saveRegistry() {
 	m.mu.Lock()
 	revision := m.registry.View().Revision()
 	entries := m.registry.Entries()
 	m.mu.Unlock()
-	if revision == m.kept {
+	if revision == m.savedRevision {
 		return
 	}
-	m.kept = revision
-	note, err := cbor.Marshal(entries)
+	m.savedRevision = revision
+	encoded, err := cbor.Marshal(entries)
 	if err != nil {
 		panic(err) // plain structs can always be encoded
 	}
-	m.host.Keep(note)
+	m.host.Keep(encoded)
 }
 
-// remember takes the workers that the disk knows. Those that are gone by now lapse like any other.
-func (m *Member) remember() {
+// restoreRegistry takes the workers that the disk knows. Those that are gone by now lapse like any other.
+func (m *Member) restoreRegistry() {
 	var entries []replica.Entry
-	if note := m.host.Note(); len(note) > 0 {
-		if err := cbor.Unmarshal(note, &entries); err != nil {
+	if encoded := m.host.Note(); len(encoded) > 0 {
+		if err := cbor.Unmarshal(encoded, &entries); err != nil {
 			m.log.Warn().Err(err).Msg("the registry on disk can't be read; heartbeats will bring it back")
 			return
 		}
@@ -37,9 +37,9 @@
 	m.mu.Lock()
 	known := m.registry.Merge(m.now(), entries)
 	m.mu.Unlock()
-	told := make([]replica.Entry, 0, len(known))
+	published := make([]replica.Entry, 0, len(known))
 	for _, worker := range known {
-		told = append(told, registry.EntryOf(worker))
+		published = append(published, registry.EntryOf(worker))
 	}
-	m.members.Node().Put(told...)
+	m.members.Node().Put(published...)
 }
--- a/internal/control/member/remains.go
+++ b/internal/control/member/remains.go
@@ -15,8 +15,8 @@
 // Remains is what the disk of a stopped control member holds, for operators who lost a majority of the disks. Use
 // OpenRemains, then Close.
 type Remains struct {
-	held     *partition.Remains
-	settings *settingsMachine
+	partitions *partition.Remains
+	settings   *settingsMachine
 }
 
 // OpenRemains reads the disk of a control member that does not run.
@@ -28,22 +28,22 @@
 		now := func() time.Duration { return 0 } // nothing lapses while the member is stopped
 		machines[firstCoordinationGroup+number] = newCoordinationMachine(now, zerolog.Nop(), coordination.Faults{})
 	}
-	held, err := partition.OpenRemains(files, machines)
+	opened, err := partition.OpenRemains(files, machines)
 	if err != nil {
 		return nil, err
 	}
-	r.held = held
+	r.partitions = opened
 	return r, nil
 }
 
 // Close lets go of the disk.
-func (r *Remains) Close() error { return r.held.Close() }
+func (r *Remains) Close() error { return r.partitions.Close() }
 
 // Self is the member whose disk it is.
-func (r *Remains) Self() consensus.Member { return r.held.Self() }
+func (r *Remains) Self() consensus.Member { return r.partitions.Self() }
 
 // Groups lists what it holds of each partition.
-func (r *Remains) Groups() []partition.GroupRemains { return r.held.Groups() }
+func (r *Remains) Groups() []partition.GroupRemains { return r.partitions.Groups() }
 
 // Name says what a partition holds.
 func (r *Remains) Name(number partition.Group) string { return partitionName(number) }
@@ -51,7 +51,7 @@
 // Restore makes the disk the only member of all partitions, with all that it holds; see partition.Remains. It gives the
 // configuration in force from then on.
 func (r *Remains) Restore() (status.Configuration, error) {
-	if err := r.held.Restore(); err != nil {
+	if err := r.partitions.Restore(); err != nil {
 		return status.Configuration{}, err
 	}
 	state := &r.settings.state
--- a/internal/control/member/settings.go
+++ b/internal/control/member/settings.go
@@ -24,13 +24,13 @@
 	}
 	outcome := s.state.Apply(index, order)
 	if outcome.Status == configstate.Taken {
-		s.tell()
+		s.publishCurrent()
 	}
 	return outcome
 }
 
-// tell has the fleet know of the configuration in force.
-func (s *settingsMachine) tell() {
+// publishCurrent has the fleet know of the configuration in force.
+func (s *settingsMachine) publishCurrent() {
 	if current := s.state.Current(); current != nil {
 		s.publish(s.state.Index(), current.Raw())
 	}
@@ -48,7 +48,7 @@
 	if err := s.state.Restore(snapshot); err != nil {
 		return err
 	}
-	s.tell()
+	s.publishCurrent()
 	return nil
 }
 
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -15,12 +15,12 @@
 )
 
 // ShowLog has the member give its log lines to operators who ask; call it before Run.
-func (m *Member) ShowLog(lines status.Log) { m.lines = lines }
+func (m *Member) ShowLog(lines status.Log) { m.logLines = lines }
 
 // handleStatus serves what operators ask.
 func (m *Member) handleStatus(mux *http.ServeMux) {
 	status.CallStatus.Handle(mux, m.report)
-	status.HandleLog(mux, m.lines)
+	status.HandleLog(mux, m.logLines)
 }
 
 // report is what the member knows.
@@ -54,15 +54,15 @@
 
 // orderMemory is how much this member remembers of orders; nil where it does not answer in time.
 func (m *Member) orderMemory(ctx context.Context) *status.OrderMemory {
-	told := &status.OrderMemory{MostTaken: configstate.MaxRemembered, MostRefused: configstate.MaxRefused}
+	reported := &status.OrderMemory{MostTaken: configstate.MaxRemembered, MostRefused: configstate.MaxRefused}
 	err := m.host.ReadUnconfirmed(ctx, settingsGroup, func() {
 		memory := m.orders.machine.state.Memory()
-		told.Taken, told.Forgotten, told.Refused = memory.Taken, memory.Forgotten, memory.Refused
+		reported.Taken, reported.Forgotten, reported.Refused = memory.Taken, memory.Forgotten, memory.Refused
 	})
 	if err != nil {
 		return nil
 	}
-	return told
+	return reported
 }
 
 func diskOf(stats disklog.Stats) *status.Disk {
@@ -87,7 +87,7 @@
 }
 
 func partitionOf(group partition.GroupStatus, now time.Duration) status.Partition {
-	told := status.Partition{
+	reported := status.Partition{
 		Number:     uint32(group.Number),
 		Name:       partitionName(group.Number),
 		Role:       group.Role.String(),
@@ -103,12 +103,12 @@
 	}
 	progress := progressOf(group.Members, now)
 	for _, voter := range group.Membership.Voters {
-		told.Members = append(told.Members, memberOf(voter, true, group.Self, progress))
+		reported.Members = append(reported.Members, memberOf(voter, true, group.Self, progress))
 	}
 	for _, learner := range group.Membership.Learners {
-		told.Members = append(told.Members, memberOf(learner, false, group.Self, progress))
+		reported.Members = append(reported.Members, memberOf(learner, false, group.Self, progress))
 	}
-	return told
+	return reported
 }
 
 func memberOf(member consensus.Member, voter bool, self consensus.MemberID, progress map[consensus.MemberID]*status.Progress) status.Member {
@@ -126,11 +126,11 @@
 func progressOf(members []consensus.MemberStatus, now time.Duration) map[consensus.MemberID]*status.Progress {
 	progress := make(map[consensus.MemberID]*status.Progress, len(members))
 	for _, member := range members {
-		seen := &status.Progress{State: member.State.String(), Match: uint64(member.Match), Heard: member.Contacted}
+		entry := &status.Progress{State: member.State.String(), Match: uint64(member.Match), Heard: member.Contacted}
 		if member.Contacted {
-			seen.SilentMS = (now - member.LastContact).Milliseconds()
+			entry.SilentMS = (now - member.LastContact).Milliseconds()
 		}
-		progress[member.Member.ID] = seen
+		progress[member.Member.ID] = entry
 	}
 	return progress
 }
--- a/internal/control/member/status_test.go
+++ b/internal/control/member/status_test.go
@@ -19,7 +19,7 @@
 	three = consensus.Member{ID: 3, Address: "10.0.0.3:7700", Node: "control-3"}
 )
 
-func TestALeaderReportsTheOthersProgress(t *testing.T) {
+func TestLeaderReportsMemberProgress(t *testing.T) {
 	c := qt.New(t)
 	// Given the leader of the configuration's partition, with a voter that answers and a learner that never has
 	led := partition.GroupStatus{Number: settingsGroup, Status: consensus.Status{
@@ -32,9 +32,9 @@
 		},
 	}}
 	// when it reports
-	told := partitionOf(led, time.Second)
+	reported := partitionOf(led, time.Second)
 	// then it tells where the partition stands and how long ago it heard of each.
-	c.Assert(told, qt.DeepEquals, status.Partition{
+	c.Assert(reported, qt.DeepEquals, status.Partition{
 		Number: 0, Name: "configuration", Role: "leader", Term: 4, Leader: one.Address,
 		Commit: 9, Applied: 8, Last: 10, Stable: 7, Snapshot: 6, Pending: true, DiskFailed: true,
 		Members: []status.Member{
@@ -46,23 +46,23 @@
 	})
 }
 
-func TestAFollowerReportsNoProgress(t *testing.T) {
+func TestFollowerReportsNoProgress(t *testing.T) {
 	c := qt.New(t)
 	// Given a follower in a partition of services that knows no leader, when it reports
 	following := partition.GroupStatus{Number: firstServiceGroup + 1, Status: consensus.Status{
 		Self: two.ID, Role: consensus.RoleFollower,
 		Membership: consensus.Membership{Voters: []consensus.Member{one, two}},
 	}}
-	told := partitionOf(following, time.Second)
+	reported := partitionOf(following, time.Second)
 	// then it names the partition and tells no leader and no progress.
-	c.Assert(told.Name, qt.Equals, "services-2")
-	c.Assert(told.Leader, qt.Equals, "")
-	for _, member := range told.Members {
+	c.Assert(reported.Name, qt.Equals, "services-2")
+	c.Assert(reported.Leader, qt.Equals, "")
+	for _, member := range reported.Members {
 		c.Check(member.Progress, qt.IsNil)
 	}
 }
 
-func TestTheDisksPositionIsReported(t *testing.T) {
+func TestDiskPositionIsReported(t *testing.T) {
 	c := qt.New(t)
 	// Given where a log stands, when it is reported, then nothing of it is lost.
 	stats := disklog.Stats{Segment: 1, Generation: 5, UsedBytes: 100, FreeBytes: 900, Sequence: 44}
--- a/internal/control/member/survey.go
+++ b/internal/control/member/survey.go
@@ -5,9 +5,9 @@
 	"sumacloft/internal/control/registry"
 )
 
-// mostReports is how many workers of a service are asked for their reports in one round. With more of them rounds take turns,
+// maxReportsPerRound is how many workers of a service are asked for their reports in one round. With more of them rounds take turns,
 // so that the owner's work does not grow with the workers; the shares of phases need the mean, not each report.
-const mostReports = 100
+const maxReportsPerRound = 100
 
 // survey holds the latest reports of a service's workers.
 type survey struct {
@@ -15,22 +15,22 @@
 	next   int                      // place of the first worker to ask in the next round
 }
 
-// due are the workers to ask in this round.
-func (s *survey) due(workers []registry.Worker) []registry.Worker {
-	if len(workers) <= mostReports {
+// nextWorkers are the workers to ask in this round.
+func (s *survey) nextWorkers(workers []registry.Worker) []registry.Worker {
+	if len(workers) <= maxReportsPerRound {
 		return workers
 	}
-	due := make([]registry.Worker, 0, mostReports)
-	for range mostReports {
+	selected := make([]registry.Worker, 0, maxReportsPerRound)
+	for range maxReportsPerRound {
 		s.next %= len(workers)
-		due = append(due, workers[s.next])
+		selected = append(selected, workers[s.next])
 		s.next++
 	}
-	return due
+	return selected
 }
 
-// take keeps reports that have come, and forgets workers that are gone.
-func (s *survey) take(workers []registry.Worker, reports []phases.Worker) {
+// record keeps reports that have come, and forgets workers that are gone.
+func (s *survey) record(workers []registry.Worker, reports []phases.Worker) {
 	latest := make(map[string]phases.Worker, len(workers))
 	for _, worker := range workers {
 		if known, found := s.latest[worker.ID]; found && known.Phase == worker.Phase {
@@ -43,19 +43,19 @@
 	s.latest = latest
 }
 
-// all describes each worker by its latest report; one without a report in its phase by the mean of that phase.
-func (s *survey) all(workers []registry.Worker) []phases.Worker {
+// estimates describes each worker by its latest report; one without a report in its phase by the mean of that phase.
+func (s *survey) estimates(workers []registry.Worker) []phases.Worker {
 	means := s.means()
-	described := make([]phases.Worker, 0, len(workers))
+	estimated := make([]phases.Worker, 0, len(workers))
 	for _, worker := range workers {
-		one, found := s.latest[worker.ID]
+		report, found := s.latest[worker.ID]
 		if !found {
-			one = means[worker.Phase]
-			one.ID, one.Zone, one.Phase, one.Capacity = worker.ID, worker.Zone, worker.Phase, worker.Capacity
+			report = means[worker.Phase]
+			report.ID, report.Zone, report.Phase, report.Capacity = worker.ID, worker.Zone, worker.Phase, worker.Capacity
 		}
-		described = append(described, one)
+		estimated = append(estimated, report)
 	}
-	return described
+	return estimated
 }
 
 // means are what workers report on the average, by phase.
--- a/internal/control/member/survey_test.go
+++ b/internal/control/member/survey_test.go
@@ -10,8 +10,8 @@
 	"sumacloft/internal/control/registry"
 )
 
-// many are so many workers, every second of which writes.
-func many(count int) []registry.Worker {
+// makeWorkers are so makeWorkers workers, every second of which writes.
+func makeWorkers(count int) []registry.Worker {
 	workers := make([]registry.Worker, 0, count)
 	for number := range count {
 		phase := phases.Reading
@@ -23,8 +23,8 @@
 	return workers
 }
 
-// reported are reports in which writers run 30 requests and readers 2.
-func reported(workers []registry.Worker) []phases.Worker {
+// makeReports are reports in which writers run 30 requests and readers 2.
+func makeReports(workers []registry.Worker) []phases.Worker {
 	reports := make([]phases.Worker, 0, len(workers))
 	for _, worker := range workers {
 		report := phases.Worker{ID: worker.ID, Zone: worker.Zone, Phase: worker.Phase, Capacity: worker.Capacity, Working: 2}
@@ -36,25 +36,25 @@
 	return reports
 }
 
-func TestFewWorkersAreAllAskedInEachRound(t *testing.T) {
+func TestFewWorkersAreAllSampledEachRound(t *testing.T) {
 	c := qt.New(t)
-	workers := many(mostReports)
+	workers := makeWorkers(maxReportsPerRound)
 	var s survey
 	for range 3 {
-		c.Assert(s.due(workers), qt.DeepEquals, workers)
+		c.Assert(s.nextWorkers(workers), qt.DeepEquals, workers)
 	}
 }
 
-func TestManyWorkersAreAskedInTurns(t *testing.T) {
+func TestManyWorkersAreSampledInRotation(t *testing.T) {
 	c := qt.New(t)
 	// Given more workers than a round asks
-	workers := many(5*mostReports/2 + 1)
+	workers := makeWorkers(5*maxReportsPerRound/2 + 1)
 	var s survey
 	asked := map[string]int{}
 	// when three rounds have passed
 	for range 3 {
-		due := s.due(workers)
-		c.Assert(due, qt.HasLen, mostReports)
+		due := s.nextWorkers(workers)
+		c.Assert(due, qt.HasLen, maxReportsPerRound)
 		for _, worker := range due {
 			asked[worker.ID]++
 		}
@@ -66,20 +66,20 @@
 	}
 }
 
-func TestWorkerThatWasNotAskedCountsAsTheMeanOfItsPhase(t *testing.T) {
+func TestWorkerWithoutReportGetsMeanOfItsPhase(t *testing.T) {
 	c := qt.New(t)
 	// Given many workers of which one round has asked some, and one of which has changed its phase since
-	workers := many(3 * mostReports)
+	workers := makeWorkers(3 * maxReportsPerRound)
 	var s survey
-	due := s.due(workers)
-	s.take(workers, reported(due))
+	due := s.nextWorkers(workers)
+	s.record(workers, makeReports(due))
 	workers[0].Phase = phases.Reading
-	s.take(workers, nil)
-	// when all are described
-	described := s.all(workers)
+	s.record(workers, nil)
+	// when all are estimated
+	estimated := s.estimates(workers)
 	// then each is what workers of its phase report.
-	c.Assert(described, qt.DeepEquals, reported(workers))
+	c.Assert(estimated, qt.DeepEquals, makeReports(workers))
 	// And workers that are gone are forgotten.
-	s.take(workers[:10], nil)
+	s.record(workers[:10], nil)
 	c.Assert(len(s.latest) <= 10, qt.IsTrue)
 }
--- a/internal/control/member/views.go
+++ b/internal/control/member/views.go
@@ -21,16 +21,16 @@
 	orders int // given by this member since it took up the duty
 }
 
-// take notes what a balance saw, and how many orders it gave. It tells whether its reason is another than before.
-func (v *views) take(service string, seen phases.View, orders int) (changed bool) {
+// record notes what a balance saw, and how many orders it gave. It tells whether its reason is another than before.
+func (v *views) record(service string, observed phases.View, orders int) (changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.latest == nil {
 		v.latest = map[string]view{}
 	}
 	before := v.latest[service]
-	v.latest[service] = view{View: seen, orders: before.orders + orders}
-	return before.Reason != seen.Reason
+	v.latest[service] = view{View: observed, orders: before.orders + orders}
+	return before.Reason != observed.Reason
 }
 
 // forget drops a service that another member looks after.
@@ -44,40 +44,40 @@
 func (v *views) report() []status.Balance {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var told []status.Balance
+	var balances []status.Balance
 	for _, service := range slices.Sorted(maps.Keys(v.latest)) {
-		seen := v.latest[service]
-		told = append(told, status.Balance{
+		latest := v.latest[service]
+		balances = append(balances, status.Balance{
 			Service:       service,
-			Readers:       seen.Readers,
-			Writers:       seen.Writers,
-			ReadersInUse:  seen.ReadersInUse,
-			WritersInUse:  seen.WritersInUse,
-			ReadPressure:  seen.ReadPressure,
-			WritePressure: seen.WritePressure,
-			ReadsQueued:   seen.ReadsQueued,
-			Target:        seen.Target,
-			Reason:        string(seen.Reason),
-			Orders:        seen.orders,
+			Readers:       latest.Readers,
+			Writers:       latest.Writers,
+			ReadersInUse:  latest.ReadersInUse,
+			WritersInUse:  latest.WritersInUse,
+			ReadPressure:  latest.ReadPressure,
+			WritePressure: latest.WritePressure,
+			ReadsQueued:   latest.ReadsQueued,
+			Target:        latest.Target,
+			Reason:        string(latest.Reason),
+			Orders:        latest.orders,
 		})
 	}
-	return told
+	return balances
 }
 
-// note keeps what a balance saw for operators, and logs it where its reason is a new one or orders follow.
-func (d *duty) note(service string, seen phases.View, orders int) {
-	if !d.views.take(service, seen, orders) && orders == 0 {
+// recordView keeps what a balance saw for operators, and logs it where its reason is a new one or orders follow.
+func (d *duty) recordView(service string, observed phases.View, orders int) {
+	if !d.views.record(service, observed, orders) && orders == 0 {
 		return
 	}
 	d.member.log.Info().
 		Str("service", service).
-		Str("reason", string(seen.Reason)).
-		Int("readers", seen.Readers).
-		Int("writers", seen.Writers).
-		Float64("read_pressure", seen.ReadPressure).
-		Float64("write_pressure", seen.WritePressure).
-		Int("reads_queued", seen.ReadsQueued).
-		Int("writers_wanted", seen.Target).
+		Str("reason", string(observed.Reason)).
+		Int("readers", observed.Readers).
+		Int("writers", observed.Writers).
+		Float64("read_pressure", observed.ReadPressure).
+		Float64("write_pressure", observed.WritePressure).
+		Int("reads_queued", observed.ReadsQueued).
+		Int("writers_wanted", observed.Target).
 		Int("orders", orders).
 		Msg("phases weighed")
 }
--- a/internal/control/member/waiters.go
+++ b/internal/control/member/waiters.go
@@ -10,46 +10,46 @@
 // name what they like.
 type waiters struct {
 	mu     sync.Mutex
-	groups map[string]*waiting
+	groups map[string]*watchGroup
 }
 
-// waiting are the watches that wait for the next put in one group.
-type waiting struct {
-	news  chan struct{} // closed at the put
-	count int
+// watchGroup are the watches that wait for the next put in one group.
+type watchGroup struct {
+	updated chan struct{} // closed at the put
+	count   int
 }
 
 // wait waits for the put, at most for so long or until the context ends.
-func (w *waiting) wait(ctx context.Context, most time.Duration) {
-	limit := time.NewTimer(most)
-	defer limit.Stop()
+func (w *watchGroup) wait(ctx context.Context, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-w.news:
-	case <-limit.C:
+	case <-w.updated:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func newWaiters() *waiters { return &waiters{groups: map[string]*waiting{}} }
+func newWaiters() *waiters { return &waiters{groups: map[string]*watchGroup{}} }
 
 // join has a watch wait; call leave once it does no longer.
-func (w *waiters) join(scope string) *waiting {
+func (w *waiters) join(scope string) *watchGroup {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	joined := w.groups[scope]
-	if joined == nil {
-		joined = &waiting{news: make(chan struct{})}
-		w.groups[scope] = joined
+	group := w.groups[scope]
+	if group == nil {
+		group = &watchGroup{updated: make(chan struct{})}
+		w.groups[scope] = group
 	}
-	joined.count++
-	return joined
+	group.count++
+	return group
 }
 
-func (w *waiters) leave(scope string, joined *waiting) {
+func (w *waiters) leave(scope string, group *watchGroup) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	joined.count--
-	if joined.count == 0 && w.groups[scope] == joined {
+	group.count--
+	if group.count == 0 && w.groups[scope] == group {
 		delete(w.groups, scope)
 	}
 }
@@ -58,8 +58,8 @@
 func (w *waiters) wake(scope string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if joined := w.groups[scope]; joined != nil {
-		close(joined.news)
+	if group := w.groups[scope]; group != nil {
+		close(group.updated)
 		delete(w.groups, scope)
 	}
 }
@@ -68,8 +68,8 @@
 func (w *waiters) wakeAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, joined := range w.groups {
-		close(joined.news)
+	for _, group := range w.groups {
+		close(group.updated)
 	}
 	clear(w.groups)
 }
--- a/internal/control/member/workers.go
+++ b/internal/control/member/workers.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// reportTime bounds the question for one report.
-	reportTime = 300 * time.Millisecond
-	// answerBytes bounds a worker's answer.
-	answerBytes = 64 << 10
-	// workerIdle is how long a connection to a worker is kept: shorter than workers keep one.
-	workerIdle = 2 * time.Second
+	// reportTimeout bounds the question for one report.
+	reportTimeout = 300 * time.Millisecond
+	// maxAnswerBytes bounds a worker's answer.
+	maxAnswerBytes = 64 << 10
+	// workerIdleTimeout is how long a connection to a worker is kept: shorter than workers keep one.
+	workerIdleTimeout = 2 * time.Second
 )
 
 // outdatedError is a worker's word that it has seen a higher fence than the one an order bore: another member has taken
@@ -40,27 +40,27 @@
 	orders  *http.Client // each on a connection of its own: no late answer to another call can be taken for theirs
 }
 
-func newWorkerClient(over network.Network) *workerClient {
-	return &workerClient{reports: workerCalls(over, true), orders: workerCalls(over, false)}
+func newWorkerClient(transport network.Network) *workerClient {
+	return &workerClient{reports: newWorkerHTTPClient(transport, true), orders: newWorkerHTTPClient(transport, false)}
 }
 
-// workerCalls makes a client whose connections are kept for a while, or not at all.
-func workerCalls(over network.Network, keep bool) *http.Client {
+// newWorkerHTTPClient makes a client whose connections are kept for a while, or not at all.
+func newWorkerHTTPClient(transport network.Network, keep bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return over.Dial(ctx, address, network.Terms{})
+			return transport.Dial(ctx, address, network.Terms{})
 		},
 		DisableCompression:  true,
 		DisableKeepAlives:   !keep,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     workerIdle,
+		IdleConnTimeout:     workerIdleTimeout,
 	}}
 }
 
 // report asks a worker for its report. One that does not answer is silent: nothing is known of its load.
 func (c *workerClient) report(ctx context.Context, worker registry.Worker) phases.Worker {
 	report := phases.Worker{ID: worker.ID, Zone: worker.Zone, Phase: worker.Phase, Capacity: worker.Capacity}
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	body, err := call(ctx, c.reports, http.MethodGet, worker.Address, worker.ID, "/v1/report", nil)
 	if err != nil {
@@ -98,7 +98,7 @@
 		return nil, Error.Wrap(err)
 	}
 	defer func() { _ = answer.Body.Close() }() // it was read
-	text, err := io.ReadAll(io.LimitReader(answer.Body, answerBytes))
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -108,5 +108,5 @@
 	if answer.StatusCode >= http.StatusMultipleChoices {
 		return nil, Error.New("worker %s answers %s with status %d", worker, path, answer.StatusCode)
 	}
-	return text, nil
+	return content, nil
 }
