--- a/internal/control/member/callcounts.go
+++ b/internal/control/member/callcounts.go
@@ -9,7 +9,7 @@
 	"sumacloft/internal/status"
 )
 
-// callCounts counts applications' calls by what they asked for and what became of them. Its zero value is ready.
+// callCounts counts applications' calls by kind and outcome. The zero value is ready to use.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[callOutcome]uint64
--- a/internal/control/member/coordinate.go
+++ b/internal/control/member/coordinate.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// coordinationPromise is the part of the rules under which applications' calls are served.
+	// coordinationPromise is the name of the rule that enables applications' calls.
 	coordinationPromise = "coord"
-	// firstCoordinationGroup is the first of the partitions that order applications' calls.
+	// firstCoordinationGroup is the first of the partitions that hold the state of applications' calls.
 	firstCoordinationGroup = firstServiceGroup + servicePartitions
-	// coordinationPartitions is how many they are. It must be the same at all members.
+	// coordinationPartitions is the number of these partitions. It must be the same at all members.
 	coordinationPartitions = 2
 
-	// callTimeout bounds how long a call is worked on: callers wait for a second.
+	// callTimeout bounds the handling of a call. It is shorter than the callers' timeout of one second.
 	callTimeout = 850 * time.Millisecond
-	// forwardTimeout bounds one attempt at another member: the call goes on when that one is frozen or cut off.
+	// forwardTimeout bounds one attempt at another member, so that the call can be retried if that member hangs or is
+	// partitioned.
 	forwardTimeout = 350 * time.Millisecond
-	// watchSlice is how long a watch waits at the leader before the member that was asked looks again who leads.
+	// watchSlice is how long a watch waits at the leader before the receiving member looks up the leader again.
 	watchSlice = 500 * time.Millisecond
-	// watchRecheckInterval is how often a waiting watch looks whether its member still leads.
+	// watchRecheckInterval is how often a waiting watch checks whether its member still leads.
 	watchRecheckInterval = 250 * time.Millisecond
-	// maxWatches bounds the watches that wait at a member.
+	// maxWatches bounds the concurrent watches at a member.
 	maxWatches = 1024
-	// sweepInterval is how often old events and holdings are looked for.
+	// sweepInterval is the interval of the removal of old events and lock holdings.
 	sweepInterval = time.Second
-	// historyFactor and historyMargin make the time for which events are remembered of the one that is promised.
+	// historyFactor and historyMargin extend the guaranteed history to the time for which events are kept.
 	historyFactor = 1.5
 	historyMargin = 5 * time.Second
 )
 
-// callCoordinate brings a call to the member that leads its partition. It is answered Elsewhere by one that does not.
+// callCoordinate forwards a call to the leader of its partition. A member that does not lead answers Elsewhere.
 const callCoordinate rpc.Procedure[coordination.Call, coordination.Answer] = "/control/Coordinate"
 
-// coordinator has applications' calls answered by the leader of their partition, wherever they come in. It serves
+// coordinator executes applications' calls at the leader of their partition, whichever member receives them. It implements
 // steering.Coordination.
 type coordinator struct {
 	member   *Member
@@ -60,13 +61,13 @@
 	return c
 }
 
-// coordinationGroup is the partition that orders a call, by the hash of its group of names.
+// coordinationGroup returns the partition of a call, chosen by the hash of its group of names.
 func coordinationGroup(call coordination.Call) partition.Group {
 	return firstCoordinationGroup + partition.Group(xxhash.Sum64String(call.Scope())%coordinationPartitions)
 }
 
-// Do serves steering.Coordination. Elsewhere and Full promise that the call has not taken effect and never will; Unclear
-// promises nothing. An attempt whose outcome is unclear may be made again: its caller gets the answer to the latest.
+// Do implements steering.Coordination. Elsewhere and Full guarantee that the call has not taken effect and never will.
+// Unclear guarantees nothing. An attempt with an unclear outcome may be retried; the caller gets the answer to the last one.
 func (c *coordinator) Do(ctx context.Context, call coordination.Call) coordination.Answer {
 	var answer coordination.Answer
 	if call.Kind == coordination.WatchCells {
@@ -78,7 +79,7 @@
 	return answer
 }
 
-// decide has a call answered that does not wait for others.
+// decide executes a call other than a watch. It retries until the call is answered or times out.
 func (c *coordinator) decide(ctx context.Context, call coordination.Call) coordination.Answer {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -108,7 +109,7 @@
 	return coordination.Answer{Status: coordination.Elsewhere}
 }
 
-// attempt has a call answered here, or by the leader where that is another member.
+// attempt executes a call locally, or at the leader if that is another member.
 func (c *coordinator) attempt(ctx context.Context, call coordination.Call) coordination.Answer {
 	answer, leader := c.executeAsLeader(ctx, call)
 	if answer.Status != coordination.Elsewhere || leader == "" {
@@ -128,13 +129,13 @@
 	return coordination.Answer{Status: coordination.Unclear}
 }
 
-// serveForwarded answers a call that another member passed on.
+// serveForwarded answers a call that another member forwarded.
 func (c *coordinator) serveForwarded(ctx context.Context, call *coordination.Call) (*coordination.Answer, error) {
 	answer, _ := c.executeAsLeader(ctx, *call)
 	return &answer, nil
 }
 
-// executeAsLeader answers a call, if this member leads its partition. Else it gives the address of the leader, if that is known.
+// executeAsLeader executes a call if this member leads its partition. Otherwise it returns the address of the leader, if known.
 func (c *coordinator) executeAsLeader(ctx context.Context, call coordination.Call) (coordination.Answer, string) {
 	group := coordinationGroup(call)
 	machine := c.machines[group]
@@ -149,8 +150,8 @@
 	return c.propose(ctx, group, call, 0)
 }
 
-// readAsLeader gives what a readAsLeader at the partition's state tells, if this member leads it. A readAsLeader may still run once the context has
-// ended; nobody takes its answer then.
+// readAsLeader reads the state of a partition if this member leads it. The read may still run after the context has ended.
+// The channel is buffered so that such a read does not block.
 func (c *coordinator) readAsLeader(ctx context.Context, group partition.Group, read func() coordination.Answer) (coordination.Answer, string) {
 	result := make(chan coordination.Answer, 1)
 	if err := c.member.host.Read(ctx, group, func() { result <- read() }); err != nil {
@@ -159,8 +160,8 @@
 	return <-result, ""
 }
 
-// startLock has a lock granted. A holding of another counts as lapsed by this leader's own clock alone, and the command names
-// it: if it was renewed meanwhile, or another leader granted the lock, the command changes nothing.
+// startLock acquires a lock. Whether the lease of another holder has lapsed is decided by the clock of this leader. The
+// command names the lapsed holding. If it was renewed meanwhile, or another leader granted the lock, the command has no effect.
 func (c *coordinator) startLock(ctx context.Context, group partition.Group, call coordination.Call) (coordination.Answer, string) {
 	machine := c.machines[group]
 	var lapsed uint64
@@ -177,7 +178,7 @@
 func (c *coordinator) propose(ctx context.Context, group partition.Group, call coordination.Call, lapsed uint64) (coordination.Answer, string) {
 	command, err := call.Encode(lapsed)
 	if err != nil {
-		c.member.log.Error().Err(err).Msg("a call can't be encoded")
+		c.member.log.Error().Err(err).Msg("cannot encode a call")
 		return coordination.Answer{Status: coordination.Elsewhere}, ""
 	}
 	value, err := c.member.host.Propose(ctx, group, command)
@@ -188,7 +189,7 @@
 	return answerOrStatus(answer, err)
 }
 
-// answerOrStatus is an answer unless the partition's host failed to give one.
+// answerOrStatus returns the answer, or the status and leader address that correspond to an error of the partition host.
 func answerOrStatus(answer coordination.Answer, err error) (coordination.Answer, string) {
 	var elsewhere partition.ErrElsewhere
 	switch {
@@ -200,7 +201,7 @@
 	return coordination.Answer{Status: coordination.Unclear}, ""
 }
 
-// sweep has what is old dropped until the context ends.
+// sweep periodically removes old events and lapsed holdings until the context ends.
 func (c *coordinator) sweep(ctx context.Context) {
 	history := time.Duration(historyFactor*float64(c.member.settings.Rules.History)) + historyMargin
 	periodic.Run(ctx, sweepInterval, func() {
@@ -217,11 +218,11 @@
 	})
 }
 
-// dropOld has the leader, if this member is it, drop what is old. What fails is made up for by the next sweep.
+// dropOld proposes a sweep. It has an effect only if this member leads. After a failure the next sweep tries again.
 func (c *coordinator) dropOld(ctx context.Context, group partition.Group, sweep coordination.Sweep) {
 	command, err := sweep.Encode()
 	if err != nil {
-		c.member.log.Error().Err(err).Msg("a sweep can't be encoded")
+		c.member.log.Error().Err(err).Msg("cannot encode a sweep")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/control/member/coordmachine.go
+++ b/internal/control/member/coordmachine.go
@@ -8,12 +8,12 @@
 	"sumacloft/internal/control/coordination"
 )
 
-// coordinationSnapshotEntries is after how many commands a snapshot is taken: applications make dozens a second, and the
-// state may be large.
+// coordinationSnapshotEntries is the number of commands between snapshots. Applications send dozens of commands per second and
+// the state may be large, so snapshots are rare.
 const coordinationSnapshotEntries = 4096
 
-// coordinationMachine is the state machine of one partition of applications' names, with the times at which this member
-// applied what it holds. It serves partition.ApplicationMachine; all of it but the waiters belongs to the host's goroutine.
+// coordinationMachine is the state machine of one partition of applications' names. It also records when this member applied
+// each change. It implements partition.ApplicationMachine. All fields except waiters belong to the host's goroutine.
 type coordinationMachine struct {
 	state   *coordination.State
 	ages    *coordination.Ages
@@ -32,7 +32,7 @@
 	}
 }
 
-// Apply serves partition.StateMachine; its result is a coordination.Answer.
+// Apply implements partition.StateMachine. Its result is a coordination.Answer.
 func (s *coordinationMachine) Apply(index uint64, command []byte) any {
 	outcome := s.state.Apply(index, command)
 	s.ages.Note(s.now(), s.state, outcome)
@@ -42,10 +42,10 @@
 	return outcome.Answer
 }
 
-// Snapshot serves partition.StateMachine.
+// Snapshot implements partition.StateMachine.
 func (s *coordinationMachine) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore serves partition.StateMachine.
+// Restore implements partition.StateMachine.
 func (s *coordinationMachine) Restore(snapshot []byte) error {
 	if err := s.state.Restore(snapshot); err != nil {
 		return err
@@ -55,5 +55,5 @@
 	return nil
 }
 
-// SnapshotEntries serves partition.ApplicationMachine.
+// SnapshotEntries implements partition.ApplicationMachine.
 func (s *coordinationMachine) SnapshotEntries() int { return coordinationSnapshotEntries }
--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -19,19 +19,20 @@
 const (
 	// reportInterval is how often the owner of a partition asks the workers of its services for their reports.
 	reportInterval = time.Second
-	// noteTime is how long the proxies are given to send a worker nothing more before it is ordered to change.
+	// noteTime is the time between the announcement of an order and the order itself. In this time the proxies stop sending
+	// requests to the worker.
 	noteTime = 150 * time.Millisecond
-	// orderTime bounds one order to a worker.
+	// orderTime bounds the request that sends an order to a worker.
 	orderTime = 400 * time.Millisecond
-	// leaseMargin of the lease must be left when an order that is under way ends at the latest.
+	// leaseMargin is the part of the lease that must be left when the request of an order times out.
 	leaseMargin = 50 * time.Millisecond
-	// changeLimit is how long a change of phase may take before it is given up.
+	// changeLimit is how long a phase change may take before it is abandoned.
 	changeLimit = 5 * time.Second
-	// turnMargin is how much longer than the operator's bound a new owner waits until it gives its first order.
+	// turnMargin is added to the configured lease time that a new owner waits before it sends its first order.
 	turnMargin = time.Second
 )
 
-// duty keeps the phases of workers with the load: a duty of the owner of each service's partition, under its lease.
+// duty adapts the phases of workers to the load. The owner of each service's partition does this while it holds the lease.
 type duty struct {
 	member   *Member
 	workers  *workerClient
@@ -40,10 +41,10 @@
 	pending  map[string]change          // by worker
 	views    *views
 	outdated map[partition.Group]uint64 // highest fence that a worker has refused
-	number   uint64                     // of the newest order or its end
+	number   uint64                     // sequence number of the newest order or its end
 }
 
-// change is an order under way.
+// change is a phase change in progress.
 type change struct {
 	service string
 	phase   string
@@ -71,7 +72,7 @@
 	})
 }
 
-// serve does the duty for one partition, if this member holds its lease.
+// serve balances the phases of one partition if this member holds its lease.
 func (d *duty) serve(ctx context.Context, group partition.Group) {
 	lease, held := d.member.host.Lease(ctx, group)
 	services := d.services(group)
@@ -84,10 +85,10 @@
 		return
 	}
 	if !lease.Settled(d.member.settings.Rules.Lease + turnMargin) {
-		return // the holder before may have given an order just before it lost the lease
+		return // the previous owner may have sent an order just before it lost the lease
 	}
 	if lease.Fence <= d.outdated[group] {
-		return // another member has ordered under a higher fence: nothing more under this one
+		return // another member has sent orders with a higher fence
 	}
 	for service, workers := range services {
 		d.settle(workers, lease.Fence)
@@ -95,7 +96,7 @@
 	}
 }
 
-// services are the services of a partition whose workers have phases, with those workers that are up.
+// services returns the services of a partition whose workers have phases, with the workers that are up.
 func (d *duty) services(group partition.Group) map[string][]registry.Worker {
 	d.member.mu.Lock()
 	view := d.member.registry.View()
@@ -114,8 +115,8 @@
 	return services
 }
 
-// settle ends the changes that the workers' heartbeats show as done, those that take too long, and those that an owner
-// before has left behind.
+// settle ends changes that the workers' heartbeats show as complete, that have timed out, or that a previous owner left
+// unfinished.
 func (d *duty) settle(workers []registry.Worker, fence uint64) {
 	now := d.member.now()
 	snapshot, _ := d.member.members.Node().Snapshot()
@@ -139,14 +140,14 @@
 	}
 }
 
-// end tells the fleet that no order for a worker is under way.
+// end publishes that no order for a worker is pending.
 func (d *duty) end(worker string, fence uint64) {
 	d.number++
 	delete(d.pending, worker)
 	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.number))
 }
 
-// balance asks the workers of a service for their reports and sends the orders that follow.
+// balance requests the reports of a service's workers and sends the resulting orders.
 func (d *duty) balance(ctx context.Context, group partition.Group, service string, workers []registry.Worker) {
 	balance := d.balanceOf(service)
 	orders := balance.Observe(d.member.now(), d.reports(ctx, service, workers))
@@ -183,7 +184,7 @@
 	}
 }
 
-// balanceOf is the balance of a service's phases.
+// balanceOf returns the phase balance of a service and creates it if needed.
 func (d *duty) balanceOf(service string) *phases.Balance {
 	balance := d.balances[service]
 	if balance == nil {
@@ -193,7 +194,7 @@
 	return balance
 }
 
-// refused notes a fence that a worker has refused as too low.
+// refused records a fence that a worker has refused as too low.
 func (d *duty) refused(group partition.Group, fence uint64, why error) {
 	var outdated *outdatedError
 	if errors.As(why, &outdated) {
@@ -201,7 +202,7 @@
 	}
 }
 
-// leftOut tells whether a trial leaves out the orders that are given for a reason.
+// leftOut reports whether the trial settings disable orders with the given reason.
 func (d *duty) leftOut(reason phases.Reason) bool {
 	off := d.member.settings.Trial
 	if reason == phases.ReasonCold {
@@ -210,7 +211,7 @@
 	return off.Has(trial.Balance)
 }
 
-// announce writes an order down before it is sent, and has the proxies send its worker nothing new.
+// announce commits an order to the log before it is sent, and publishes it so that the proxies send the worker no new requests.
 func (d *duty) announce(ctx context.Context, group partition.Group, service string, order phases.Order) {
 	lease, held := d.member.host.Lease(ctx, group)
 	if !held {
@@ -218,33 +219,32 @@
 	}
 	command, err := cbor.Marshal(intent{Service: service, Worker: order.Worker, Phase: order.Phase, Fence: lease.Fence})
 	if err != nil {
-		panic(err) // a plain struct can always be encoded
+		panic(err) // encoding a plain struct cannot fail
 	}
 	proposing, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if _, err := d.member.host.Propose(proposing, group, command); err != nil {
-		return // it is not pending, so it is not sent
+		return // without a pending entry the order is not sent
 	}
 	d.number++
 	d.pending[order.Worker] = change{service: service, phase: order.Phase, fence: lease.Fence, at: d.member.now()}
 	d.member.members.Node().Put(topic.OrderEntry(order.Worker, topic.PhaseOrder{Phase: order.Phase}, lease.Fence, d.number))
 }
 
-// order sends one order, if it ends well inside of the lease under which it was written down.
+// order sends one order if the request can complete within the lease under which the order was committed.
 func (d *duty) order(ctx context.Context, group partition.Group, order phases.Order, address string) error {
 	lease, held := d.member.host.Lease(ctx, group)
 	pending, written := d.pending[order.Worker]
 	limit, may := lease.TimeFor(pending.fence, orderTime, leaseMargin)
 	if !held || !written || !may {
-		return Error.New("the lease has ended: the next owner decides anew")
+		return Error.New("the lease has ended before the order could be sent")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return d.workers.order(ctx, address, order, d.member.settings.Node, lease.Fence)
 }
 
-// reports are the workers as they describe themselves, or did when they were last asked; those that do not answer count as
-// idle.
+// reports returns the current or latest report of each worker. Workers that do not answer count as idle.
 func (d *duty) reports(ctx context.Context, service string, workers []registry.Worker) []phases.Worker {
 	known := d.surveys[service]
 	if known == nil {
@@ -260,7 +260,7 @@
 	return reports
 }
 
-// ask has workers report, all at once.
+// ask requests the reports of workers concurrently.
 func (d *duty) ask(ctx context.Context, workers []registry.Worker) []phases.Worker {
 	reports := make([]phases.Worker, len(workers))
 	var asked sync.WaitGroup
--- a/internal/control/member/faults.go
+++ b/internal/control/member/faults.go
@@ -6,26 +6,26 @@
 	"sumacloft/internal/control/partition"
 )
 
-// Faults are deliberate violations of what a control member promises, for the tests of the tests. All are off outside
-// tests.
+// Faults are injected violations of a control member's guarantees. They check that tests detect such violations. All are off
+// outside tests.
 type Faults struct {
 	Orders     configstate.Faults
 	Partitions partition.Faults
-	// Coordination breaks the state of locks, numbers and keys.
+	// Coordination injects faults into the state of locks, counters and keys.
 	Coordination coordination.Faults
-	// ReadUnconfirmed answers reads by what this member knows.
+	// ReadUnconfirmed answers reads from local state without confirming leadership.
 	ReadUnconfirmed bool
-	// AcknowledgeAlone acknowledges that a worker ends though no other member has heard of it.
+	// AcknowledgeAlone acknowledges the leave of a worker before any other member has it.
 	AcknowledgeAlone bool
-	// AcknowledgeByTwo acknowledges it once one other member has heard of it, however many there are.
+	// AcknowledgeByTwo acknowledges it once one other member has it, regardless of the size of a majority.
 	AcknowledgeByTwo bool
-	// IgnoreStanding looks for no routers that are taken for down.
+	// IgnoreStanding treats the member as always in contact with a leader and does not try routers that are considered down.
 	IgnoreStanding bool
-	// LeaveAtOnce ends a member that was told to end without regard to the others.
+	// LeaveAtOnce stops a member that is shutting down without waiting for the others.
 	LeaveAtOnce bool
 }
 
-// Break puts faults into the member; call it before Run.
+// Break injects faults into the member. Call it before Run.
 func (m *Member) Break(faults Faults) {
 	m.faults = faults
 	if faults.IgnoreStanding {
--- a/internal/control/member/heartbeats.go
+++ b/internal/control/member/heartbeats.go
@@ -8,7 +8,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// Beat serves steering.Workers.
+// Beat implements steering.Workers.
 func (m *Member) Beat(ctx context.Context, beat registry.Beat) (string, error) {
 	m.mu.Lock()
 	changed := m.registry.Beat(m.now(), beat)
@@ -25,7 +25,7 @@
 	return m.beatTo(beat), nil
 }
 
-// Leave serves steering.Workers.
+// Leave implements steering.Workers.
 func (m *Member) Leave(ctx context.Context, id string) error {
 	m.mu.Lock()
 	changed := m.registry.Leave(m.now(), id, 0)
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// propagate has the fleet know of a worker's change. The news of one that ends is with a majority of the control members before
-// it is acknowledged: whichever of them are cut off or lost right after, one that routers hear has it and passes it on.
+// propagate publishes a change of a worker to the fleet. The leave of a worker is replicated to a majority of the control
+// members before it is acknowledged. If a minority of them is then partitioned or lost, a member that routers can reach still
+// has it.
 func (m *Member) propagate(ctx context.Context, worker registry.Worker, changed bool) error {
 	entry := registry.EntryOf(worker)
 	if changed {
@@ -70,7 +71,8 @@
 	return found && state == worker.State
 }
 
-// beatTo is the control member in a worker's own zone, where there is one: heartbeats between zones have a price.
+// beatTo returns the address of a control member in the worker's zone, or "" if there is none or it is this member's zone.
+// Traffic between zones is charged.
 func (m *Member) beatTo(beat registry.Beat) string {
 	if beat.Zone == m.settings.Zone {
 		return ""
--- a/internal/control/member/intent.go
+++ b/internal/control/member/intent.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// firstServiceGroup is the first of the partitions in which the state of services is cut.
+	// firstServiceGroup is the first of the partitions that hold the state of services.
 	firstServiceGroup partition.Group = 1
-	// servicePartitions is how many they are. It must be the same at all members.
+	// servicePartitions is the number of these partitions. It must be the same at all members.
 	servicePartitions = 2
 )
 
-// groupOf is the partition of a service, by the hash of its name.
+// groupOf returns the partition of a service, chosen by the hash of its name.
 func groupOf(service string) partition.Group {
 	return firstServiceGroup + partition.Group(xxhash.Sum64String(service)%servicePartitions)
 }
 
-// intent is an order that the owner of a service's partition is about to send to a worker.
+// intent records an order that the owner of a service's partition is about to send to a worker.
 type intent struct {
 	Service string `cbor:"1,keyasint"`
 	Worker  string `cbor:"2,keyasint"`
@@ -27,19 +27,19 @@
 	Fence   uint64 `cbor:"4,keyasint"`
 }
 
-// maxIntents bounds the intents that are remembered.
+// maxIntents bounds the number of stored intents.
 const maxIntents = 256
 
-// intentMachine holds the newest intent for each worker of a partition's services; it serves partition.StateMachine.
+// intentMachine holds the newest intent for each worker of a partition's services. It implements partition.StateMachine.
 type intentMachine struct {
-	newest []intent // oldest first, one for a worker
+	newest []intent // oldest first, at most one per worker
 }
 
-// Apply serves partition.StateMachine; its result is nil.
+// Apply implements partition.StateMachine. Its result is nil.
 func (s *intentMachine) Apply(_ uint64, command []byte) any {
 	var next intent
 	if err := cbor.Unmarshal(command, &next); err != nil {
-		return nil // written by another release: the order is not known here
+		return nil // written by a release with another format; the intent is ignored
 	}
 	others := s.newest[:0]
 	for _, old := range s.newest {
@@ -54,16 +54,16 @@
 	return nil
 }
 
-// Snapshot serves partition.StateMachine.
+// Snapshot implements partition.StateMachine.
 func (s *intentMachine) Snapshot() []byte {
 	encoded, err := cbor.Marshal(s.newest)
 	if err != nil {
-		panic(err) // a list of plain structs can always be encoded
+		panic(err) // encoding plain structs cannot fail
 	}
 	return encoded
 }
 
-// Restore serves partition.StateMachine.
+// Restore implements partition.StateMachine.
 func (s *intentMachine) Restore(snapshot []byte) error {
 	s.newest = nil
 	if len(snapshot) == 0 {
--- a/internal/control/member/leave.go
+++ b/internal/control/member/leave.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// leaveMargin is what of the grace is left when the member ends whether the others can do without it or not.
+	// leaveMargin is the part of the grace period that is left when the member stops waiting for the others.
 	leaveMargin = 1500 * time.Millisecond
-	// leaveWait is how long calls that are under way are given to end.
+	// leaveWait is the time for calls in flight to complete.
 	leaveWait = 600 * time.Millisecond
 )
 
-// leave hands over what this member leads, waits until the others can do without it, tells them that it ends, and serves
-// on for a moment.
+// leave transfers leadership, waits until the other members can continue without this one and announces the leave. It then
+// keeps serving for leaveWait.
 func (m *Member) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), max(m.settings.Rules.Grace-leaveMargin, 0))
 	defer cancel()
 	if !m.faults.LeaveAtOnce && !m.host.Leave(ctx) {
-		m.log.Warn().Interface("waited_for", m.ending()).Msg("ending though the other members may not hold everything")
+		m.log.Warn().Interface("waited_for", m.ending()).Msg("grace period ends: stopping although the other members may lack committed entries")
 	}
 	m.members.Leave()
 	time.Sleep(leaveWait)
 }
 
-// ending lists what this member, told to end, still waits for.
+// ending lists what this member still waits for while it shuts down.
 func (m *Member) ending() []status.Wait {
 	holds := m.host.Ending()
 	var waits []status.Wait
--- a/internal/control/member/locklist.go
+++ b/internal/control/member/locklist.go
@@ -11,34 +11,34 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// LocksQuestion asks a control member for the locks that are held.
+// LocksQuestion is a request for the locks that are held.
 type LocksQuestion struct {
-	Group partition.Group `cbor:"1,keyasint,omitempty"` // only of this partition, if the member leads it; 0: of all
+	Group partition.Group `cbor:"1,keyasint,omitempty"` // only this partition, if the member leads it; 0 means all
 }
 
-// LocksAnswer lists them by name.
+// LocksAnswer lists the locks, sorted by name.
 type LocksAnswer struct {
 	Locks []LockHeld `cbor:"1,keyasint,omitempty"`
-	// Unknown are partitions whose leader could not be asked.
+	// Unknown lists the partitions whose leader could not be reached.
 	Unknown []string `cbor:"2,keyasint,omitempty"`
 }
 
-// LockHeld is a lock that somebody holds.
+// LockHeld is a lock that is held.
 type LockHeld struct {
 	Name   string `cbor:"1,keyasint"`
 	Owner  string `cbor:"2,keyasint"`
 	Fence  uint64 `cbor:"3,keyasint"`
-	HoldMS uint64 `cbor:"4,keyasint"` // for how long from its last renewal on
-	LeftMS int64  `cbor:"5,keyasint"` // by the leader's clock; below 0 it goes to who asks next
+	HoldMS uint64 `cbor:"4,keyasint"` // lease from the last renewal on
+	LeftMS int64  `cbor:"5,keyasint"` // remaining lease by the leader's clock; if negative, the next caller gets the lock
 }
 
-// The calls of operators to a control member that serves applications.
+// Calls of operators to a control member that serves applications.
 const (
 	CallLocks       rpc.Procedure[LocksQuestion, LocksAnswer]             = "/control/Locks"
 	CallApplication rpc.Procedure[coordination.Call, coordination.Answer] = "/control/Application"
 )
 
-// handle serves the calls of other members and of operators.
+// handle registers the calls of other members and of operators.
 func (c *coordinator) handle(mux *http.ServeMux) {
 	callCoordinate.Handle(mux, c.serveForwarded)
 	CallLocks.Handle(mux, c.locks)
@@ -48,7 +48,7 @@
 	})
 }
 
-// locks lists the locks that are held.
+// locks lists the locks that are held in one partition or all.
 func (c *coordinator) locks(ctx context.Context, question *LocksQuestion) (*LocksAnswer, error) {
 	if question.Group != 0 {
 		return c.locksOf(ctx, question.Group)
@@ -71,7 +71,7 @@
 	return listed, nil
 }
 
-// locksOf lists those of one partition, if this member leads it.
+// locksOf lists the locks of one partition if this member leads it.
 func (c *coordinator) locksOf(ctx context.Context, group partition.Group) (*LocksAnswer, error) {
 	machine := c.machines[group]
 	if machine == nil {
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -1,5 +1,5 @@
-// Package member is a control member's process: it hears the workers' heartbeats, takes the operator's orders, keeps the
-// registry of workers, and tells the edge routers what has changed.
+// Package member is the process of a control member. It receives heartbeats of workers and orders of the operator, keeps the
+// registry of workers, and publishes changes to the edge routers.
 package member
 
 import (
@@ -28,30 +28,31 @@
 	"sumacloft/internal/status"
 )
 
-// Error is the class of this package's failures.
+// Error is the error class of this package.
 var Error = errs.Class("control member")
 
 const (
-	// beatInterval is how often a control member sends heartbeats to others of its kind.
+	// beatInterval is the interval of heartbeats between control members.
 	beatInterval = 500 * time.Millisecond
-	// fanOut is to how many edge routers a control member passes news on.
+	// fanOut is the number of edge routers to which a control member forwards updates.
 	fanOut = 3
-	// lapseInterval is how often silent workers are looked for.
+	// lapseInterval is the interval of the check for silent workers.
 	lapseInterval = 500 * time.Millisecond
-	// maxMissedBeats is how many heartbeats of a worker may be missing before it lapses.
+	// maxMissedBeats is the number of heartbeats that a worker may miss before its registration lapses.
 	maxMissedBeats = 4
-	// confirmTimeout is how long the acknowledgement of a leaving worker waits for other control members.
+	// confirmTimeout bounds the wait for other control members before a leave request is acknowledged.
 	confirmTimeout = 400 * time.Millisecond
-	// leaderlessTimeout is how long a member without a leader still acknowledges heartbeats. After that it takes them and has
-	// their workers go on to another member: those that it is cut off from would take the workers for lost.
+	// leaderlessTimeout is how long a member without a leader still acknowledges heartbeats. After that it records them but
+	// returns an error, so that the workers try another member. Otherwise members on the other side of a partition would
+	// consider these workers lost.
 	leaderlessTimeout = 2 * time.Second
-	// ledTimeout is how long ago a member may have known a leader and still say so to routers.
+	// ledTimeout is how long after its last contact with a leader a member still reports to routers that it has one.
 	ledTimeout = 500 * time.Millisecond
-	// headerTimeout bounds the time that a caller may take to send the head of a call.
+	// headerTimeout bounds the time for reading the headers of a request.
 	headerTimeout = 5 * time.Second
 )
 
-// Member is the process.
+// Member is a control member.
 type Member struct {
 	settings  *boot.Settings
 	network   network.Network
@@ -64,28 +65,28 @@
 	servers   []*rpc.Server
 	steering  *http.Server
 	orders    *orders
-	// coordination serves applications' locks, numbers and keys; nil where they are not promised
+	// coordination serves applications' locks, counters and keys. It is nil if the settings do not enable it.
 	coordination *coordinator
 	host         *partition.Host
 	stopHost     context.CancelFunc
 	logLines     status.Log // may be nil
 	faults       Faults
-	views        views // of the duty, for operators
+	views        views // latest phase balances, for status reports
 
 	mu            sync.Mutex
 	registry      *registry.Registry
-	savedRevision uint64                    // revision of the view that is on disk
-	confirmed     map[string]registry.State // of workers that end, as a majority of the members knows it
-	pastOrders    *tombstone.Keeper         // of orders to workers that are not known
+	savedRevision uint64                    // revision of the registry view saved on disk
+	confirmed     map[string]registry.State // states of leaving workers that a majority of the members has
+	pastOrders    *tombstone.Keeper         // tombstones of orders to unknown workers
 }
 
-// Disk is where a member keeps its partitions.
+// Disk is the storage of a member's partitions.
 type Disk struct {
-	Open  func(folder string) (disklog.FileSystem, error) // disklog.OS opens a folder of the operating system's
-	Sizes disklog.Options                                 // of the log; the zero value is the defaults
+	Open  func(folder string) (disklog.FileSystem, error) // disklog.OS opens a directory of the operating system
+	Sizes disklog.Options                                 // size of the log; if zero, it is derived from the disk limit
 }
 
-// New makes a control member on a machine's network and disk.
+// New creates a control member that uses the given network and disk.
 func New(settings *boot.Settings, transport network.Network, disk Disk, log zerolog.Logger) *Member {
 	m := &Member{settings: settings, network: transport, disk: disk, log: log, client: rpc.NewClient(transport), startedAt: time.Now()}
 	m.confirmed = map[string]registry.State{}
@@ -112,13 +113,13 @@
 	return m
 }
 
-// openRetryInterval is how long the member waits until it opens its disk again after the disk refused.
+// openRetryInterval is the time between attempts to open the disk log after a write error.
 const openRetryInterval = 200 * time.Millisecond
 
-// open opens the partitions on the member's disk, again and again while the disk refuses writes.
+// open opens the partitions on the member's disk. It retries after write errors.
 func (m *Member) open(ctx context.Context) error {
 	if m.settings.DataFolder == "" {
-		return Error.New("data_folder: a control member needs a disk; give the role to machines that have one")
+		return Error.New("data_folder is not set: a control member needs a disk")
 	}
 	files, err := m.disk.Open(m.settings.DataFolder)
 	if err != nil {
@@ -146,17 +147,17 @@
 		if err == nil || !disklog.ErrWrite.Has(err) {
 			return err
 		}
-		m.log.Warn().Err(err).Msg("the disk refuses writes")
+		m.log.Warn().Err(err).Msg("cannot open the disk log: write failed; retrying")
 		if !pause(ctx, openRetryInterval) {
 			return err
 		}
 	}
 }
 
-// voters is how many members vote in each partition.
+// voters is the number of voters in each partition.
 func (m *Member) voters() int { return 2*m.settings.Bear.Machines + 1 }
 
-// machines are the state machines of all partitions.
+// machines returns the state machines of all partitions.
 func (m *Member) machines() map[partition.Group]partition.StateMachine {
 	machines := serviceMachines()
 	machines[settingsGroup] = m.orders.machine
@@ -169,15 +170,15 @@
 }
 
 const (
-	// ringSegments is of how many files the disk log is.
+	// ringSegments is the number of files of the disk log.
 	ringSegments = 4
-	// ringShare is the share of the disk that they take.
+	// ringShare is the share of the disk limit that the disk log uses.
 	ringShare = 0.5
-	// maxSegmentBytes and minSegmentBytes bound one of them. The largest order has to fit.
+	// maxSegmentBytes and minSegmentBytes bound the size of one file. The largest order has to fit into one.
 	maxSegmentBytes, minSegmentBytes = 16 << 20, 1 << 20
 )
 
-// sizes are those of the disk log: given ones, or such that it takes its share of the disk.
+// sizes returns the configured sizes of the disk log, or sizes derived from the disk limit.
 func (m *Member) sizes() disklog.Options {
 	if m.disk.Sizes != (disklog.Options{}) {
 		return m.disk.Sizes
@@ -186,7 +187,7 @@
 	return disklog.Options{Segments: ringSegments, SegmentBytes: min(max(bytes, minSegmentBytes), maxSegmentBytes)}
 }
 
-// founders are the members that the starters of the very first boot file become.
+// founders returns the initial members of the partitions, one for each starter in the boot file of the first start.
 func (m *Member) founders() []consensus.Member {
 	var founders []consensus.Member
 	for _, address := range membership.StarterAddresses(m.settings) {
@@ -195,7 +196,7 @@
 	return founders
 }
 
-// Reload takes a boot file that was read again.
+// Reload applies a reloaded boot file.
 func (m *Member) Reload(settings *boot.Settings) {
 	m.members.SetStarters(membership.StarterAddresses(settings))
 }
@@ -227,7 +228,7 @@
 	m.restoreRegistry()
 	hostContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	m.stopHost = stop
-	go m.host.Run(hostContext) // it takes part until Close
+	go m.host.Run(hostContext) // keeps replicating until Close
 	m.members.Join(ctx)
 	m.members.Announce()
 	go m.runLapses(ctx)
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// steeringHandler serves the callers of the steering address.
+// steeringHandler returns the handler of the steering address.
 func (m *Member) steeringHandler() http.Handler {
 	if m.coordination == nil {
 		return steering.Handler(m, m.orders, nil)
@@ -248,10 +249,10 @@
 	return steering.Handler(m, m.orders, m.coordination)
 }
 
-// Close ends the member's servers.
+// Close stops the member's servers and its partitions.
 func (m *Member) Close() {
 	for _, server := range m.servers {
-		_ = server.Close() // the process ends
+		_ = server.Close() // the process exits anyway
 	}
 	_ = m.steering.Close()
 	m.stopHost()
@@ -259,13 +260,13 @@
 
 func (m *Member) now() time.Duration { return time.Since(m.startedAt) }
 
-// isLed tells whether, within the limit, this member heard of the leaders of all partitions and is heard itself: by a
-// majority, if it leads, or by another member that is led.
+// isLed reports whether this member had contact with the leaders of all partitions within the limit, and is in contact
+// itself: with a majority if it leads, otherwise with another member that has a leader.
 func (m *Member) isLed(limit time.Duration) bool {
 	return m.host.Led(limit) && (m.host.Leads() || m.members.InContact(leaderlessTimeout))
 }
 
-// standing is what stands behind this member's copy of the fleet's state.
+// standing returns how reliable this member's copy of the fleet state is.
 func (m *Member) standing() message.Standing {
 	switch {
 	case m.isLed(ledTimeout):
@@ -276,7 +277,7 @@
 	return message.Hearsay
 }
 
-// mergeUpdates takes what other members tell of workers.
+// mergeUpdates merges updates of workers from other members into the registry.
 func (m *Member) mergeUpdates(updates []replica.Entry) {
 	m.mu.Lock()
 	changed := m.registry.Merge(m.now(), updates)
@@ -295,7 +296,7 @@
 	m.members.Node().Put(entries...)
 }
 
-// runLapses looks for workers that fell silent, and forgets those that are long gone.
+// runLapses periodically marks silent workers as lapsed, removes expired ones and saves the registry.
 func (m *Member) runLapses(ctx context.Context) {
 	periodic.Run(ctx, lapseInterval, func() {
 		m.lapse()
@@ -324,7 +325,7 @@
 	}
 }
 
-// deadHomes are the homes of workers that are no living control member. The member's lock is held.
+// deadHomes returns the home members of workers that are no live control members. The caller holds the lock.
 func (m *Member) deadHomes(snapshot replica.Snapshot) []string {
 	alive := map[string]bool{}
 	for _, peer := range topic.Peers(snapshot.Prefix(topic.Controls)) {
--- a/internal/control/member/orders.go
+++ b/internal/control/member/orders.go
@@ -15,14 +15,14 @@
 const settingsGroup partition.Group = 0
 
 const (
-	// orderTimeout bounds how long an order is worked on before its caller is told that it is unclear: callers wait for
-	// a second.
+	// orderTimeout bounds the handling of an order. After that the outcome is reported as unknown. It is shorter than the
+	// callers' timeout of one second.
 	orderTimeout = 900 * time.Millisecond
-	// leaderRetryInterval is how long a member without a leader waits until it looks again.
+	// leaderRetryInterval is the time between attempts to reach the leader.
 	leaderRetryInterval = 40 * time.Millisecond
 )
 
-// orders has the operator's orders decided by the leader of the configuration's partition, wherever they come in.
+// orders forwards the operator's orders to the leader of the configuration partition, or applies them if this member leads.
 type orders struct {
 	member  *Member
 	machine *settingsMachine
@@ -40,7 +40,7 @@
 	message.CallConfirm.Handle(mux, o.readCurrent)
 }
 
-// Submit serves steering.Settings.
+// Submit implements steering.Settings.
 func (o *orders) Submit(ctx context.Context, order configstate.Order) (configstate.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 	return outcome, nil
 }
 
-// Read serves steering.Settings.
+// Read implements steering.Settings.
 func (o *orders) Read(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -82,8 +82,8 @@
 		})
 }
 
-// atLeader has a call answered here, or by the leader where that is another member, until the context ends. Calls may be
-// made again: an order that was taken is recognised.
+// atLeader makes a call locally, or at the leader if that is another member. It retries until the context ends. Retries are
+// safe, since an order that was already applied is recognized.
 func atLeader[Answer any](ctx context.Context, local func() (*Answer, error), remote func(leader string) (*Answer, error)) (*Answer, error) {
 	for {
 		answer, err := local()
@@ -100,7 +100,7 @@
 	}
 }
 
-// pause waits, and tells whether the context goes on.
+// pause waits for the given time. It returns false if the context ends first.
 func pause(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -110,7 +110,7 @@
 	}
 }
 
-// proposeAsLeader decides an order, if this member leads the partition.
+// proposeAsLeader proposes an order if this member leads the partition.
 func (o *orders) proposeAsLeader(ctx context.Context, question *message.Order) (*message.OrderAnswer, error) {
 	value, err := o.member.host.Propose(ctx, settingsGroup, question.Order)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return answer, nil
 }
 
-// readAsLeader gives the newest document, if this member leads the partition.
+// readAsLeader returns the current document if this member leads the partition.
 func (o *orders) readAsLeader(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
 	answer := &message.ReadAnswer{}
 	read := o.member.host.Read
--- a/internal/control/member/recall.go
+++ b/internal/control/member/recall.go
@@ -7,8 +7,8 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// saveRegistry has the disk saveRegistry the registry of workers, if it has changed. A worker's heartbeats would bring it back within a
-// moment, but in that moment a fleet that starts as a whole could serve nobody.
+// saveRegistry saves the registry of workers to disk if it has changed. Heartbeats would rebuild the registry soon after a
+// restart, but until then a fleet that restarts as a whole could not serve requests.
 func (m *Member) saveRegistry() {
 	m.mu.Lock()
 	revision := m.registry.View().Revision()
@@ -20,17 +20,17 @@
 	m.savedRevision = revision
 	encoded, err := cbor.Marshal(entries)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // encoding a plain struct cannot fail
 	}
 	m.host.Keep(encoded)
 }
 
-// restoreRegistry takes the workers that the disk knows. Those that are gone by now lapse like any other.
+// restoreRegistry loads the workers from disk. Workers that no longer exist lapse as usual.
 func (m *Member) restoreRegistry() {
 	var entries []replica.Entry
 	if encoded := m.host.Note(); len(encoded) > 0 {
 		if err := cbor.Unmarshal(encoded, &entries); err != nil {
-			m.log.Warn().Err(err).Msg("the registry on disk can't be read; heartbeats will bring it back")
+			m.log.Warn().Err(err).Msg("cannot decode the registry on disk; heartbeats will rebuild it")
 			return
 		}
 	}
--- a/internal/control/member/remains.go
+++ b/internal/control/member/remains.go
@@ -12,14 +12,14 @@
 	"sumacloft/internal/status"
 )
 
-// Remains is what the disk of a stopped control member holds, for operators who lost a majority of the disks. Use
-// OpenRemains, then Close.
+// Remains is the content of the disk of a stopped control member. Operators use it to recover after the loss of a majority of
+// the disks. Open it with OpenRemains and release it with Close.
 type Remains struct {
 	partitions *partition.Remains
 	settings   *settingsMachine
 }
 
-// OpenRemains reads the disk of a control member that does not run.
+// OpenRemains reads the disk of a control member that is not running.
 func OpenRemains(files disklog.FileSystem) (*Remains, error) {
 	r := &Remains{settings: &settingsMachine{publish: func(uint64, []byte) {}}}
 	machines := serviceMachines()
@@ -36,20 +36,20 @@
 	return r, nil
 }
 
-// Close lets go of the disk.
+// Close releases the disk.
 func (r *Remains) Close() error { return r.partitions.Close() }
 
-// Self is the member whose disk it is.
+// Self returns the member that the disk belongs to.
 func (r *Remains) Self() consensus.Member { return r.partitions.Self() }
 
-// Groups lists what it holds of each partition.
+// Groups lists the stored state of each partition.
 func (r *Remains) Groups() []partition.GroupRemains { return r.partitions.Groups() }
 
-// Name says what a partition holds.
+// Name returns the name of a partition for operators.
 func (r *Remains) Name(number partition.Group) string { return partitionName(number) }
 
-// Restore makes the disk the only member of all partitions, with all that it holds; see partition.Remains. It gives the
-// configuration in force from then on.
+// Restore makes this member the only member of all partitions and keeps the state on its disk; see partition.Remains. It
+// returns the configuration that is then in force.
 func (r *Remains) Restore() (status.Configuration, error) {
 	if err := r.partitions.Restore(); err != nil {
 		return status.Configuration{}, err
@@ -58,10 +58,10 @@
 	return status.Configuration{Version: state.Version(), Index: state.Index()}, nil
 }
 
-// Rebase serves partition.Rebaser.
+// Rebase implements partition.Rebaser.
 func (s *settingsMachine) Rebase(index uint64) { s.state.Rebase(index) }
 
-// serviceMachines are the state machines of the services' partitions.
+// serviceMachines returns the state machines of the services' partitions.
 func serviceMachines() map[partition.Group]partition.StateMachine {
 	machines := map[partition.Group]partition.StateMachine{}
 	for number := range servicePartitions {
--- a/internal/control/member/settings.go
+++ b/internal/control/member/settings.go
@@ -7,7 +7,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// settingsMachine is the state machine of the configuration's partition; it serves partition.StateMachine.
+// settingsMachine is the state machine of the configuration partition. It implements partition.StateMachine.
 type settingsMachine struct {
 	state   configstate.State
 	publish func(index uint64, document []byte)
@@ -15,11 +15,11 @@
 	faults  configstate.Faults
 }
 
-// Apply serves partition.StateMachine; its result is a configstate.Outcome.
+// Apply implements partition.StateMachine. Its result is a configstate.Outcome.
 func (s *settingsMachine) Apply(index uint64, command []byte) any {
 	order, err := configstate.DecodeOrder(command)
 	if err != nil {
-		s.log.Error().Err(err).Msg("an order in the log can't be read")
+		s.log.Error().Err(err).Msg("cannot decode an order in the log")
 		return nil
 	}
 	outcome := s.state.Apply(index, order)
@@ -29,17 +29,17 @@
 	return outcome
 }
 
-// publishCurrent has the fleet know of the configuration in force.
+// publishCurrent publishes the current configuration to the fleet.
 func (s *settingsMachine) publishCurrent() {
 	if current := s.state.Current(); current != nil {
 		s.publish(s.state.Index(), current.Raw())
 	}
 }
 
-// Snapshot serves partition.StateMachine.
+// Snapshot implements partition.StateMachine.
 func (s *settingsMachine) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore serves partition.StateMachine.
+// Restore implements partition.StateMachine.
 func (s *settingsMachine) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		s.state = configstate.NewBroken(s.faults)
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// publish brings the configuration into the replicated map.
+// publish puts the configuration into the replicated map.
 func (m *Member) publish(index uint64, document []byte) {
 	entry, err := topic.SettingsEntry(index, document)
 	if err != nil {
-		m.log.Error().Err(err).Msg("the configuration can't be encoded")
+		m.log.Error().Err(err).Msg("cannot encode the configuration")
 		return
 	}
 	m.members.Node().Put(entry)
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -14,16 +14,16 @@
 	"sumacloft/internal/status"
 )
 
-// ShowLog has the member give its log lines to operators who ask; call it before Run.
+// ShowLog sets the log that the member serves to operators. Call it before Run.
 func (m *Member) ShowLog(lines status.Log) { m.logLines = lines }
 
-// handleStatus serves what operators ask.
+// handleStatus registers the status and log calls of operators.
 func (m *Member) handleStatus(mux *http.ServeMux) {
 	status.CallStatus.Handle(mux, m.report)
 	status.HandleLog(mux, m.logLines)
 }
 
-// report is what the member knows.
+// report returns the status of the member.
 func (m *Member) report(ctx context.Context, _ *status.Question) (*status.Report, error) {
 	state, err := m.host.Status(ctx)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return report, nil
 }
 
-// orderMemory is how much this member remembers of orders; nil where it does not answer in time.
+// orderMemory reports how many orders this member remembers. It returns nil if the partition cannot be read in time.
 func (m *Member) orderMemory(ctx context.Context) *status.OrderMemory {
 	reported := &status.OrderMemory{MostTaken: configstate.MaxRemembered, MostRefused: configstate.MaxRefused}
 	err := m.host.ReadUnconfirmed(ctx, settingsGroup, func() {
@@ -75,7 +75,7 @@
 	}
 }
 
-// partitionName says what a partition holds.
+// partitionName returns the name of a partition for operators.
 func partitionName(number partition.Group) string {
 	if number == settingsGroup {
 		return "configuration"
@@ -122,7 +122,7 @@
 	}
 }
 
-// progressOf is a leader's view of the others; empty at a member that does not lead.
+// progressOf returns the replication progress of the other members. It is empty unless this member leads.
 func progressOf(members []consensus.MemberStatus, now time.Duration) map[consensus.MemberID]*status.Progress {
 	progress := make(map[consensus.MemberID]*status.Progress, len(members))
 	for _, member := range members {
--- a/internal/control/member/status_test.go
+++ b/internal/control/member/status_test.go
@@ -12,7 +12,7 @@
 	"sumacloft/internal/status"
 )
 
-// The members of the tests' partitions.
+// Members of the partitions under test.
 var (
 	one   = consensus.Member{ID: 0x1f, Address: "10.0.0.1:7700", Node: "control-1"}
 	two   = consensus.Member{ID: 2, Address: "10.0.0.2:7700", Node: "control-2"}
@@ -21,7 +21,7 @@
 
 func TestLeaderReportsMemberProgress(t *testing.T) {
 	c := qt.New(t)
-	// Given the leader of the configuration's partition, with a voter that answers and a learner that never has
+	// Given the leader of the configuration partition, a voter that answers and a learner that never has,
 	led := partition.GroupStatus{Number: settingsGroup, Status: consensus.Status{
 		Self: one.ID, Role: consensus.RoleLeader, Term: 4, Leader: one,
 		Commit: 9, Applied: 8, Last: 10, Stable: 7, SnapshotIndex: 6, MembershipPending: true, DiskFailed: true,
@@ -31,9 +31,9 @@
 			{Member: three, State: consensus.StateProbe},
 		},
 	}}
-	// when it reports
+	// when it reports its status,
 	reported := partitionOf(led, time.Second)
-	// then it tells where the partition stands and how long ago it heard of each.
+	// then the report has the partition's state and the time since the last contact with each member.
 	c.Assert(reported, qt.DeepEquals, status.Partition{
 		Number: 0, Name: "configuration", Role: "leader", Term: 4, Leader: one.Address,
 		Commit: 9, Applied: 8, Last: 10, Stable: 7, Snapshot: 6, Pending: true, DiskFailed: true,
@@ -48,13 +48,13 @@
 
 func TestFollowerReportsNoProgress(t *testing.T) {
 	c := qt.New(t)
-	// Given a follower in a partition of services that knows no leader, when it reports
+	// Given a follower without a known leader in a partition of services, when it reports its status,
 	following := partition.GroupStatus{Number: firstServiceGroup + 1, Status: consensus.Status{
 		Self: two.ID, Role: consensus.RoleFollower,
 		Membership: consensus.Membership{Voters: []consensus.Member{one, two}},
 	}}
 	reported := partitionOf(following, time.Second)
-	// then it names the partition and tells no leader and no progress.
+	// then the report has the partition's name, but no leader and no progress.
 	c.Assert(reported.Name, qt.Equals, "services-2")
 	c.Assert(reported.Leader, qt.Equals, "")
 	for _, member := range reported.Members {
@@ -64,7 +64,7 @@
 
 func TestDiskPositionIsReported(t *testing.T) {
 	c := qt.New(t)
-	// Given where a log stands, when it is reported, then nothing of it is lost.
+	// All values of the disk log's statistics are copied into the report.
 	stats := disklog.Stats{Segment: 1, Generation: 5, UsedBytes: 100, FreeBytes: 900, Sequence: 44}
 	c.Assert(diskOf(stats), qt.DeepEquals, &status.Disk{Sequence: 44, Segment: 1, Generation: 5, UsedBytes: 100, FreeBytes: 900})
 }
--- a/internal/control/member/survey.go
+++ b/internal/control/member/survey.go
@@ -5,17 +5,18 @@
 	"sumacloft/internal/control/registry"
 )
 
-// maxReportsPerRound is how many workers of a service are asked for their reports in one round. With more of them rounds take turns,
-// so that the owner's work does not grow with the workers; the shares of phases need the mean, not each report.
+// maxReportsPerRound bounds the workers of a service that are asked for reports in one round. Larger services are sampled in
+// rotation, so that the owner's work does not grow with the number of workers. The balance of phases needs the mean load of a
+// phase, not every report.
 const maxReportsPerRound = 100
 
-// survey holds the latest reports of a service's workers.
+// survey collects the latest reports of a service's workers.
 type survey struct {
 	latest map[string]phases.Worker // by id
-	next   int                      // place of the first worker to ask in the next round
+	next   int                      // index of the first worker to ask in the next round
 }
 
-// nextWorkers are the workers to ask in this round.
+// nextWorkers returns the workers to ask in this round.
 func (s *survey) nextWorkers(workers []registry.Worker) []registry.Worker {
 	if len(workers) <= maxReportsPerRound {
 		return workers
@@ -29,7 +30,7 @@
 	return selected
 }
 
-// record keeps reports that have come, and forgets workers that are gone.
+// record stores new reports. It drops reports of workers that no longer exist or have changed their phase.
 func (s *survey) record(workers []registry.Worker, reports []phases.Worker) {
 	latest := make(map[string]phases.Worker, len(workers))
 	for _, worker := range workers {
@@ -43,7 +44,8 @@
 	s.latest = latest
 }
 
-// estimates describes each worker by its latest report; one without a report in its phase by the mean of that phase.
+// estimates returns the latest report of each worker. A worker without a report in its current phase gets the mean of that
+// phase.
 func (s *survey) estimates(workers []registry.Worker) []phases.Worker {
 	means := s.means()
 	estimated := make([]phases.Worker, 0, len(workers))
@@ -58,7 +60,7 @@
 	return estimated
 }
 
-// means are what workers report on the average, by phase.
+// means returns the mean report by phase. Silent workers are not counted.
 func (s *survey) means() map[string]phases.Worker {
 	counts := map[string]int{}
 	sums := map[string]phases.Worker{}
--- a/internal/control/member/survey_test.go
+++ b/internal/control/member/survey_test.go
@@ -10,7 +10,7 @@
 	"sumacloft/internal/control/registry"
 )
 
-// makeWorkers are so makeWorkers workers, every second of which writes.
+// makeWorkers returns count workers, every second one a writer.
 func makeWorkers(count int) []registry.Worker {
 	workers := make([]registry.Worker, 0, count)
 	for number := range count {
@@ -23,7 +23,7 @@
 	return workers
 }
 
-// makeReports are reports in which writers run 30 requests and readers 2.
+// makeReports returns reports in which writers run 30 requests and readers 2.
 func makeReports(workers []registry.Worker) []phases.Worker {
 	reports := make([]phases.Worker, 0, len(workers))
 	for _, worker := range workers {
@@ -47,11 +47,11 @@
 
 func TestManyWorkersAreSampledInRotation(t *testing.T) {
 	c := qt.New(t)
-	// Given more workers than a round asks
+	// Given more workers than are asked in one round,
 	workers := makeWorkers(5*maxReportsPerRound/2 + 1)
 	var s survey
 	asked := map[string]int{}
-	// when three rounds have passed
+	// when three rounds have passed,
 	for range 3 {
 		due := s.nextWorkers(workers)
 		c.Assert(due, qt.HasLen, maxReportsPerRound)
@@ -59,7 +59,7 @@
 			asked[worker.ID]++
 		}
 	}
-	// then each has been asked, and none more than twice.
+	// then each worker has been asked once or twice.
 	c.Assert(asked, qt.HasLen, len(workers))
 	for id, times := range asked {
 		c.Assert(times <= 2, qt.IsTrue, qt.Commentf("%s was asked %d times", id, times))
@@ -68,18 +68,18 @@
 
 func TestWorkerWithoutReportGetsMeanOfItsPhase(t *testing.T) {
 	c := qt.New(t)
-	// Given many workers of which one round has asked some, and one of which has changed its phase since
+	// Given many workers of which one round has asked some, and one that has changed its phase since,
 	workers := makeWorkers(3 * maxReportsPerRound)
 	var s survey
 	due := s.nextWorkers(workers)
 	s.record(workers, makeReports(due))
 	workers[0].Phase = phases.Reading
 	s.record(workers, nil)
-	// when all are estimated
+	// when the load of all workers is estimated,
 	estimated := s.estimates(workers)
-	// then each is what workers of its phase report.
+	// then each worker has the load that workers of its phase report.
 	c.Assert(estimated, qt.DeepEquals, makeReports(workers))
-	// And workers that are gone are forgotten.
+	// Reports of workers that no longer exist are dropped.
 	s.record(workers[:10], nil)
 	c.Assert(len(s.latest) <= 10, qt.IsTrue)
 }
--- a/internal/control/member/views.go
+++ b/internal/control/member/views.go
@@ -9,19 +9,19 @@
 	"sumacloft/internal/status"
 )
 
-// views are what the balances of phases saw and wanted last, by service, for operators who ask. The zero value is ready.
+// views holds the latest phase balance of each service for status reports. The zero value is ready to use.
 type views struct {
 	mu     sync.Mutex
 	latest map[string]view
 }
 
-// view is one service's.
+// view is the latest phase balance of one service.
 type view struct {
 	phases.View
-	orders int // given by this member since it took up the duty
+	orders int // sent by this member since it took over the service
 }
 
-// record notes what a balance saw, and how many orders it gave. It tells whether its reason is another than before.
+// record stores the latest balance of a service and adds to its number of orders. It reports whether the reason has changed.
 func (v *views) record(service string, observed phases.View, orders int) (changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -33,14 +33,14 @@
 	return before.Reason != observed.Reason
 }
 
-// forget drops a service that another member looks after.
+// forget removes a service that another member now owns.
 func (v *views) forget(service string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.latest, service)
 }
 
-// report is what operators are told.
+// report returns the balances for a status report, sorted by service.
 func (v *views) report() []status.Balance {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -64,7 +64,7 @@
 	return balances
 }
 
-// recordView keeps what a balance saw for operators, and logs it where its reason is a new one or orders follow.
+// recordView stores the latest balance of a service. It logs the balance if its reason has changed or it led to orders.
 func (d *duty) recordView(service string, observed phases.View, orders int) {
 	if !d.views.record(service, observed, orders) && orders == 0 {
 		return
@@ -79,5 +79,5 @@
 		Int("reads_queued", observed.ReadsQueued).
 		Int("writers_wanted", observed.Target).
 		Int("orders", orders).
-		Msg("phases weighed")
+		Msg("phase balance evaluated")
 }
--- a/internal/control/member/waiters.go
+++ b/internal/control/member/waiters.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// waiters are the watches that wait at this member, by their group of keys. A group is held only while one waits: callers
-// name what they like.
+// waiters holds the watches that wait at this member, by group of keys. Callers choose the names of groups, so a group is
+// kept only while a watch waits for it.
 type waiters struct {
 	mu     sync.Mutex
 	groups map[string]*watchGroup
 }
 
-// watchGroup are the watches that wait for the next put in one group.
+// watchGroup is the set of watches that wait for the next write in one group.
 type watchGroup struct {
-	updated chan struct{} // closed at the put
+	updated chan struct{} // closed on a write
 	count   int
 }
 
-// wait waits for the put, at most for so long or until the context ends.
+// wait blocks until the next write, the timeout or the end of the context.
 func (w *watchGroup) wait(ctx context.Context, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -32,7 +32,7 @@
 
 func newWaiters() *waiters { return &waiters{groups: map[string]*watchGroup{}} }
 
-// join has a watch wait; call leave once it does no longer.
+// join registers a watch. Call leave when it stops waiting.
 func (w *waiters) join(scope string) *watchGroup {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// wake ends the waiting in a group.
+// wake wakes the watches of a group.
 func (w *waiters) wake(scope string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// wakeAll ends it in all groups.
+// wakeAll wakes the watches of all groups.
 func (w *waiters) wakeAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/control/member/waiters_test.go
+++ b/internal/control/member/waiters_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// isWoken tells whether those who wait were woken.
+// isWoken reports whether the watches of the group were woken.
 func (w *watchGroup) isWoken() bool {
 	select {
 	case <-w.updated:
@@ -19,12 +19,12 @@
 func TestWatchesAreWokenByGroup(t *testing.T) {
 	c := qt.New(t)
 	w := newWaiters()
-	// Given two watches of one group and one of another, when there is a put in the first, then its two are woken.
+	// Given two watches of one group and one of another, when the first group is written, then only its two watches are woken.
 	one, two, other := w.join("g."), w.join("g."), w.join("h.")
 	w.wake("g.")
 	c.Assert(one.isWoken() && two.isWoken(), qt.IsTrue)
 	c.Assert(other.isWoken(), qt.IsFalse)
-	// A watch that joins meanwhile waits for the next put, whenever those before it leave.
+	// A watch that joins later waits for the next write, even when the earlier ones leave after it joined.
 	next := w.join("g.")
 	w.leave("g.", one)
 	w.leave("g.", two)
--- a/internal/control/member/watch.go
+++ b/internal/control/member/watch.go
@@ -8,7 +8,7 @@
 	"sumacloft/internal/control/partition"
 )
 
-// watch has a watch answered by the leader, in slices: whoever leads later is found at the next.
+// watch executes a watch at the leader in slices, so that a change of leader is noticed at the next slice.
 func (c *coordinator) watch(ctx context.Context, call coordination.Call) coordination.Answer {
 	if c.watches.Add(1) > maxWatches {
 		c.watches.Add(-1)
@@ -35,12 +35,12 @@
 	}
 }
 
-// awaitEvents answers a watch at the leader: with the first events above its revision, or with none once its time has passed.
+// awaitEvents executes a watch at the leader. It returns the first events above the revision, or none after the timeout.
 func (c *coordinator) awaitEvents(ctx context.Context, group partition.Group, call coordination.Call) (coordination.Answer, string) {
 	machine := c.machines[group]
 	end := c.member.now() + time.Duration(call.QueueMS)*time.Millisecond
 	for {
-		watchers := machine.waiters.join(call.Name) // before the look: no put is missed
+		watchers := machine.waiters.join(call.Name) // before the read, so that no write is missed
 		answer, leader := c.readAsLeader(ctx, group, func() coordination.Answer { return machine.state.Watch(call.Name, call.After) })
 		left := end - c.member.now()
 		mustWait := answer.Status == coordination.Done && call.After != 0 && len(answer.Events) == 0 && left > 0
--- a/internal/control/member/workers.go
+++ b/internal/control/member/workers.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// reportTimeout bounds the question for one report.
+	// reportTimeout bounds the request for one report.
 	reportTimeout = 300 * time.Millisecond
-	// maxAnswerBytes bounds a worker's answer.
+	// maxAnswerBytes bounds the response of a worker.
 	maxAnswerBytes = 64 << 10
-	// workerIdleTimeout is how long a connection to a worker is kept: shorter than workers keep one.
+	// workerIdleTimeout is the idle timeout of connections to workers. It is shorter than the workers' own.
 	workerIdleTimeout = 2 * time.Second
 )
 
-// outdatedError is a worker's word that it has seen a higher fence than the one an order bore: another member has taken
-// over the duty.
+// outdatedError means that a worker has seen a higher fence than that of the order. Another member has taken over the
+// partition of its service.
 type outdatedError struct{ worker string }
 
 // Error implements error.
 func (e *outdatedError) Error() string {
-	return "worker " + e.worker + " has seen a higher fence: another member gives its orders now"
+	return "worker " + e.worker + " refused the order: it has seen a higher fence, another member owns its partition"
 }
 
-// workerClient makes a control member's calls to workers.
+// workerClient makes HTTP requests to workers.
 type workerClient struct {
 	reports *http.Client
-	orders  *http.Client // each on a connection of its own: no late answer to another call can be taken for theirs
+	orders  *http.Client // one connection per request, so that a late response to another request is not mistaken for the response to an order
 }
 
 func newWorkerClient(transport network.Network) *workerClient {
 	return &workerClient{reports: newWorkerHTTPClient(transport, true), orders: newWorkerHTTPClient(transport, false)}
 }
 
-// newWorkerHTTPClient makes a client whose connections are kept for a while, or not at all.
+// newWorkerHTTPClient creates an HTTP client with or without keep-alive connections.
 func newWorkerHTTPClient(transport network.Network, keep bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -57,7 +57,7 @@
 	}}
 }
 
-// report asks a worker for its report. One that does not answer is silent: nothing is known of its load.
+// report requests the load report of a worker. If the worker does not answer, the report is marked silent.
 func (c *workerClient) report(ctx context.Context, worker registry.Worker) phases.Worker {
 	report := phases.Worker{ID: worker.ID, Zone: worker.Zone, Phase: worker.Phase, Capacity: worker.Capacity}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -75,7 +75,7 @@
 	return report
 }
 
-// order has a worker change its phase. An error says that it refused, or that it is not known whether it took the order.
+// order sends a phase change to a worker. After an error the worker has refused the order or its outcome is unknown.
 func (c *workerClient) order(ctx context.Context, address string, order phases.Order, owner string, fence uint64) error {
 	body := `{"order_type":"phase","phase":` + strconv.Quote(order.Phase) + `,"owner":` + strconv.Quote(owner) +
 		`,"fence_number":` + strconv.FormatUint(fence, 10) + `}`
@@ -83,7 +83,7 @@
 	return err
 }
 
-// call makes one call to a worker and reads its answer.
+// call makes one request to a worker and returns the response body.
 func call(ctx context.Context, client *http.Client, method, address, worker, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer func() { _ = answer.Body.Close() }() // it was read
+	defer func() { _ = answer.Body.Close() }() // the body has been read
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -106,7 +106,7 @@
 		return nil, Error.Wrap(&outdatedError{worker: worker})
 	}
 	if answer.StatusCode >= http.StatusMultipleChoices {
-		return nil, Error.New("worker %s answers %s with status %d", worker, path, answer.StatusCode)
+		return nil, Error.New("worker %s: request %s failed with status %d", worker, path, answer.StatusCode)
 	}
 	return content, nil
 }
