--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -19,17 +19,17 @@
 const (
 	// reportInterval is how often the owner of a partition asks the workers of its services for their reports.
 	reportInterval = time.Second
-	// noteTime is the time between the announcement of an order and the order itself. In this time the proxies stop sending
+	// announceDelay is the time between the announcement of an order and the order itself. In this time the proxies stop sending
 	// requests to the worker.
-	noteTime = 150 * time.Millisecond
-	// orderTime bounds the request that sends an order to a worker.
-	orderTime = 400 * time.Millisecond
+	announceDelay = 150 * time.Millisecond
+	// orderSendTimeout bounds the request that sends an order to a worker.
+	orderSendTimeout = 400 * time.Millisecond
 	// leaseMargin is the part of the lease that must be left when the request of an order times out.
 	leaseMargin = 50 * time.Millisecond
-	// changeLimit is how long a phase change may take before it is abandoned.
-	changeLimit = 5 * time.Second
-	// turnMargin is added to the configured lease time that a new owner waits before it sends its first order.
-	turnMargin = time.Second
+	// phaseChangeTimeout is how long a phase change may take before it is abandoned.
+	phaseChangeTimeout = 5 * time.Second
+	// takeoverMargin is added to the configured lease time that a new owner waits before it sends its first order.
+	takeoverMargin = time.Second
 )
 
 // duty adapts the phases of workers to the load. The owner of each service's partition does this while it holds the lease.
@@ -41,7 +41,7 @@
 	pending  map[string]change          // by worker
 	views    *views
 	outdated map[partition.Group]uint64 // highest fence that a worker has refused
-	number   uint64                     // sequence number of the newest order or its end
+	sequence uint64                     // sequence number of the newest order or its end
 }
 
 // change is a phase change in progress.
@@ -84,7 +84,7 @@
 		}
 		return
 	}
-	if !lease.Settled(d.member.settings.Rules.Lease + turnMargin) {
+	if !lease.Settled(d.member.settings.Rules.Lease + takeoverMargin) {
 		return // the previous owner may have sent an order just before it lost the lease
 	}
 	if lease.Fence <= d.outdated[group] {
@@ -127,7 +127,7 @@
 		}
 		order, underWay := topic.OrderOf(entry)
 		pending, own := d.pending[worker.ID]
-		if underWay && own && order.Phase != worker.Phase && now-pending.at < changeLimit {
+		if underWay && own && order.Phase != worker.Phase && now-pending.at < phaseChangeTimeout {
 			continue
 		}
 		if own && order.Phase == worker.Phase {
@@ -142,16 +142,16 @@
 
 // end publishes that no order for a worker is pending.
 func (d *duty) end(worker string, fence uint64) {
-	d.number++
+	d.sequence++
 	delete(d.pending, worker)
-	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.number))
+	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.sequence))
 }
 
 // balance requests the reports of a service's workers and sends the resulting orders.
 func (d *duty) balance(ctx context.Context, group partition.Group, service string, workers []registry.Worker) {
 	balance := d.balanceOf(service)
 	orders := balance.Observe(d.member.now(), d.reports(ctx, service, workers))
-	if d.leftOut(balance.View().Reason) {
+	if d.disabledByTrial(balance.View().Reason) {
 		orders = nil
 	}
 	d.recordView(service, balance.View(), len(orders))
@@ -164,7 +164,7 @@
 		d.announce(ctx, group, service, order)
 	}
 	if len(orders) > 0 {
-		time.Sleep(noteTime)
+		time.Sleep(announceDelay)
 	}
 	results := make([]error, len(orders))
 	for i, order := range orders {
@@ -178,7 +178,7 @@
 	for i, order := range orders {
 		d.member.log.Info().Str("worker", order.Worker).Str("phase", order.Phase).Err(results[i]).Msg("worker ordered to change its phase")
 		if results[i] != nil {
-			d.refused(group, d.pending[order.Worker].fence, results[i])
+			d.recordRefusal(group, d.pending[order.Worker].fence, results[i])
 			d.end(order.Worker, d.pending[order.Worker].fence)
 		}
 	}
@@ -194,16 +194,16 @@
 	return balance
 }
 
-// refused records a fence that a worker has refused as too low.
-func (d *duty) refused(group partition.Group, fence uint64, why error) {
+// recordRefusal records a fence that a worker has recordRefusal as too low.
+func (d *duty) recordRefusal(group partition.Group, fence uint64, cause error) {
 	var outdated *outdatedError
-	if errors.As(why, &outdated) {
+	if errors.As(cause, &outdated) {
 		d.outdated[group] = max(d.outdated[group], fence)
 	}
 }
 
-// leftOut reports whether the trial settings disable orders with the given reason.
-func (d *duty) leftOut(reason phases.Reason) bool {
+// disabledByTrial reports whether the trial settings disable orders with the given reason.
+func (d *duty) disabledByTrial(reason phases.Reason) bool {
 	off := d.member.settings.Trial
 	if reason == phases.ReasonCold {
 		return off.Has(trial.ColdShare)
@@ -226,17 +226,17 @@
 	if _, err := d.member.host.Propose(proposing, group, command); err != nil {
 		return // without a pending entry the order is not sent
 	}
-	d.number++
+	d.sequence++
 	d.pending[order.Worker] = change{service: service, phase: order.Phase, fence: lease.Fence, at: d.member.now()}
-	d.member.members.Node().Put(topic.OrderEntry(order.Worker, topic.PhaseOrder{Phase: order.Phase}, lease.Fence, d.number))
+	d.member.members.Node().Put(topic.OrderEntry(order.Worker, topic.PhaseOrder{Phase: order.Phase}, lease.Fence, d.sequence))
 }
 
 // order sends one order if the request can complete within the lease under which the order was committed.
 func (d *duty) order(ctx context.Context, group partition.Group, order phases.Order, address string) error {
 	lease, held := d.member.host.Lease(ctx, group)
-	pending, written := d.pending[order.Worker]
-	limit, may := lease.TimeFor(pending.fence, orderTime, leaseMargin)
-	if !held || !written || !may {
+	pending, announced := d.pending[order.Worker]
+	limit, allowed := lease.TimeFor(pending.fence, orderSendTimeout, leaseMargin)
+	if !held || !announced || !allowed {
 		return Error.New("the lease has ended before the order could be sent")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -246,22 +246,22 @@
 
 // reports returns the current or latest report of each worker. Workers that do not answer count as idle.
 func (d *duty) reports(ctx context.Context, service string, workers []registry.Worker) []phases.Worker {
-	known := d.surveys[service]
-	if known == nil {
-		known = &survey{}
-		d.surveys[service] = known
+	reportSurvey := d.surveys[service]
+	if reportSurvey == nil {
+		reportSurvey = &survey{}
+		d.surveys[service] = reportSurvey
 	}
-	due := known.nextWorkers(workers)
-	known.record(workers, d.ask(ctx, due))
-	reports := known.estimates(workers)
+	selected := reportSurvey.nextWorkers(workers)
+	reportSurvey.record(workers, d.requestReports(ctx, selected))
+	reports := reportSurvey.estimates(workers)
 	for i := range reports {
 		_, reports[i].Changing = d.pending[reports[i].ID]
 	}
 	return reports
 }
 
-// ask requests the reports of workers concurrently.
-func (d *duty) ask(ctx context.Context, workers []registry.Worker) []phases.Worker {
+// requestReports requests the reports of workers concurrently.
+func (d *duty) requestReports(ctx context.Context, workers []registry.Worker) []phases.Worker {
 	reports := make([]phases.Worker, len(workers))
 	var asked sync.WaitGroup
 	for i, worker := range workers {
