--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -194,7 +194,7 @@
 	return balance
 }
 
-// recordRefusal records a fence that a worker has recordRefusal as too low.
+// recordRefusal records a fence that a worker has refused as too low.
 func (d *duty) recordRefusal(group partition.Group, fence uint64, cause error) {
 	var outdated *outdatedError
 	if errors.As(cause, &outdated) {
--- a/internal/control/member/orders.go
+++ b/internal/control/member/orders.go
@@ -74,7 +74,7 @@
 	return answer.Document, nil
 }
 
-// readCurrent gives the readCurrent document as the leader knows it under its lease.
+// readCurrent returns the current document from the leader, which reads it under its lease.
 func (o *orders) readCurrent(ctx context.Context, question *message.Read) (*message.ReadAnswer, error) {
 	return atLeader(ctx, func() (*message.ReadAnswer, error) { return o.readAsLeader(ctx, question) },
 		func(leader string) (*message.ReadAnswer, error) {
