--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -91,7 +91,7 @@
 		return // another member has sent orders with a higher fence
 	}
 	for service, workers := range services {
-		d.settle(workers, lease.Fence)
+		d.finishChanges(workers, lease.Fence)
 		d.balance(ctx, group, service, workers)
 	}
 }
@@ -115,9 +115,9 @@
 	return services
 }
 
-// settle ends changes that the workers' heartbeats show as complete, that have timed out, or that a previous owner left
+// finishChanges ends changes that the workers' heartbeats show as complete, that have timed out, or that a previous owner left
 // unfinished.
-func (d *duty) settle(workers []registry.Worker, fence uint64) {
+func (d *duty) finishChanges(workers []registry.Worker, fence uint64) {
 	now := d.member.now()
 	snapshot, _ := d.member.members.Node().Snapshot()
 	for _, worker := range workers {
@@ -125,23 +125,23 @@
 		if !found {
 			continue
 		}
-		order, underWay := topic.OrderOf(entry)
+		order, inProgress := topic.OrderOf(entry)
 		pending, own := d.pending[worker.ID]
-		if underWay && own && order.Phase != worker.Phase && now-pending.at < phaseChangeTimeout {
+		if inProgress && own && order.Phase != worker.Phase && now-pending.at < phaseChangeTimeout {
 			continue
 		}
 		if own && order.Phase == worker.Phase {
 			d.balanceOf(worker.Service).Took(now - pending.at)
 		}
 		delete(d.pending, worker.ID)
-		if underWay {
-			d.end(worker.ID, fence)
+		if inProgress {
+			d.clearOrder(worker.ID, fence)
 		}
 	}
 }
 
-// end publishes that no order for a worker is pending.
-func (d *duty) end(worker string, fence uint64) {
+// clearOrder publishes that no order for a worker is pending.
+func (d *duty) clearOrder(worker string, fence uint64) {
 	d.sequence++
 	delete(d.pending, worker)
 	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.sequence))
@@ -179,7 +179,7 @@
 		d.member.log.Info().Str("worker", order.Worker).Str("phase", order.Phase).Err(results[i]).Msg("worker ordered to change its phase")
 		if results[i] != nil {
 			d.recordRefusal(group, d.pending[order.Worker].fence, results[i])
-			d.end(order.Worker, d.pending[order.Worker].fence)
+			d.clearOrder(order.Worker, d.pending[order.Worker].fence)
 		}
 	}
 }
