--- a/internal/control/member/recall.go
+++ b/internal/control/member/recall.go
@@ -7,39 +7,39 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// keep has the disk keep the registry of workers, if it has changed. A worker's heartbeats would bring it back within a
-// moment, but in that moment a fleet that starts as a whole could serve nobody.
-func (m *Member) keep() {
+// saveRegistry saves the registry of workers to disk if it has changed. Heartbeats would rebuild the registry soon after a
+// restart, but until then a fleet that restarts as a whole could not serve requests.
+func (m *Member) saveRegistry() {
 	m.mu.Lock()
 	revision := m.registry.View().Revision()
 	entries := m.registry.Entries()
 	m.mu.Unlock()
-	if revision == m.kept {
+	if revision == m.savedRevision {
 		return
 	}
-	m.kept = revision
-	note, err := cbor.Marshal(entries)
+	m.savedRevision = revision
+	encoded, err := cbor.Marshal(entries)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // encoding a plain struct cannot fail
 	}
-	m.host.SetNote(note)
+	m.host.SetNote(encoded)
 }
 
-// remember takes the workers that the disk knows. Those that are gone by now lapse like any other.
-func (m *Member) remember() {
+// restoreRegistry loads the workers from disk. Workers that no longer exist lapse as usual.
+func (m *Member) restoreRegistry() {
 	var entries []replica.Entry
-	if note := m.host.Note(); len(note) > 0 {
-		if err := cbor.Unmarshal(note, &entries); err != nil {
-			m.log.Warn().Err(err).Msg("the registry on disk can't be read; heartbeats will bring it back")
+	if encoded := m.host.Note(); len(encoded) > 0 {
+		if err := cbor.Unmarshal(encoded, &entries); err != nil {
+			m.log.Warn().Err(err).Msg("cannot decode the registry on disk; heartbeats will rebuild it")
 			return
 		}
 	}
 	m.mu.Lock()
 	known := m.registry.Merge(m.now(), entries)
 	m.mu.Unlock()
-	told := make([]replica.Entry, 0, len(known))
+	published := make([]replica.Entry, 0, len(known))
 	for _, worker := range known {
-		told = append(told, registry.EntryOf(worker))
+		published = append(published, registry.EntryOf(worker))
 	}
-	m.members.Node().Put(told...)
+	m.members.Node().Put(published...)
 }
--- a/internal/control/member/settings.go
+++ b/internal/control/member/settings.go
@@ -7,7 +7,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// settingsMachine is the state machine of the configuration's partition; it serves partition.StateMachine.
+// settingsMachine is the state machine of the configuration partition. It implements partition.StateMachine.
 type settingsMachine struct {
 	state   configstate.State
 	publish func(index uint64, document []byte)
@@ -15,31 +15,31 @@
 	faults  configstate.Faults
 }
 
-// Apply serves partition.StateMachine; its result is a configstate.Outcome.
+// Apply implements partition.StateMachine. Its result is a configstate.Outcome.
 func (s *settingsMachine) Apply(index uint64, command []byte) any {
 	order, err := configstate.DecodeOrder(command)
 	if err != nil {
-		s.log.Error().Err(err).Msg("an order in the log can't be read")
+		s.log.Error().Err(err).Msg("cannot decode an order in the log")
 		return nil
 	}
 	outcome := s.state.Apply(index, order)
 	if outcome.Status == configstate.Taken {
-		s.tell()
+		s.publishCurrent()
 	}
 	return outcome
 }
 
-// tell has the fleet know of the configuration in force.
-func (s *settingsMachine) tell() {
+// publishCurrent publishes the current configuration to the fleet.
+func (s *settingsMachine) publishCurrent() {
 	if current := s.state.Current(); current != nil {
 		s.publish(s.state.Index(), current.Raw())
 	}
 }
 
-// Snapshot serves partition.StateMachine.
+// Snapshot implements partition.StateMachine.
 func (s *settingsMachine) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore serves partition.StateMachine.
+// Restore implements partition.StateMachine.
 func (s *settingsMachine) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		s.state = configstate.NewBroken(s.faults)
@@ -48,15 +48,15 @@
 	if err := s.state.Restore(snapshot); err != nil {
 		return err
 	}
-	s.tell()
+	s.publishCurrent()
 	return nil
 }
 
-// publish brings the configuration into the replicated map.
+// publish puts the configuration into the replicated map.
 func (m *Member) publish(index uint64, document []byte) {
 	entry, err := topic.SettingsEntry(index, document)
 	if err != nil {
-		m.log.Error().Err(err).Msg("the configuration can't be encoded")
+		m.log.Error().Err(err).Msg("cannot encode the configuration")
 		return
 	}
 	m.members.Node().Put(entry)
--- a/internal/control/partition/duties.go
+++ b/internal/control/partition/duties.go
@@ -44,7 +44,7 @@
 		if status.Role != consensus.RoleLeader {
 			continue
 		}
-		if hold := reconfigure.HoldOf(h.situationFor(g, status, id), id); hold != reconfigure.Free {
+		if hold := reconfigure.HoldOf(h.situationFor(g, status, id), id); hold != reconfigure.HoldNone {
 			answer.Holds = append(answer.Holds, Held{Group: g.number, Reason: hold})
 			continue
 		}
@@ -106,12 +106,12 @@
 func (h *Host) situation(g *group, status consensus.Status) reconfigure.Situation {
 	now := h.now()
 	situation := reconfigure.Situation{
-		Now:       now,
-		Status:    status,
-		Leading:   now - g.leaderSince,
-		Target:    h.config.Voters,
-		Settled:   g.reviewedCommit,
-		DropFirst: h.config.Faults.DropFirst,
+		Now:          now,
+		Status:       status,
+		LeadingFor:   now - g.leaderSince,
+		Target:       h.config.Voters,
+		RecentCommit: g.reviewedCommit,
+		DropFirst:    h.config.Faults.DropFirst,
 	}
 	for id, request := range h.joining {
 		if now-request.at > joinRetention {
--- a/internal/control/partition/leave.go
+++ b/internal/control/partition/leave.go
@@ -11,7 +11,7 @@
 // leaveState tracks which partitions a leaving member still waits for. The zero value waits for none.
 type leaveState struct {
 	mu    sync.Mutex
-	holds map[Group]reconfigure.Hold // partitions that have not let it leave; Free if their leader has not answered
+	holds map[Group]reconfigure.Hold // partitions that have not let it leave; HoldNone if their leader has not answered
 }
 
 // begin adds all partitions as waited for.
@@ -20,7 +20,7 @@
 	defer e.mu.Unlock()
 	e.holds = make(map[Group]reconfigure.Hold, len(groups))
 	for number := range groups {
-		e.holds[number] = reconfigure.Free
+		e.holds[number] = reconfigure.HoldNone
 	}
 }
 
@@ -46,7 +46,7 @@
 }
 
 // LeaveHolds returns, by partition, why this member may not leave yet. It is empty if Leave was not called or if the member may
-// leave. The value is reconfigure.Free for a partition whose leader has not answered yet.
+// leave. The value is reconfigure.HoldNone for a partition whose leader has not answered yet.
 func (h *Host) LeaveHolds() map[Group]reconfigure.Hold {
 	h.leaveState.mu.Lock()
 	defer h.leaveState.mu.Unlock()
--- a/internal/control/steering/coordination.go
+++ b/internal/control/steering/coordination.go
@@ -12,27 +12,27 @@
 	"sumacloft/internal/control/coordination"
 )
 
-// Coordination answers applications' calls for locks, numbers and keys. Answers with Elsewhere or Full promise that the
-// call has not taken effect and never will.
+// Coordination executes applications' calls for locks, counters and keys. The statuses Elsewhere and Full guarantee that
+// the call has not taken effect and never will.
 type Coordination interface {
 	Do(ctx context.Context, call coordination.Call) coordination.Answer
 }
 
 const (
-	callLimit   = 16 << 10 // bytes of a call
-	nameLimit   = 512      // bytes of a name or an owner
-	amountLimit = 4 << 10  // bytes of a value
-	// holdLimitMS and queueLimitMS bound how long a lock is held without renewal and how long a watch waits.
-	holdLimitMS  = 10 * 60 * 1000
-	queueLimitMS = 30 * 1000
+	maxCallBytes   = 16 << 10 // bytes of a call
+	maxNameBytes   = 512      // bytes of a name or an owner
+	maxAmountBytes = 4 << 10  // bytes of a value
+	// maxHoldMS bounds the lease of a lock, maxQueueMS the long poll of a watch.
+	maxHoldMS  = 10 * 60 * 1000
+	maxQueueMS = 30 * 1000
 )
 
 func handleCoordination(mux *http.ServeMux, calls Coordination) {
 	locks := &lockHandler{calls: calls}
 	numbers := &numberHandler{calls: calls}
 	cells := &cellHandler{calls: calls}
-	watches := &watchHandler{calls: calls} // bounded where they wait
-	limit := &callerLimit{}
+	watches := &watchHandler{calls: calls} // the coordinator limits concurrent watches itself
+	limit := &callLimiter{}
 	mux.HandleFunc("POST /v1/Locks.Start/{id}", limit.wrap(locks.start))
 	mux.HandleFunc("POST /v1/Locks.Beat/{id}", limit.wrap(locks.beat))
 	mux.HandleFunc("POST /v1/Locks.Finish/{id}", limit.wrap(locks.finish))
@@ -42,61 +42,61 @@
 	mux.HandleFunc("GET /v1/watch/{id}", watches.get)
 }
 
-// field is a part of a call.
+// field describes a JSON field of a call's body.
 type field struct {
-	name     string
-	kind     gjson.Type
-	most     uint64 // of a number
-	bytes    int    // of a text
-	optional bool   // it may be missing
+	name      string
+	kind      gjson.Type
+	maxNumber uint64 // largest number
+	maxBytes  int    // longest text
+	optional  bool   // may be missing
 }
 
 var (
-	ownerField    = field{name: "owner", kind: gjson.String, bytes: nameLimit}
-	holdField     = field{name: "hold_ms", kind: gjson.Number, most: holdLimitMS}
-	fenceField    = field{name: "fence_number", kind: gjson.Number, most: 1 << 62}
-	amountField   = field{name: "amount", kind: gjson.String, bytes: amountLimit}
-	expectedField = field{name: "expected", kind: gjson.Number, most: 1 << 62, optional: true}
+	ownerField    = field{name: "owner", kind: gjson.String, maxBytes: maxNameBytes}
+	holdField     = field{name: "hold_ms", kind: gjson.Number, maxNumber: maxHoldMS}
+	fenceField    = field{name: "fence_number", kind: gjson.Number, maxNumber: 1 << 62}
+	amountField   = field{name: "amount", kind: gjson.String, maxBytes: maxAmountBytes}
+	expectedField = field{name: "expected", kind: gjson.Number, maxNumber: 1 << 62, optional: true}
 )
 
-// wanted names the kind of value that the field takes.
-func (f field) wanted() string {
+// typeName returns the type of the field for error messages.
+func (f field) typeName() string {
 	if f.kind == gjson.String {
 		return "text"
 	}
 	return "whole number"
 }
 
-// wrongWith says what is wrong with the field in a call's body; empty: nothing.
-func (f field) wrongWith(body []byte) string {
+// validate checks the field in a call's body. It returns an error text, or "" if the field is valid.
+func (f field) validate(body []byte) string {
 	value := gjson.GetBytes(body, f.name)
 	switch {
 	case f.optional && !value.Exists():
 	case value.Type != f.kind:
-		return f.name + ": give it, as a " + f.wanted()
-	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.bytes):
-		return f.name + ": give 1 to " + strconv.Itoa(f.bytes) + " bytes"
-	case f.kind == gjson.Number && (value.Num < 0 || value.Uint() > f.most || value.Num != float64(value.Uint())):
-		return f.name + ": give a whole number from 0 to " + strconv.FormatUint(f.most, 10)
+		return f.name + ": give it, as a " + f.typeName()
+	case f.kind == gjson.String && (value.Str == "" && f != amountField || len(value.Str) > f.maxBytes):
+		return f.name + ": give 1 to " + strconv.Itoa(f.maxBytes) + " bytes"
+	case f.kind == gjson.Number && (value.Num < 0 || value.Uint() > f.maxNumber || value.Num != float64(value.Uint())):
+		return f.name + ": give a whole number from 0 to " + strconv.FormatUint(f.maxNumber, 10)
 	}
 	return ""
 }
 
-// readCall reads a call's name and body; false says that it was answered as wrong.
+// readCall parses and validates a call. If the call is invalid it answers the request and returns false.
 func readCall(w http.ResponseWriter, request *http.Request, kind coordination.Kind, fields ...field) (coordination.Call, bool) {
 	call := coordination.Call{Kind: kind, Name: request.PathValue("id")}
-	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, callLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxCallBytes))
 	if err != nil {
 		fail(w, http.StatusBadRequest, "the call can't be read, or is larger than 16 KiB")
 		return call, false
 	}
-	if len(call.Name) > nameLimit {
+	if len(call.Name) > maxNameBytes {
 		fail(w, http.StatusBadRequest, "the name is longer than 512 bytes")
 		return call, false
 	}
 	for _, f := range fields {
-		if wrong := f.wrongWith(body); wrong != "" {
-			fail(w, http.StatusBadRequest, wrong)
+		if problem := f.validate(body); problem != "" {
+			fail(w, http.StatusBadRequest, problem)
 			return call, false
 		}
 	}
@@ -110,7 +110,7 @@
 	return call, true
 }
 
-// readAndDecide reads a call and has it decided; false says that it was answered as wrong or not done.
+// readAndDecide parses a call and executes it. It returns false if the call was invalid or failed; the request is then answered.
 func readAndDecide(w http.ResponseWriter, request *http.Request, calls Coordination, kind coordination.Kind, fields ...field) (coordination.Answer, bool) {
 	call, ok := readCall(w, request, kind, fields...)
 	if !ok {
@@ -119,7 +119,7 @@
 	return decide(w, request, calls, call)
 }
 
-// decide has a call decided; false says that it was not done, and was answered so.
+// decide executes a call. It returns false if the call failed; the request is then answered.
 func decide(w http.ResponseWriter, request *http.Request, calls Coordination, call coordination.Call) (coordination.Answer, bool) {
 	answer := calls.Do(request.Context(), call)
 	if answer.Status != coordination.Done {
@@ -129,7 +129,7 @@
 	return answer, true
 }
 
-// failCall answers a call that was not done.
+// failCall answers a call that failed with the HTTP status of its outcome.
 func failCall(w http.ResponseWriter, answer coordination.Answer) {
 	switch answer.Status {
 	case coordination.Held:
@@ -155,15 +155,15 @@
 func answerJSON(w http.ResponseWriter, status int, answer any) {
 	body, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // plain structs can always be encoded
+		panic(err) // encoding a plain struct cannot fail
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has left asks again
+	_, _ = w.Write(body) // a client that disconnected retries
 }
 
-// revisionAnswer names a revision of a key.
+// revisionAnswer is a response with the revision of a key.
 type revisionAnswer struct {
 	Revision uint64 `json:"revision"`
 }
