--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -185,7 +185,7 @@
 		}
 	}
 	if d.Reuse != nil {
-		if err := d.Reuse.Filled().Check(); err != nil {
+		if err := d.Reuse.WithDefaults().Check(); err != nil {
 			return d, err
 		}
 	}
--- a/internal/config/reuse.go
+++ b/internal/config/reuse.go
@@ -16,7 +16,7 @@
 	if !o.Policy.On() {
 		return fmt.Errorf("reuse: copies that all routers agree on need a store (store.id or policy.endpoints)")
 	}
-	if err := m.Filled().Check(); err != nil {
+	if err := m.WithDefaults().Check(); err != nil {
 		return err
 	}
 	known := func(name string) bool {
--- a/internal/decide/gather/gather.go
+++ b/internal/decide/gather/gather.go
@@ -22,7 +22,7 @@
 // Format is the format of the records that this program writes. A record of a newer format is read and never overwritten.
 const Format = 1
 
-// Settings configure gathering. Filled replaces zero values by defaults.
+// Settings configure gathering. WithDefaults replaces zero values by defaults.
 type Settings struct {
 	PeriodMs   float64 // between two records of a region; default 2000
 	TakeoverMs float64 // how long a record may be overdue until the next router writes; default 3000
@@ -30,8 +30,8 @@
 	MaxGone    int     // maximum number of entries of unregistered routers in a record; default 64
 }
 
-// Filled returns the settings with defaults for zero values.
-func (s Settings) Filled() Settings {
+// WithDefaults returns the settings with defaults for zero values.
+func (s Settings) WithDefaults() Settings {
 	return Settings{cmp.Or(s.PeriodMs, 2000), cmp.Or(s.TakeoverMs, 3000), cmp.Or(s.Watchers, 3), cmp.Or(s.MaxGone, 64)}
 }
 
@@ -90,8 +90,8 @@
 
 // Gatherer is one router's part in gathering for its region.
 type Gatherer[R any] struct {
-	Me, Boot, Region string
-	Broken           Fault
+	Router, Boot, Region string
+	Fault                Fault
 
 	received map[string]receipt[R]
 	ages     turn.RevisionAges
@@ -124,7 +124,7 @@
 	if last == nil || live[last.By] != last.Boot || last.Boot == "" {
 		return successor(order, "", 0)
 	}
-	settings = settings.Filled()
+	settings = settings.WithDefaults()
 	overdue := ms(g.ages.Age("", last.Rev, now)) - settings.PeriodMs
 	return successor(order, last.By, int(max(overdue, 0)/settings.TakeoverMs))
 }
@@ -136,8 +136,8 @@
 		names = append(names, name)
 	}
 	order, holder := Order(g.Region, names), g.Holder(last, live, settings, now)
-	for i := range min(settings.Filled().Watchers, len(order)) {
-		if successor(order, holder, i) == g.Me {
+	for i := range min(settings.WithDefaults().Watchers, len(order)) {
+		if successor(order, holder, i) == g.Router {
 			return true
 		}
 	}
@@ -147,20 +147,20 @@
 // Next returns the record that should replace the last one, or nil if it is not due or not this router's turn. The caller
 // writes it only if the last revision and this router's registration are unchanged.
 func (g *Gatherer[R]) Next(last *Record[R], live map[string]string, settings Settings, now time.Duration) *Record[R] {
-	settings = settings.Filled()
-	if last != nil && last.Format > Format || live[g.Me] != g.Boot || g.Holder(last, live, settings, now) != g.Me {
+	settings = settings.WithDefaults()
+	if last != nil && last.Format > Format || live[g.Router] != g.Boot || g.Holder(last, live, settings, now) != g.Router {
 		return nil
 	}
-	next := &Record[R]{Format: Format, Region: g.Region, Seq: 1, By: g.Me, Boot: g.Boot, Entries: map[string]Entry[R]{}}
+	next := &Record[R]{Format: Format, Region: g.Region, Seq: 1, By: g.Router, Boot: g.Boot, Entries: map[string]Entry[R]{}}
 	if last != nil {
-		if ms(g.ages.Age("", last.Rev, now)) < settings.PeriodMs && last.By == g.Me && last.Boot == g.Boot {
+		if ms(g.ages.Age("", last.Rev, now)) < settings.PeriodMs && last.By == g.Router && last.Boot == g.Boot {
 			return nil
 		}
 		next.Seq = last.Seq + 1
 	}
 	for router, h := range g.received {
 		entry := h.Entry
-		if entry.AgeMs += ms(now - h.at); g.Broken == NoAges {
+		if entry.AgeMs += ms(now - h.at); g.Fault == NoAges {
 			entry.AgeMs = 0
 		}
 		next.Entries[router] = entry
@@ -171,7 +171,7 @@
 				own.Boot == entry.Boot && own.Number >= entry.Number) {
 				continue
 			}
-			entry.Late = g.Broken != TrustsLast
+			entry.Late = g.Fault != TrustsLast
 			next.Entries[router] = entry
 		}
 	}
@@ -211,7 +211,7 @@
 	switch {
 	case !slices.Contains(order, s.target):
 		s.target, s.since = successor(order, "", 0), now
-	case ms(now-s.since) >= settings.Filled().TakeoverMs:
+	case ms(now-s.since) >= settings.WithDefaults().TakeoverMs:
 		s.target, s.since = successor(order, s.target, 1), now
 	}
 	return s.target
--- a/internal/decide/gather/gather_test.go
+++ b/internal/decide/gather/gather_test.go
@@ -51,7 +51,7 @@
 
 func newSimulation(broken Fault) *simulation {
 	sim := &simulation{broken: broken, store: map[string]*Record[outage.Report]{}, written: map[string]time.Duration{},
-		firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Me: "a0"}}
+		firstSeen: map[int64]time.Duration{}, decider: outage.Decider{Router: "a0"}}
 	for _, name := range []string{"a0", "a1", "a2", "a3", "b0", "b1"} {
 		r := &router{name: name, region: name[:1]}
 		sim.routers = append(sim.routers, r)
@@ -63,7 +63,7 @@
 func (sim *simulation) start(r *router) {
 	sim.rev++
 	*r = router{name: r.name, region: r.region, boot: r.boot + 1, token: sim.rev, sender: Sender{Region: r.region}}
-	r.gatherer = &Gatherer[outage.Report]{Me: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Broken: sim.broken}
+	r.gatherer = &Gatherer[outage.Report]{Router: r.name, Boot: fmt.Sprint(r.boot), Region: r.region, Fault: sim.broken}
 }
 
 func (sim *simulation) live(region string) map[string]string {
@@ -311,7 +311,7 @@
 
 // Of unregistered routers the entries received last are kept, and all entries of registered routers.
 func TestTrim(t *testing.T) {
-	g := Gatherer[int]{Me: "a", Boot: "1", Region: "x"}
+	g := Gatherer[int]{Router: "a", Boot: "1", Region: "x"}
 	for i, name := range []string{"b", "c", "a"} {
 		g.Receive(name, Entry[int]{Boot: "1", Number: 1}, time.Duration(i)*time.Second)
 	}
--- a/internal/decide/outage/decide.go
+++ b/internal/decide/outage/decide.go
@@ -28,8 +28,8 @@
 
 // Decider computes new states. Each router runs one on the same input, and the router whose turn it is writes.
 type Decider struct {
-	Me     string
-	Broken Fault
+	Router string
+	Fault  Fault
 
 	ages    turn.RevisionAges
 	due     turn.WriteDelay
@@ -62,7 +62,7 @@
 	}
 	age := func() time.Duration {
 		passed := d.ages.Age(stateRecord, rev, now)
-		if v.Last != nil && v.Last.By == d.Me && v.Last.Seq == d.written.seq { // its age counts from before it was read back
+		if v.Last != nil && v.Last.By == d.Router && v.Last.Seq == d.written.seq { // its age counts from before it was read back
 			passed = max(passed, now-d.written.at)
 		}
 		return passed
@@ -73,7 +73,7 @@
 	case result.Next == nil:
 		d.due.Clear()
 		return nil
-	case !result.Quorum || !d.due.Elapsed(turn.Rank("outage", d.Me, result.routers), turnDelay, now):
+	case !result.Quorum || !d.due.Elapsed(turn.Rank("outage", d.Router, result.routers), turnDelay, now):
 		return nil
 	}
 	d.due.Clear()
@@ -100,10 +100,10 @@
 	m := v.Model.WithDefaults()
 	f := aggregate(v, m, ages.Report)
 	next := v.Last.clone()
-	next.Format, next.Version, next.By = Format, v.Version, d.Me
+	next.Format, next.Version, next.By = Format, v.Version, d.Router
 	next.CountWrite()
 	next.addElapsed(milliseconds(ages.State()))
-	dr := &draft{State: next, view: v, model: m, fleet: f, broken: d.Broken, self: d.Me, copyWaiters: map[string]bool{}}
+	dr := &draft{State: next, view: v, model: m, fleet: f, broken: d.Fault, self: d.Router, copyWaiters: map[string]bool{}}
 	dr.Seq++
 	dr.updateRouters()
 	dr.updateLosses()
--- a/internal/decide/outage/fleet_test.go
+++ b/internal/decide/outage/fleet_test.go
@@ -60,7 +60,7 @@
 	}
 	for i := range 6 {
 		name := fmt.Sprintf("d%d", i+1)
-		f.routers[name] = &router{label: "v1", boot: "1", up: true, boots: 1, decider: &outage.Decider{Me: name, Broken: broken}}
+		f.routers[name] = &router{label: "v1", boot: "1", up: true, boots: 1, decider: &outage.Decider{Router: name, Fault: broken}}
 	}
 	return f
 }
@@ -221,7 +221,7 @@
 	r.boots++
 	f.rev++
 	*r = router{label: label, boot: fmt.Sprint(r.boots), up: true, boots: r.boots, lastReport: f.now, rev: f.rev,
-		decider: &outage.Decider{Me: name, Broken: r.decider.Broken}}
+		decider: &outage.Decider{Router: name, Fault: r.decider.Fault}}
 }
 
 // applyOrder has an operator change the state and returns the refusal, if any.
--- a/internal/decide/outage/mend_test.go
+++ b/internal/decide/outage/mend_test.go
@@ -21,7 +21,7 @@
 
 // stepAfterTwoSeconds makes a decision two seconds after the last state was written.
 func stepAfterTwoSeconds(v outage.View) *outage.State {
-	d := &outage.Decider{Me: "a"}
+	d := &outage.Decider{Router: "a"}
 	made := d.Step(v, outage.Ages{State: func() time.Duration { return 2 * time.Second }, Report: func(string, int64) time.Duration { return 0 }})
 	return made.Next
 }
--- a/internal/decide/outage/outage_test.go
+++ b/internal/decide/outage/outage_test.go
@@ -365,7 +365,7 @@
 		}
 		v.Reports = append(v.Reports, r)
 	}
-	d := &outage.Decider{Me: "r00"}
+	d := &outage.Decider{Router: "r00"}
 	for b.Loop() {
 		d.Next(v, time.Second)
 	}
@@ -380,7 +380,7 @@
 		}
 		v := outage.View{Model: testModel, Last: s, Routers: map[string]outage.Registration{"d1": {Boot: "1", Live: true}},
 			Reports: []outage.Report{{Router: "d1", Boot: "1", Observed: map[string]outage.Observation{"s1": {Boot: "2", Probed: true}}}}}
-		d := &outage.Decider{Me: "d1"}
+		d := &outage.Decider{Router: "d1"}
 		for i := range 20 {
 			if next := d.Next(v, time.Duration(i)*time.Second); next != nil {
 				if !slices.IsSortedFunc(next.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && slices.IsSortedFunc(s.EndedPermits, func(a, b outage.EndedPermit) int { return int(a.Seq - b.Seq) }) && len(s.EndedPermits) == 0 {
--- a/internal/decide/outage/reload_test.go
+++ b/internal/decide/outage/reload_test.go
@@ -20,7 +20,7 @@
 	}
 	v := View{Model: Model{Workers: 2, WorkersSite: 2}, Last: updated, Routers: map[string]Registration{"d1": {Boot: "1", Live: true}},
 		Reports: []Report{{Router: "d1", Boot: "1", Observed: map[string]Observation{"s1": {Label: "w1"}, "s2": {Label: "w1"}, "s3": {Label: "w1"}}}}}
-	d := Decider{Me: "d1"}
+	d := Decider{Router: "d1"}
 	next := d.Next(v, time.Second)
 	manual, reload := next.Permits[ID(Server, "s3")], next.Permits[ID(Server, "s1")]
 	if len(next.Permits) != 2 || manual.ID != 1 || manual.For != ByHand || reload.For != ForReload || reload.To != "w6" || len(next.PermitRequests) != 0 {
--- a/internal/decide/outage/room_test.go
+++ b/internal/decide/outage/room_test.go
@@ -15,7 +15,7 @@
 func randomLoad(rt *rapid.T, broken outage.Fault) (faults, audited []string) {
 	m := outage.Model{Routers: 1, ReportMs: 1000, HeadroomLimit: outage.HeadroomLimit{Min: 1, Max: 4, InHand: 10, Fill: 0.8, RiseMs: 20_000}}
 	audit := outage.Auditor{Model: func(int64) (outage.Model, bool) { return m, true }}
-	d := &outage.Decider{Me: "a", Broken: broken}
+	d := &outage.Decider{Router: "a", Fault: broken}
 	type sample struct {
 		at   time.Duration
 		fits int
--- a/internal/decide/outage/same_test.go
+++ b/internal/decide/outage/same_test.go
@@ -109,7 +109,7 @@
 		for r := range routers {
 			name := fmt.Sprintf("d%d", r)
 			if deciders[name] == nil {
-				deciders[name] = &outage.Decider{Me: name}
+				deciders[name] = &outage.Decider{Router: name}
 			}
 			write(deciders[name].Next(v, now))
 		}
--- a/internal/decide/outage/search/world.go
+++ b/internal/decide/outage/search/world.go
@@ -155,7 +155,7 @@
 // decide has a router make a decision. If aged, the state was seen for a time unit. If expired, reports of paused or
 // crashed routers are too old to use.
 func (w *world) decide(i int, aged, expired bool, broken Fault) *outage.State {
-	d := outage.Decider{Me: routerNames[i], Broken: broken}
+	d := outage.Decider{Router: routerNames[i], Fault: broken}
 	result := d.Step(w.view(), outage.Ages{
 		State: func() time.Duration {
 			if aged {
--- a/internal/decide/reuse/audit.go
+++ b/internal/decide/reuse/audit.go
@@ -24,7 +24,7 @@
 
 // Observe checks the next state.
 func (a *Auditor) Observe(s *State) {
-	m := a.Model.Filled()
+	m := a.Model.WithDefaults()
 	if a.phases == nil {
 		a.phases, a.ended = map[int64]Phase{}, map[int64]bool{}
 	}
--- a/internal/decide/reuse/decide.go
+++ b/internal/decide/reuse/decide.go
@@ -24,7 +24,7 @@
 // Decider computes new states. Each router may run one; the router whose turn it is writes the state.
 type Decider struct {
 	Router string
-	Broken Fault
+	Fault  Fault
 
 	current     stateRef
 	proposed    stateRef // the state that it last returned, written or not
@@ -82,7 +82,7 @@
 // Next returns the state that should replace the last one, or nil if that needs no change. now is the monotonic clock of
 // this process; only differences are used.
 func (d *Decider) Next(v View, now time.Duration) *State {
-	m := v.Model.Filled()
+	m := v.Model.WithDefaults()
 	s, elapsedMs := d.ageState(v.Last, now)
 	fresh := d.freshReports(v.Reports, m, now)
 	servers := map[string]Server{}
@@ -94,7 +94,7 @@
 	if d.abandoned == 0 {
 		d.abandoned, d.usage.index.salt = initialAbandoned, Key(xxhash.Sum64String(d.Router))
 	}
-	d.usage.aggregate(m, fresh, d.Broken, d.abandoned)
+	d.usage.aggregate(m, fresh, d.Fault, d.abandoned)
 	uses := &d.usage
 	changed = s.settleReleases(m, uses) || changed
 	d.learnSpillover(m, s, uses)
@@ -235,10 +235,10 @@
 			s.recordUse(&c)
 			changed = changed || belowHalf && c.LeftMs > leftBefore
 		}
-		reason, cooldownMs := c.endReason(servers, v.Conditions, d.Broken), m.LeaseMs/4
+		reason, cooldownMs := c.endReason(servers, v.Conditions, d.Fault), m.LeaseMs/4
 		if status.Lost {
 			reason = "it is reported lost"
-		} else if revocation := v.revokedReason(s, c, d.Broken); reason == "" && revocation != "" {
+		} else if revocation := v.revokedReason(s, c, d.Fault); reason == "" && revocation != "" {
 			reason, cooldownMs = revocation, 0
 		}
 		if reason == "" {
--- a/internal/decide/reuse/decide_test.go
+++ b/internal/decide/reuse/decide_test.go
@@ -26,7 +26,7 @@
 }
 
 func newFleet(broken Fault) *fleet {
-	f := &fleet{decider: &Decider{Router: "r", Broken: broken}, now: time.Hour, conditions: map[string]Condition{}, meters: map[string]*Meter{},
+	f := &fleet{decider: &Decider{Router: "r", Fault: broken}, now: time.Hour, conditions: map[string]Condition{}, meters: map[string]*Meter{},
 		statuses: map[string][]CopyStatus{}}
 	for _, r := range []string{"a", "b", "c"} {
 		f.model.Regions = append(f.model.Regions, Region{r, 400_000})
@@ -300,12 +300,12 @@
 // An error names the invalid setting and has advice. An error on a record names the field.
 func TestErrors(t *testing.T) {
 	f := newFleet("")
-	if err := f.model.Filled().Check(); err != nil {
+	if err := f.model.WithDefaults().Check(); err != nil {
 		t.Error(err)
 	}
 	f.model.Links[2].Rate = -1
 	var modelErr *ModelError
-	if err := f.model.Filled().Check(); !errors.As(err, &modelErr) || modelErr.Key != "link[2]" || modelErr.Advice() == "" {
+	if err := f.model.WithDefaults().Check(); !errors.As(err, &modelErr) || modelErr.Key != "link[2]" || modelErr.Advice() == "" {
 		t.Error(err)
 	}
 	var recordErr *RecordError
--- a/internal/decide/reuse/expect_test.go
+++ b/internal/decide/reuse/expect_test.go
@@ -22,7 +22,7 @@
 // A prefix used in one region is expected in another at once. It is no longer expected after a long silence there, and sooner where
 // few prefixes are shared. A prefix that is silent in all regions is expected less than one that is silent in one region only.
 func TestExpectedRate(t *testing.T) {
-	m := Model{Regions: []Region{{"a", 1e6}, {"b", 1e6}, {"c", 1e6}}}.Filled()
+	m := Model{Regions: []Region{{"a", 1e6}, {"b", 1e6}, {"c", 1e6}}}.WithDefaults()
 	expected := func(share float64, hot ...[]Use) float64 {
 		var reports []Report
 		for a, list := range hot {
--- a/internal/decide/reuse/lease_test.go
+++ b/internal/decide/reuse/lease_test.go
@@ -79,7 +79,7 @@
 		case "leave":
 			f.servers[i].Region, f.servers[i].ID = "c", fmt.Sprint("new", boots, f.now)
 		case "take over":
-			f.decider = &Decider{Router: f.decider.Router + "x", Broken: broken}
+			f.decider = &Decider{Router: f.decider.Router + "x", Fault: broken}
 			takeover = f.now
 		}
 		elapsed := time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond
--- a/internal/decide/reuse/leave.go
+++ b/internal/decide/reuse/leave.go
@@ -147,7 +147,7 @@
 			elsewhere[c.Prefix] = elsewhere[c.Prefix] || !v.draining(c.Server)
 		}
 	}
-	currentHome, nextHome := v.placement(link.To, true), v.placement(link.To, d.Broken == CopiesToDraining)
+	currentHome, nextHome := v.placement(link.To, true), v.placement(link.To, d.Fault == CopiesToDraining)
 	for _, o := range val.drainOptions(region, link, atDraining) {
 		if pending && limits.full() {
 			break
--- a/internal/decide/reuse/model.go
+++ b/internal/decide/reuse/model.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Model is the operator's configuration of prefix copying. Settings that are zero take the defaults of Filled.
+// Model is the operator's configuration of prefix copying. Settings that are zero take the defaults of WithDefaults.
 type Model struct {
 	Regions []Region `json:"regions" toml:"region,omitempty"`
 	Links   []Link   `json:"links" toml:"link,omitempty"`
@@ -94,9 +94,9 @@
 	return "set reuse." + e.Key + " in the policy to an allowed value and apply the policy again"
 }
 
-// Filled returns the model with defaults: a lease of 240 s, a quarter of the memory, half of a link, 4 copies of a prefix,
+// WithDefaults returns the model with defaults: a lease of 240 s, a quarter of the memory, half of a link, 4 copies of a prefix,
 // 32 orders under way, 2 uses, a gain of 2, background reads below 2 requests, and a report each second.
-func (m Model) Filled() Model {
+func (m Model) WithDefaults() Model {
 	for _, setting := range []struct {
 		target *float64
 		value  float64
--- a/internal/decide/reuse/order.go
+++ b/internal/decide/reuse/order.go
@@ -14,7 +14,7 @@
 // orderCopies orders the copies that save most per token sent, within the bounds.
 func (d *Decider) orderCopies(s *State, m Model, v View, u *usage) (any bool) {
 	val := d.newValuer(m, v, u, s.Copies)
-	if d.Broken != NoHysteresis && s.releaseUnneeded(m, val) {
+	if d.Fault != NoHysteresis && s.releaseUnneeded(m, val) {
 		any = true
 	}
 	limits := &ledger{decider: d, state: s, model: m, copies: map[Key]int{}, tokens: map[string]float64{}, occupied: map[copyTarget]bool{},
@@ -28,7 +28,7 @@
 		limits.occupied[copyTarget{c.Prefix, c.To}] = true
 	}
 	gain := m.Gain
-	if d.Broken == NoHysteresis {
+	if d.Fault == NoHysteresis {
 		gain = 1
 	} else {
 		for _, r := range s.Cooldowns {
@@ -50,7 +50,7 @@
 		if !limits.fits(o) || !d.withinBudget(m, [2]string{o.link.From, o.link.To}, float64(o.p.tokens), *o.link) {
 			continue
 		}
-		if server, ok := v.placement(m.Regions[o.to].Name, d.Broken == CopiesToDraining)(o.p.key); ok {
+		if server, ok := v.placement(m.Regions[o.to].Name, d.Fault == CopiesToDraining)(o.p.key); ok {
 			limits.add(o, server, "")
 			any = true
 		}
--- a/internal/decide/reuse/value.go
+++ b/internal/decide/reuse/value.go
@@ -124,7 +124,7 @@
 	n := len(m.Regions)
 	val := &valuer{model: m, usage: u, links: make([]*Link, n*n), retention: make([]float64, n), holdingCost: make([]float64, n),
 		closed: make([]bool, n), lost: make([]bool, n), abandoned: d.abandoned, minUses: m.Uses}
-	if d.Broken == CountsScan {
+	if d.Fault == CountsScan {
 		val.minUses = 1
 	}
 	for a, r := range m.Regions {
--- a/internal/decide/samples/board.go
+++ b/internal/decide/samples/board.go
@@ -114,8 +114,8 @@
 
 // Decider computes states. Each router has one; the router whose turn it is writes the result.
 type Decider struct {
-	Me     string
-	Broken Fault
+	Router string
+	Fault  Fault
 
 	seq          int64
 	seen         bool
@@ -130,7 +130,7 @@
 		return nil
 	}
 	v, _ = v.Sanitize()
-	m := v.Model.Filled()
+	m := v.Model.WithDefaults()
 	s := &State{Open: Epoch{Number: 1}, Actions: Actions{AdmitFraction: 1}}
 	if v.Last != nil {
 		s = v.Last
@@ -141,22 +141,22 @@
 	}
 	passed := float64(max(now-d.at, 0)) / float64(time.Millisecond)
 	changed := v.Last == nil || s.Policy != v.Policy
-	s.Format, s.Seq, s.By, s.Policy = Format, s.Seq+1, d.Me, v.Policy
+	s.Format, s.Seq, s.By, s.Policy = Format, s.Seq+1, d.Router, v.Policy
 	s.CountWrite()
 	s.advance(m, passed)
 	taken, newest := s.Taken, s.Version
 	changed = s.followTuner(v) || changed
 	s.settleWeights(m, taken, newest)
 	s.compactTaken()
-	changed = s.updateWorkers(v.Workers, d.Broken) || changed
+	changed = s.updateWorkers(v.Workers, d.Fault) || changed
 	heldBefore := s.heldWorkers()
 	for closed := true; closed; { // one epoch per batch, even if reports bring several batches at once
-		changed = s.count(m, v.Reports, d.Broken) || changed
+		changed = s.count(m, v.Reports, d.Fault) || changed
 		m.holdOutliers(s.Workers)
 		s.updateHolds()
 		estimateRates(s.Workers)
 		m.updateScores(s.Workers, s.Version)
-		closed = s.close(m, v.Reports, d.Broken)
+		closed = s.close(m, v.Reports, d.Fault)
 		changed = changed || closed
 	}
 	changed = heldBefore != s.heldWorkers() || changed
--- a/internal/decide/samples/board_test.go
+++ b/internal/decide/samples/board_test.go
@@ -60,7 +60,7 @@
 		f.running[name] = 1
 	}
 	for i := range routers {
-		f.routers = append(f.routers, &router{report: Report{Router: fmt.Sprint("r", i), Boot: "1", First: 1}, decider: Decider{Me: fmt.Sprint("r", i)}})
+		f.routers = append(f.routers, &router{report: Report{Router: fmt.Sprint("r", i), Boot: "1", First: 1}, decider: Decider{Router: fmt.Sprint("r", i)}})
 	}
 	return f
 }
@@ -124,7 +124,7 @@
 // decide has a router read and decide; write has it write if the state is still the one that it read.
 func (f *fleet) decide(i int) {
 	r := f.routers[i]
-	r.decider.Broken = f.broken
+	r.decider.Fault = f.broken
 	r.read, r.pending = len(f.history), r.decider.Next(f.view(), f.now)
 }
 
@@ -310,7 +310,7 @@
 			t.Fatal(err)
 		}
 		v.Tuner = &p
-		if next := (&Decider{Me: "a"}).Next(v, time.Second); next != nil {
+		if next := (&Decider{Router: "a"}).Next(v, time.Second); next != nil {
 			if _, err := json.Marshal(next); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/decide/samples/cases_test.go
+++ b/internal/decide/samples/cases_test.go
@@ -162,7 +162,7 @@
 		}
 		return f.settle(t).Shares["w0"]
 	}
-	if first, little, much := share(10), share(11), share(80); first < 0.9 || little != first || much > 0.7 || much < f.model.Filled().ShareLeast {
+	if first, little, much := share(10), share(11), share(80); first < 0.9 || little != first || much > 0.7 || much < f.model.WithDefaults().ShareLeast {
 		t.Errorf("shares %g, %g, %g", first, little, much)
 	}
 }
--- a/internal/decide/samples/clerks_test.go
+++ b/internal/decide/samples/clerks_test.go
@@ -46,7 +46,7 @@
 	}
 	fractions = run(1, 6*time.Second)
 	for i, p := range fractions {
-		if i > 0 && (p < fractions[i-1] || p-fractions[i-1] > f.model.Filled().Hysteresis+1e-9) {
+		if i > 0 && (p < fractions[i-1] || p-fractions[i-1] > f.model.WithDefaults().Hysteresis+1e-9) {
 			t.Fatalf("fraction %d falls or rises too fast: %v", i, fractions)
 		}
 	}
--- a/internal/decide/samples/model.go
+++ b/internal/decide/samples/model.go
@@ -62,8 +62,8 @@
 	Batch: 256, EpochMs: 30_000, LateEpochs: 4, Ahead: 2, Hysteresis: 0.1, Outlier: 6, HoldMs: 60_000, HalfLifeMs: 60_000, ShareLeast: 0.05,
 	InteractiveFailedMax: 0.05, InteractiveCalmMs: 3000, InteractiveRiseMs: 10_000, ReportMs: 1000}
 
-// Filled returns the model with its zero values replaced by Defaults.
-func (m Model) Filled() Model {
+// WithDefaults returns the model with its zero values replaced by Defaults.
+func (m Model) WithDefaults() Model {
 	d := Defaults
 	m.StaleMost, m.StaleHalf, m.SpreadMost = cmp.Or(m.StaleMost, d.StaleMost), cmp.Or(m.StaleHalf, d.StaleHalf), cmp.Or(m.SpreadMost, d.SpreadMost)
 	m.AgeMostMs, m.Trust, m.Floor = cmp.Or(m.AgeMostMs, d.AgeMostMs), cmp.Or(m.Trust, d.Trust), cmp.Or(m.Floor, d.Floor)
@@ -78,7 +78,7 @@
 
 // Check reports a setting that is out of range as a *KeyError.
 func (m Model) Check() error {
-	m = m.Filled()
+	m = m.WithDefaults()
 	for _, s := range []struct {
 		key         string
 		v, min, max float64
--- a/internal/decide/samples/weigh_test.go
+++ b/internal/decide/samples/weigh_test.go
@@ -30,7 +30,7 @@
 	standin.Steady(t)
 	rapid.Check(t, func(t *rapid.T) {
 		m := Model{WorkerCap: rapid.Float64Range(0.05, 1).Draw(t, "worker cap"), SiteCap: rapid.Float64Range(0.1, 1).Draw(t, "site cap"),
-			VersionCap: rapid.Float64Range(0.1, 1).Draw(t, "version cap"), Floor: rapid.Float64Range(0.05, 1).Draw(t, "floor")}.Filled()
+			VersionCap: rapid.Float64Range(0.1, 1).Draw(t, "version cap"), Floor: rapid.Float64Range(0.05, 1).Draw(t, "floor")}.WithDefaults()
 		groups := drawGroups(t)
 		weighting := m.Weigh(groups, 10, "")
 		e := Epoch{Number: 1, Version: 10, Groups: groups, Weighting: weighting,
@@ -56,7 +56,7 @@
 		for i := range groups {
 			groups[i].Boot, groups[i].WorkerSamples = fmt.Sprint(i), 1e12
 		}
-		weighting := m.Filled().Weigh(groups, 10, "")
+		weighting := m.WithDefaults().Weigh(groups, 10, "")
 		var out []float64
 		for _, g := range groups {
 			out = append(out, g.Weight)
@@ -134,7 +134,7 @@
 // A worker whose answers are far shorter is held with a reason; a slow one is not. A hold ends once the worker is near the
 // others again, but not before the minimum duration.
 func TestOutliers(t *testing.T) {
-	m := Model{}.Filled()
+	m := Model{}.WithDefaults()
 	rng := newRand(3)
 	workers := map[string]*WorkerStats{}
 	fill := func(name string, tokens, speed float64) {
@@ -203,7 +203,7 @@
 	size := len(encode(v.Last))
 	defer func() { b.ReportMetric(float64(size), "B/state") }()
 	for b.Loop() {
-		if d := (&Decider{Me: "r0"}); d.Next(v, time.Second) == nil {
+		if d := (&Decider{Router: "r0"}); d.Next(v, time.Second) == nil {
 			b.Fatal("no new state")
 		}
 	}
--- a/internal/fleet/outage/agent.go
+++ b/internal/fleet/outage/agent.go
@@ -202,7 +202,7 @@
 
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	decider := &outage.Decider{Me: a.o.Name, Broken: a.o.Broken}
+	decider := &outage.Decider{Router: a.o.Name, Fault: a.o.Broken}
 	loop.Steps{Client: a.store.Client, Watch: StateKey,
 		Period: func() (time.Duration, bool) {
 			a.mu.Lock()
--- a/internal/fleet/outage/format_test.go
+++ b/internal/fleet/outage/format_test.go
@@ -23,7 +23,7 @@
 	decided := func(v outage.View) bool {
 		v.Model = outage.Model{Workers: 1, Routers: 1}
 		v.Routers = map[string]outage.Registration{"d1": {Boot: "b", Live: true}}
-		d := outage.Decider{Me: "d1"}
+		d := outage.Decider{Router: "d1"}
 		return d.Next(v, 0) != nil || d.Next(v, time.Minute) != nil
 	}
 	const body = `"seq":3,"permits":{"server/s1":{"id":2,"for":"hand","stage":"of tomorrow"}},"more":[1]}`
--- a/internal/fleet/outage/standing_test.go
+++ b/internal/fleet/outage/standing_test.go
@@ -47,7 +47,7 @@
 	}
 	defer a.Close()
 	a.Took(outage.Model{Workers: 1}, 1)
-	d := &outage.Decider{Me: "r"}
+	d := &outage.Decider{Router: "r"}
 	a.report(ctx, 0, time.Minute)
 	a.decide(ctx, d, time.Minute)
 	if v, _, err := a.store.View(ctx); err != nil || v.Last != nil {
--- a/internal/fleet/reuse/agent.go
+++ b/internal/fleet/reuse/agent.go
@@ -129,13 +129,13 @@
 func (a *Agent) Took(m reuse.Model, version int64) error {
 	on := len(m.Regions) > 0
 	if on {
-		if err := m.Filled().Check(); err != nil {
+		if err := m.WithDefaults().Check(); err != nil {
 			return err
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.model, a.version = m.WithReadTokens(a.o.ReadTokens).Filled(), version
+	a.model, a.version = m.WithReadTokens(a.o.ReadTokens).WithDefaults(), version
 	if on && a.meter == nil {
 		most := 0.0
 		for _, r := range m.Regions {
@@ -228,7 +228,7 @@
 	var carrying sync.WaitGroup
 	defer carrying.Wait()
 	a.carrying = &carrying
-	decider := &reuse.Decider{Router: a.o.Name, Broken: a.o.Broken}
+	decider := &reuse.Decider{Router: a.o.Name, Fault: a.o.Broken}
 	loop.Steps{Client: a.client, Watch: Records(a.client).State(),
 		Period: func() (time.Duration, bool) {
 			m := a.terms()
@@ -253,7 +253,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.model.ReportMs == 0 {
-		return a.model.Filled()
+		return a.model.WithDefaults()
 	}
 	return a.model
 }
--- a/internal/fleet/reuse/openings_test.go
+++ b/internal/fleet/reuse/openings_test.go
@@ -77,7 +77,7 @@
 
 // A server is read to while it has fewer requests than the bound, over all routers.
 func TestMayWarm(t *testing.T) {
-	m := reuse.Model{}.Filled()
+	m := reuse.Model{}.WithDefaults()
 	for _, c := range []struct {
 		own    int
 		others []reuse.Busy
--- a/internal/fleet/samples/agent.go
+++ b/internal/fleet/samples/agent.go
@@ -150,12 +150,12 @@
 
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	decider := &samples.Decider{Me: a.o.Name, Broken: a.o.Broken}
+	decider := &samples.Decider{Router: a.o.Name, Fault: a.o.Broken}
 	loop.Steps{Client: a.store.Client, Watch: BoardKey,
 		Period: func() (time.Duration, bool) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return time.Duration(a.model.Filled().ReportMs) * time.Millisecond, a.on
+			return time.Duration(a.model.WithDefaults().ReportMs) * time.Millisecond, a.on
 		},
 		Tick: func(ctx context.Context, _, period time.Duration) {
 			a.report(ctx, period)
--- a/internal/fleet/samples/format_test.go
+++ b/internal/fleet/samples/format_test.go
@@ -30,7 +30,7 @@
 		if !c.read {
 			continue
 		}
-		d := samples.Decider{Me: "d1"}
+		d := samples.Decider{Router: "d1"}
 		v := samples.View{Last: all.State, Policy: 2, Workers: []samples.Worker{{Name: "s1", Boot: "b", Label: 1}}}
 		if next := d.Next(v, time.Second); (next != nil) != c.decided {
 			t.Errorf("%s: decided as %+v", c.board, next)
--- a/internal/lab/copies.go
+++ b/internal/lab/copies.go
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	if f.model, err = config.ReuseOf(siteChat + CopiesPlan); err == nil {
-		f.model = f.model.Filled()
+		f.model = f.model.WithDefaults()
 		err = f.Up(ctx)
 	}
 	if err == nil {
--- a/internal/lab/jointfleet.go
+++ b/internal/lab/jointfleet.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	f.copies.model = model.Filled()
+	f.copies.model = model.WithDefaults()
 	if err := f.Up(ctx); err != nil {
 		return err
 	}
--- a/internal/world/fleet/cost.go
+++ b/internal/world/fleet/cost.go
@@ -113,7 +113,7 @@
 			_ = json.Unmarshal(data, &v.Reports[i])
 		}
 	}
-	d := outage.Decider{Me: s.first("outage")}
+	d := outage.Decider{Router: s.first("outage")}
 	c.DecideMs = least(5, func() { d.Next(v, 0) })
 	return c
 }
@@ -131,7 +131,7 @@
 	}
 	c.rates(float64(epochs), false, false)
 	c.ReadMs = decodes(v.Reports)
-	d := samples.Decider{Me: s.router(0)}
+	d := samples.Decider{Router: s.router(0)}
 	c.DecideMs = least(5, func() { d.Next(v, time.Minute) })
 	return c
 }
--- a/internal/world/fleet/draw.go
+++ b/internal/world/fleet/draw.go
@@ -65,7 +65,7 @@
 		v.Routers[name] = outage.Registration{Boot: "boot-" + name, Label: "v41", Live: true}
 		v.Reports = append(v.Reports, outage.Report{Router: name, Boot: "boot-" + name, Observed: maps.Clone(sees), Rev: int64(i + 1)})
 	}
-	d := outage.Decider{Me: s.first("outage")}
+	d := outage.Decider{Router: s.first("outage")}
 	step := func() {
 		if next := d.Next(v, 0); next != nil {
 			next.Rev = int64(s.Routers) + next.Seq
@@ -114,7 +114,7 @@
 	for i := range s.Routers {
 		v.Reports = append(v.Reports, samples.Report{Router: s.router(i), Boot: "boot-" + s.router(i), First: 1, InFlight: 1, Interactive: samples.Load{Total: 400 + float64(rng.IntN(100)), Failed: 2}})
 	}
-	d := samples.Decider{Me: s.router(0)}
+	d := samples.Decider{Router: s.router(0)}
 	period := time.Duration(samples.Defaults.ReportMs) * time.Millisecond
 	for now := time.Duration(0); now < time.Minute; now += period {
 		if v.Last != nil { // what was counted is let go of
--- a/internal/world/fleet/gathered.go
+++ b/internal/world/fleet/gathered.go
@@ -41,7 +41,7 @@
 // GatheredCost measures the loop on outages with reports gathered by region: a record of each region once a period, read by the
 // few routers that decide; all others read the state when it changes. Sent is what routers send to their gatherers.
 func GatheredCost(s Size, seed uint64) (Cost, error) {
-	t := gather.Settings{}.Filled()
+	t := gather.Settings{}.WithDefaults()
 	v := Outages(s, seed)
 	c := Cost{Loop: "outages, gathered", Size: s, PeriodMs: t.PeriodMs, State: written(fleetoutage.StateKey, v.Last, fence(fleetoutage.StateKey, s.router(0))...)}
 	records := Gathered(s, v)
@@ -87,7 +87,7 @@
 		boots[name] = r.Boot
 	}
 	v.Model.ReportMs = t.PeriodMs
-	d, direct := outage.Decider{Me: s.first("outage")}, v.Reports
+	d, direct := outage.Decider{Router: s.first("outage")}, v.Reports
 	c.DecideMs = least(5, func() {
 		v.Reports = gather.Reports(records, boots, "")
 		d.Next(v, 0)
@@ -95,7 +95,7 @@
 	var states [2][]byte
 	for i, reports := range [][]outage.Report{v.Reports, direct} {
 		v.Reports = reports
-		if states[i], err = json.Marshal((&outage.Decider{Me: d.Me}).Next(v, 0)); err != nil {
+		if states[i], err = json.Marshal((&outage.Decider{Router: d.Router}).Next(v, 0)); err != nil {
 			return c, err
 		}
 	}
--- a/internal/world/fleet/world.go
+++ b/internal/world/fleet/world.go
@@ -321,8 +321,8 @@
 
 // decide has the decider look at the records that the regions gathered last.
 func (w *world) decide() {
-	if w.decider == nil || !w.routers[w.decider.Me].Live {
-		w.decider = &outage.Decider{Broken: w.set.Broken, Me: firstOf("outage", slices.Sorted(maps.Keys(w.routers)))}
+	if w.decider == nil || !w.routers[w.decider.Router].Live {
+		w.decider = &outage.Decider{Fault: w.set.Broken, Router: firstOf("outage", slices.Sorted(maps.Keys(w.routers)))}
 	}
 	w.day.Steps++
 	next := w.decider.Next(w.view(), w.now)
@@ -341,7 +341,7 @@
 	}
 	w.rev++
 	for i := range w.reports {
-		w.reports[i].Rev, w.reports[i].AgeMs = w.rev, gather.Settings{}.Filled().PeriodMs
+		w.reports[i].Rev, w.reports[i].AgeMs = w.rev, gather.Settings{}.WithDefaults().PeriodMs
 	}
 	return v
 }
--- a/internal/world/halting/day.go
+++ b/internal/world/halting/day.go
@@ -101,7 +101,7 @@
 
 // Run plays a day.
 func (d Day) Run() (Outcome, error) {
-	r := &day{Day: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), decider: outage.Decider{Me: "r1"}, meters: make([]outage.Meter, routers), model: d.Model}
+	r := &day{Day: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), decider: outage.Decider{Router: "r1"}, meters: make([]outage.Meter, routers), model: d.Model}
 	if !r.model.On() {
 		r.model = Usual
 	}
--- a/internal/world/release/day.go
+++ b/internal/world/release/day.go
@@ -67,7 +67,7 @@
 
 // Run has one day go by.
 func Run(s Setting) Result {
-	d := &day{Setting: s, traffic: rand.New(rand.NewPCG(s.Seed, 1)), servers: make([]server, Servers), losses: make([]time.Duration, Servers), decider: outage.Decider{Me: "a"}}
+	d := &day{Setting: s, traffic: rand.New(rand.NewPCG(s.Seed, 1)), servers: make([]server, Servers), losses: make([]time.Duration, Servers), decider: outage.Decider{Router: "a"}}
 	d.Result = Result{Hour: s.Hour, Peak: s.Peak}
 	lost := rand.New(rand.NewPCG(s.Seed, 2))
 	for i := range d.servers {
--- a/internal/world/reuse/policies.go
+++ b/internal/world/reuse/policies.go
@@ -25,7 +25,7 @@
 func name(r int) string { return fmt.Sprintf("z%d", r) }
 
 func newFleet(w *world) *fleet {
-	f := &fleet{w: w, model: w.set.Model, decider: &decide.Decider{Router: "r", Broken: w.set.Broken}, known: map[int64]decide.Copy{}}
+	f := &fleet{w: w, model: w.set.Model, decider: &decide.Decider{Router: "r", Fault: w.set.Broken}, known: map[int64]decide.Copy{}}
 	for r := range Regions {
 		f.model.Regions = append(f.model.Regions, decide.Region{Name: name(r), Memory: float64(w.set.Memory)})
 		f.held[r] = map[decide.Key]int64{}
@@ -39,7 +39,7 @@
 		}
 	}
 	f.model.HoldOwn = w.set.Policy == Owning
-	f.model = f.model.Filled()
+	f.model = f.model.WithDefaults()
 	return f
 }
 
--- a/internal/world/reuse/release.go
+++ b/internal/world/reuse/release.go
@@ -78,7 +78,7 @@
 // Release carries one out.
 func Release(set ReleaseSettings) Released {
 	turns, _ := draw(set.Settings)
-	r := &release{set: set, at: map[decide.Key]*host{}, of: map[int64]decide.Copy{}, copier: &decide.Decider{Router: "r", Broken: set.Broken}, decider: &outage.Decider{Me: "r"}, model: set.Model}
+	r := &release{set: set, at: map[decide.Key]*host{}, of: map[int64]decide.Copy{}, copier: &decide.Decider{Router: "r", Fault: set.Broken}, decider: &outage.Decider{Router: "r"}, model: set.Model}
 	r.budget = outage.Model{Workers: 1, ReportMs: 500, WarmMs: 5000, PauseMs: 5000, CopyWaitMs: float64(set.Wait / time.Millisecond)}
 	r.outAudit.Model = func(int64) (outage.Model, bool) { return r.budget, true }
 	r.waits.LimitMs = r.budget.CopyWaitMs + 500
--- a/internal/world/tuning/tuning.go
+++ b/internal/world/tuning/tuning.go
@@ -153,7 +153,7 @@
 }
 
 func (r *run) build() {
-	m := r.set.Model.Filled()
+	m := r.set.Model.WithDefaults()
 	switch r.set.Way { // the same board, with its rules taken off
 	case Equal:
 		m.StaleMost, m.StaleHalf, m.SpreadMost, m.Trust, m.WorkerCap, m.SiteCap, m.VersionCap, m.Outlier = 1e6, 1e9, 1e6, 1e-9, 1, 1, 1, 1e6
--- a/internal/world/tuning/tuning_test.go
+++ b/internal/world/tuning/tuning_test.go
@@ -20,7 +20,7 @@
 		if again := Run(set); !reflect.DeepEqual(again, results[way]) {
 			t.Errorf("%s: two runs differ", way)
 		}
-		if ahead := results[way].Ahead; ahead > float64(set.Model.Filled().Ahead) {
+		if ahead := results[way].Ahead; ahead > float64(set.Model.WithDefaults().Ahead) {
 			t.Errorf("%s: %g batches ahead", way, ahead)
 		}
 	}
