--- a/internal/decide/gather/outage.go
+++ b/internal/decide/gather/outage.go
@@ -79,9 +79,7 @@
 		p.Entries[router] = Entry[reportDifference]{entry.Boot, entry.Number, entry.AgeMs, entry.Late, difference}
 	}
 	byDifference := slices.SortedFunc(maps.Keys(p.Entries), func(a, b string) int {
-		size := func(name string) int {
-			return len(p.Entries[name].Report.Observed) + len(p.Entries[name].Report.Without)
-		}
+		size := func(n string) int { return len(p.Entries[n].Report.Observed) + len(p.Entries[n].Report.Without) }
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b))
 	})
 	for {
