--- a/internal/mesh/detector/detector.go
+++ b/internal/mesh/detector/detector.go
@@ -1,6 +1,6 @@
-// Package detector is the watcher's side of the routers' heartbeats: it notices which of the members that a
-// router watches have fallen silent. It decides from what it is told and the time passed in (monotonic, from
-// any origin); it performs no I/O and starts no goroutine. A Detector is not safe for concurrent use.
+// Package detector detects failed members from missing heartbeats. It serves the router that receives the heartbeats.
+// It decides from the events and times passed in (monotonic, from any origin); it performs no I/O and starts no
+// goroutine. A Detector is not safe for concurrent use.
 package detector
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Down reports a member that was silent for longer than the timeout.
+// Down reports a member that sent no heartbeat for longer than the timeout.
 type Down struct {
 	ID          string
-	Incarnation uint64        // the newest heard; 0 if none was heard
-	Silent      time.Duration // how long nothing had been heard of it when that was noticed
+	Incarnation uint64        // the newest received; 0 if no heartbeat was received
+	Silent      time.Duration // time since the last heartbeat when the timeout was detected
 }
 
-// Pause reports that the watcher itself stood still (halted, or short of processor time). Heartbeats may have
-// been lost meanwhile, so everyone was given fresh patience. It is worth a line in the log.
+// Pause reports that the watching process itself was halted or short of processor time. Heartbeats may have been lost
+// meanwhile, so the timeout of every member was restarted. Callers should log it.
 type Pause struct {
 	Length time.Duration // between the two checks
 }
 
-// Detector watches a set of members. Make one with New.
+// Detector watches a set of members. Use New.
 type Detector struct {
 	timeout   time.Duration
 	members   map[string]*member
@@ -33,18 +33,18 @@
 
 type member struct {
 	incarnation uint64
-	heardAt     time.Duration // or when its patience began
-	down        bool          // reported, and not heard since
+	heardAt     time.Duration // last heartbeat, or when the timeout was started
+	down        bool          // reported, and no heartbeat received since
 }
 
-// New makes a detector that reports members silent for longer than timeout. Check has to be called several
+// New makes a detector that reports members without a heartbeat for longer than timeout. Check has to be called several
 // times within timeout.
 func New(timeout time.Duration) *Detector {
 	return &Detector{timeout: timeout, members: make(map[string]*member)}
 }
 
-// Expect sets whom to watch. Those not listed are dropped; those newly listed have the full timeout, from now,
-// to be heard for the first time.
+// Expect sets the members to watch. Members not listed are dropped. A member newly listed has the full timeout, from now,
+// for its first heartbeat.
 func (d *Detector) Expect(now time.Duration, ids []string) {
 	d.start(now)
 	expected := make(map[string]*member, len(ids))
@@ -58,8 +58,8 @@
 	d.members = expected
 }
 
-// Heard takes in a heartbeat. One of a member that is not watched, or of an older incarnation than the newest,
-// is skipped. It tells whether a member that had been reported as down is back.
+// Heard records a heartbeat. It ignores members that are not watched and incarnations older than the newest.
+// It reports whether a member that had been reported as down is back.
 func (d *Detector) Heard(now time.Duration, id string, incarnation uint64) (back bool) {
 	known, watched := d.members[id]
 	if !watched || incarnation < known.incarnation {
@@ -72,9 +72,9 @@
 	return back
 }
 
-// Check reports the members newly found silent, sorted by id; each is reported once, until it is heard again.
-// If Check was not called for longer than half the timeout it reports nobody, and everyone's patience begins
-// anew (see TakePause).
+// Check reports the members whose timeout has newly expired, sorted by id. Each is reported once, until its next heartbeat.
+// If Check was not called for longer than half the timeout, it reports no member and restarts the timeouts of all
+// (see TakePause).
 func (d *Detector) Check(now time.Duration) []Down {
 	d.start(now)
 	length := now - d.checkedAt
@@ -86,7 +86,7 @@
 	return d.collect(now)
 }
 
-// TakePause returns the newest pause of the watcher itself that was not yet taken.
+// TakePause returns the newest pause of the watching process that was not yet returned.
 func (d *Detector) TakePause() (Pause, bool) {
 	if d.pause == nil {
 		return Pause{}, false
--- a/internal/mesh/detector/detector_test.go
+++ b/internal/mesh/detector/detector_test.go
@@ -15,7 +15,7 @@
 	interval = 100 * time.Millisecond
 )
 
-// run checks at regular intervals in (from, to] and collects what is reported.
+// run calls Check at regular intervals in (from, to] and collects the reported members.
 func run(watcher *detector.Detector, from, to time.Duration) []detector.Down {
 	var downs []detector.Down
 	for now := from + interval; now <= to; now += interval {
@@ -27,7 +27,7 @@
 func TestSilentMembersAreReported(t *testing.T) {
 	c := qt.New(t)
 
-	c.Run("given a member heard, when it falls silent, then it is reported once", func(c *qt.C) {
+	c.Run("given a member with heartbeats, when they stop, then it is reported once", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a", "b"})
 		c.Assert(watcher.Heard(50*time.Millisecond, "a", 7), qt.IsFalse)
@@ -38,7 +38,7 @@
 		c.Assert(run(watcher, 900*time.Millisecond, 1500*time.Millisecond), qt.DeepEquals, []detector.Down{want})
 	})
 
-	c.Run("given a member never heard, when the timeout has passed, then it is reported", func(c *qt.C) {
+	c.Run("given a member without any heartbeat, when the timeout has passed, then it is reported", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		c.Assert(run(watcher, 0, timeout), qt.HasLen, 0)
@@ -46,7 +46,7 @@
 		c.Assert(run(watcher, timeout, 2*timeout), qt.DeepEquals, []detector.Down{want})
 	})
 
-	c.Run("given several silent members, when reported, then they are sorted", func(c *qt.C) {
+	c.Run("given several members without heartbeats, when reported, then they are sorted", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"c", "a", "b"})
 		downs := run(watcher, 0, 2*timeout)
@@ -54,7 +54,7 @@
 		c.Assert(downs[0].ID+downs[1].ID+downs[2].ID, qt.Equals, "abc")
 	})
 
-	c.Run("given a member reported, when it is heard again, then it is back and may be reported anew", func(c *qt.C) {
+	c.Run("given a reported member, when it sends a heartbeat, then it is back and may be reported again", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		c.Assert(run(watcher, 0, 2*timeout), qt.HasLen, 1)
@@ -67,7 +67,7 @@
 func TestWhoIsWatched(t *testing.T) {
 	c := qt.New(t)
 
-	c.Run("given a member newly expected, when others were silent for long, then it has the full timeout", func(c *qt.C) {
+	c.Run("given a newly expected member, when another is close to its timeout, then the new one has the full timeout", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		run(watcher, 0, 900*time.Millisecond)
@@ -77,7 +77,7 @@
 		c.Assert(downs[0].ID, qt.Equals, "a")
 	})
 
-	c.Run("given a member still expected, when Expect is repeated, then its silence goes on", func(c *qt.C) {
+	c.Run("given an expected member, when Expect is repeated, then its timeout is not restarted", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		run(watcher, 0, 900*time.Millisecond)
@@ -85,14 +85,14 @@
 		c.Assert(run(watcher, 900*time.Millisecond, 1200*time.Millisecond), qt.HasLen, 1)
 	})
 
-	c.Run("given a member no longer expected, when it is silent, then nobody is reported", func(c *qt.C) {
+	c.Run("given a member no longer expected, when it sends no heartbeat, then it is not reported", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		watcher.Expect(interval, nil)
 		c.Assert(run(watcher, 0, 3*timeout), qt.HasLen, 0)
 	})
 
-	c.Run("given a strange or an earlier incarnation, when it is heard, then it counts for nothing", func(c *qt.C) {
+	c.Run("given an unknown member or an earlier incarnation, when it sends a heartbeat, then it is ignored", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		watcher.Heard(0, "a", 5)
@@ -107,26 +107,26 @@
 
 func TestOwnPausesAreForgiven(t *testing.T) {
 	c := qt.New(t)
-	// Given a watcher that stood still for long.
+	// Given a watching process that was halted for longer than half the timeout,
 	watcher := detector.New(timeout)
 	watcher.Expect(0, []string{"a"})
 	run(watcher, 0, 300*time.Millisecond)
 	_, paused := watcher.TakePause()
 	c.Assert(paused, qt.IsFalse)
-	// When it checks again, then nobody is reported, and the pause is, once.
+	// when it checks again, then no member is reported, and the pause is reported once,
 	c.Assert(watcher.Check(5*time.Second), qt.HasLen, 0)
 	pause, paused := watcher.TakePause()
 	c.Assert(paused, qt.IsTrue)
 	c.Assert(pause.Length, qt.Equals, 4700*time.Millisecond)
 	_, paused = watcher.TakePause()
 	c.Assert(paused, qt.IsFalse)
-	// And the member has the full timeout from then on.
+	// and the member has the full timeout from then on.
 	c.Assert(run(watcher, 5*time.Second, 6*time.Second), qt.HasLen, 0)
 	c.Assert(run(watcher, 6*time.Second, 7*time.Second), qt.HasLen, 1)
 }
 
-// Given regular checks and any heartbeats, when a member is reported, then it was silent for longer than the
-// timeout, and whoever is silent for longer than the timeout and one check is reported.
+// Given regular checks and any heartbeats, then a member is reported exactly when its last heartbeat is older than the
+// timeout.
 func TestReportsMatchSilences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		watcher := detector.New(timeout)
--- a/internal/mesh/replica/assert_test.go
+++ b/internal/mesh/replica/assert_test.go
@@ -5,7 +5,7 @@
 	"pgregory.net/rapid"
 )
 
-// assert lets quicktest's checkers judge inside a property, where quicktest itself cannot be used.
+// assert applies a quicktest checker inside a rapid property, where quicktest itself cannot be used.
 func assert(t *rapid.T, got any, checker qt.Checker, args ...any) {
 	t.Helper()
 	ignoreNote := func(string, any) {}
--- a/internal/mesh/ring/ring.go
+++ b/internal/mesh/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring decides who watches whom and who tells whom. Each router's id has a place on a ring of hashes;
-// its few watchers are the routers that follow it there. All routers that know the same members decide alike,
-// and a change of members changes the watchers of its neighbours on the ring only.
+// Package ring selects the routers that monitor each other's heartbeats and the targets of gossip. Each router's id is
+// hashed onto a ring; its few watchers are the routers that follow it there. All routers with the same member list reach
+// the same result, and a membership change affects only the watchers of neighbours on the ring.
 //
 // The package consists of pure functions.
 package ring
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// spot is the place of one member.
+// spot is the position of one member on the ring.
 type spot struct {
 	hash uint64
 	id   string
@@ -26,21 +26,20 @@
 	return cmp.Compare(a.id, b.id)
 }
 
-// place is where an id stands on the ring.
+// place returns the position of an id on the ring.
 func place(id string) spot {
 	return spot{hash: xxhash.Sum64String(id), id: id}
 }
 
-// Watchers names the members to which self sends its heartbeats: the next count distinct ones clockwise from
-// self, nearest first, or all others if there are fewer. Whether members lists self, or one id twice, makes no
-// difference, nor does their order.
+// Watchers names the members to which self sends its heartbeats: the next count distinct members clockwise from
+// self, nearest first, or all others if there are fewer. The order of members, duplicates and the presence of self in
+// the list make no difference.
 func Watchers(self string, members []string, count int) []string {
 	others := clockwise(self, members)
 	return ids(others[:bounded(count, len(others))])
 }
 
-// Watched names the members of which self is a watcher, nearest first: the converse of Watchers among the same
-// members.
+// Watched names the members that self watches, nearest first. It is the inverse of Watchers for the same members.
 func Watched(self string, members []string, count int) []string {
 	others := clockwise(self, members)
 	nearest := others[len(others)-bounded(count, len(others)):]
@@ -48,7 +47,7 @@
 	return ids(nearest)
 }
 
-// clockwise lists all members but self once each, in the order in which they follow self on the ring.
+// clockwise lists all members except self once each, in the order in which they follow self on the ring.
 func clockwise(self string, members []string) []spot {
 	spots := make([]spot, 0, len(members))
 	for _, id := range members {
@@ -62,9 +61,8 @@
 	return slices.Concat(spots[next:], spots[:next])
 }
 
-// Spread chooses up to count members to push news to, by pseudo-random draw: every member that is neither self
-// nor excluded is as likely as any other, and equal arguments give an equal choice. Callers pass a new seed for
-// each push.
+// Spread chooses up to count members to push changes to, by a pseudo-random draw. Every member that is neither self
+// nor excluded is equally likely, and equal arguments lead to the same choice. Callers pass a new seed for each push.
 func Spread(seed uint64, self string, members []string, count int, exclude map[string]struct{}) []string {
 	spots := make([]spot, 0, len(members))
 	for _, id := range members {
@@ -78,7 +76,7 @@
 	return ids(spots[:bounded(count, len(spots))])
 }
 
-// draw gives an id its place in the order of one draw.
+// draw returns the position of an id in the draw with this seed.
 func draw(seed uint64, id string) spot {
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], seed)
--- a/internal/mesh/ring/ring_bench_test.go
+++ b/internal/mesh/ring/ring_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// largeFleet is the routers of the fleet that docs/CAPACITY.md works its figures out for.
+// largeFleet names the routers of the fleet for which docs/CAPACITY.md gives figures.
 func largeFleet() []string {
 	names := make([]string, 0, 380)
 	for number := range cap(names) {
@@ -14,7 +14,7 @@
 	return names
 }
 
-// BenchmarkRoundOfALargeFleet is what a router asks the ring in each round of heartbeats.
+// BenchmarkRoundOfALargeFleet measures the ring's work in one heartbeat round of a router.
 func BenchmarkRoundOfALargeFleet(b *testing.B) {
 	names := largeFleet()
 	for b.Loop() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkSpreadInALargeFleet is what a router asks the ring for each piece of news.
+// BenchmarkSpreadInALargeFleet measures the ring's work for one push of changes.
 func BenchmarkSpreadInALargeFleet(b *testing.B) {
 	names := largeFleet()
 	exclude := map[string]struct{}{names[1]: {}}
--- a/internal/mesh/ring/ring_test.go
+++ b/internal/mesh/ring/ring_test.go
@@ -24,27 +24,27 @@
 func TestWatchersOfSmallFleets(t *testing.T) {
 	c := qt.New(t)
 
-	c.Run("given a router alone, when asked for watchers, then it has none", func(c *qt.C) {
+	c.Run("given a single router, when asked for watchers, then it has none", func(c *qt.C) {
 		c.Assert(ring.Watchers("a", []string{"a"}, 3), qt.HasLen, 0)
 		c.Assert(ring.Watchers("a", nil, 3), qt.HasLen, 0)
 		c.Assert(ring.Watched("a", nil, 3), qt.HasLen, 0)
 	})
 
-	c.Run("given fewer others than wanted, when asked, then all others watch", func(c *qt.C) {
+	c.Run("given fewer others than requested, when asked for watchers, then all others watch", func(c *qt.C) {
 		watchers := ring.Watchers("a", []string{"c", "b", "a", "b"}, 3)
 		slices.Sort(watchers)
 		c.Assert(watchers, qt.DeepEquals, []string{"b", "c"})
 	})
 
-	c.Run("given a count of nought or less, when asked, then nobody watches", func(c *qt.C) {
+	c.Run("given a count of zero or less, when asked for members, then the result is empty", func(c *qt.C) {
 		c.Assert(ring.Watchers("a", fleet(5), 0), qt.HasLen, 0)
 		c.Assert(ring.Watched("a", fleet(5), -1), qt.HasLen, 0)
 		c.Assert(ring.Spread(1, "a", fleet(5), -1, nil), qt.HasLen, 0)
 	})
 }
 
-// Given any members in any order, when each names its watchers, then these are distinct others, the same for
-// every order, and Watched is the converse.
+// Given any members in any order, when the watchers of each are computed, then these are distinct others, the same for
+// every order, and Watched is the inverse.
 func TestWatchedIsTheConverseOfWatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawnMembers.Draw(t, "members")
@@ -64,8 +64,8 @@
 	})
 }
 
-// Given any members, when one joins or leaves, then the watchers of no more than count others change, namely of
-// those that it watches, and each of these exchanges one watcher only.
+// Given any members, when one joins or leaves, then watchers change only for the at most count members that it watches,
+// and each of these replaces a single watcher.
 func TestChangesTouchNeighboursOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with := drawnMembers.Draw(t, "members")
@@ -87,8 +87,8 @@
 	})
 }
 
-// Given any members, when targets are drawn, then they are distinct, neither self nor excluded, as many as
-// wanted and possible, and the same for the same seed whatever the order of the members.
+// Given any members, when targets are drawn, then they are distinct, neither self nor excluded, as many as requested and
+// available, and the same for the same seed whatever the order of the members.
 func TestSpreadChoosesAmongTheRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawnMembers.Draw(t, "members")
@@ -114,7 +114,7 @@
 
 func TestSpreadIsFair(t *testing.T) {
 	c := qt.New(t)
-	// Given a fleet of 20, when 4 targets are drawn with 5,000 seeds.
+	// Given a fleet of 20 routers, when 4 targets are drawn for each of 5,000 seeds,
 	members := fleet(20)
 	drawn := make(map[string]int)
 	for seed := range uint64(5000) {
@@ -122,7 +122,7 @@
 			drawn[id]++
 		}
 	}
-	// Then each of the 19 others is drawn about as often: 1,053 times are expected.
+	// then each of the 19 others is drawn about equally often: the expected count is 1,053.
 	c.Assert(drawn, qt.HasLen, 19)
 	for id, times := range drawn {
 		c.Assert(times > 900 && times < 1200, qt.IsTrue, qt.Commentf("%s was drawn %d times", id, times))
--- a/internal/mesh/tombstone/tombstone.go
+++ b/internal/mesh/tombstone/tombstone.go
@@ -1,14 +1,15 @@
-// Package tombstone decides when a router's copy of the replicated map may forget entries that say that something has
-// ended. They have to stay until every copy has heard them, and no longer: each incarnation of a worker leaves one.
+// Package tombstone decides when a router's copy of the replicated map may drop tombstones: entries which record that a
+// worker, router or order has ended. A tombstone has to stay until every copy has received it, and no longer: each
+// incarnation of a worker leaves one.
 //
-// Copies compare digests with others once a second (the repair interval), so whatever one of them missed it hears within
-// a few seconds while it is in touch. Grace is sixty such rounds: a copy that has not heard by then was cut off. What it
-// brings on its return is older than what the others have forgotten, and replica.Map remembers that: it puts the
-// tombstone back, which then counts anew. Only where the map's memory is full of later ones is a worker that ended listed
+// Copies compare digests once a second (the repair interval), so a copy that is connected receives what it missed within a
+// few seconds. Grace is sixty such rounds: a copy that has not received the tombstone by then was partitioned. On its return
+// it offers entries older than those that the others have dropped. replica.Map remembers the dropped tombstones and puts
+// them back, and a new grace period begins. Only when later tombstones have filled that memory is an ended worker listed
 // again, until its home misses its heartbeats.
 //
-// All routers use the same Grace: while one has forgotten an entry and another has not, their digests differ and each
-// comparison moves entries for nothing.
+// All routers must use the same Grace. While one copy has dropped an entry and another has not, their digests differ and
+// each comparison transfers entries needlessly.
 //
 // The package performs no I/O, reads no clock and starts no goroutine.
 package tombstone
@@ -20,30 +21,30 @@
 )
 
 const (
-	// Grace is how long an entry is kept that says that something has ended.
+	// Grace is how long a tombstone is kept.
 	Grace = 60 * time.Second
-	// pause is how long after the last look this router is taken to have stood still. It exchanged nothing in that
-	// time, so that all graces begin again.
+	// pause is the time between two calls of Expire above which this router is taken to have been halted. It exchanged
+	// nothing in that time, so all grace periods start again.
 	pause = 5 * time.Second
 )
 
-// Keeper knows since when entries say that something has ended. Use New.
+// Keeper records when each tombstone was first seen. Use New.
 type Keeper struct {
 	marks  map[string]mark // by key
-	looked time.Duration   // the newest look
+	looked time.Duration   // time of the latest call of Expire
 }
 
-// mark is when an entry was first seen to say so.
+// mark records when a tombstone was first seen.
 type mark struct {
-	finality uint64 // the entry's major version: a more final end is news of its own
+	finality uint64 // major version of the entry; a new one starts a new grace period
 	since    time.Duration
 }
 
-// New makes a keeper that has seen no tombstone.
+// New makes a tracker without tombstones.
 func New() *Keeper { return &Keeper{marks: map[string]mark{}} }
 
-// Expire is given all tombstones that the copy holds, and gives the keys of those that it may forget. It is to be called
-// about once a second; now is monotonic, from any origin.
+// Expire takes all tombstones that the copy holds and returns the keys of those that it may drop. Call it about once a
+// second; now is monotonic, from any origin.
 func (k *Keeper) Expire(now time.Duration, tombstones []replica.Entry) (keys []string) {
 	if now-k.looked > pause {
 		clear(k.marks)
--- a/internal/mesh/tombstone/tombstone_test.go
+++ b/internal/mesh/tombstone/tombstone_test.go
@@ -12,17 +12,17 @@
 	"sumacloft/internal/mesh/tombstone"
 )
 
-// interval is how often the tests look.
+// interval is the time between two calls of Expire.
 const interval = time.Second
 
-// dead is the tombstone of a key, and live what it ends.
+// dead is the tombstone of a key, and live the entry that it supersedes.
 func dead(key string, finality uint64) replica.Entry {
 	return replica.Entry{Key: key, Version: replica.Version{Major: finality}}
 }
 
 func live(key string) replica.Entry { return replica.Entry{Key: key, Value: []byte("live")} }
 
-// looks calls Expire at regular times in (from, to] and collects what it gives.
+// looks calls Expire at regular intervals in (from, to] and collects the keys that it returns.
 func looks(keeper *tombstone.Keeper, from, to time.Duration, tombstones ...replica.Entry) (keys []string) {
 	for now := from + interval; now <= to; now += interval {
 		keys = append(keys, keeper.Expire(now, tombstones)...)
@@ -34,26 +34,26 @@
 	c := qt.New(t)
 	grace, last := tombstone.Grace, tombstone.Grace+2*interval
 
-	c.Run("given a tombstone, when the grace is over, then it may be forgotten", func(c *qt.C) {
+	c.Run("given a tombstone, when the grace period is over, then it may be dropped", func(c *qt.C) {
 		keeper := tombstone.New()
 		c.Assert(looks(keeper, 0, grace+interval, dead("a", 2)), qt.HasLen, 0)
 		c.Assert(looks(keeper, grace+interval, last, dead("a", 2)), qt.DeepEquals, []string{"a"})
 	})
 
-	c.Run("given a tombstone that becomes more final, then its grace begins again", func(c *qt.C) {
+	c.Run("given a tombstone whose major version grows, then its grace period starts again", func(c *qt.C) {
 		keeper := tombstone.New()
 		looks(keeper, 0, grace/2, dead("a", 0))
 		c.Assert(looks(keeper, grace/2, last, dead("a", 2)), qt.HasLen, 0)
 	})
 
-	c.Run("given a tombstone that was undone, when there is one again, then its grace begins again", func(c *qt.C) {
+	c.Run("given a superseded tombstone, when the key has one again, then its grace period starts again", func(c *qt.C) {
 		keeper := tombstone.New()
 		looks(keeper, 0, grace/2, dead("a", 0))
 		looks(keeper, grace/2, grace/2+interval)
 		c.Assert(looks(keeper, grace/2+interval, last, dead("a", 0)), qt.HasLen, 0)
 	})
 
-	c.Run("given a router that stood still, then graces begin again", func(c *qt.C) {
+	c.Run("given a router that was halted, then grace periods start again", func(c *qt.C) {
 		keeper := tombstone.New()
 		looks(keeper, 0, grace/2, dead("a", 2))
 		c.Assert(looks(keeper, 2*grace, 3*grace, dead("a", 2)), qt.HasLen, 0)
@@ -61,7 +61,7 @@
 	})
 }
 
-// tombstones are those of a copy.
+// tombstones lists the tombstones of a copy.
 func tombstones(copied *replica.Map) (found []replica.Entry) {
 	for _, entry := range copied.Prefix("") {
 		if entry.Version.Major > 0 {
@@ -71,8 +71,8 @@
 	return found
 }
 
-// Given many incarnations that end one after the other, then a copy holds the tombstones of one grace, however many there
-// were before.
+// Given many incarnations that end one after the other, then a copy holds only the tombstones of one grace period, however
+// many incarnations have ended before.
 func TestCopiesStayBoundedOverManyIncarnations(t *testing.T) {
 	c := qt.New(t)
 	const perSecond, seconds = 20, 1000
@@ -89,8 +89,8 @@
 	c.Assert(most <= inGrace, qt.IsTrue, qt.Commentf("%d entries, of %d incarnations", most, perSecond*seconds))
 }
 
-// Given copies that exchange what they hold and forget after the grace, one of which is cut off for any time and comes
-// back with what it knew, then no copy that has heard of an end ever holds again what had ended.
+// Given copies that exchange entries and drop tombstones after the grace period, when one copy is partitioned for any time
+// and returns with its old entries, then no copy that has received a tombstone holds the superseded entry again.
 func TestLateNewsBringsNothingBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const copies = 3
@@ -115,7 +115,7 @@
 			for i := range copies {
 				entry, known := maps[i].Get("a")
 				if known && entry.Version.Major == 0 && heard[i] {
-					t.Fatalf("second %d: copy %d holds again what had ended", second, i)
+					t.Fatalf("second %d: copy %d holds an entry again that a tombstone had superseded", second, i)
 				}
 				heard[i] = heard[i] || known && entry.Version.Major > 0
 				maps[i].Forget(keepers[i].Expire(time.Duration(second)*interval, tombstones(maps[i]))...)
