--- a/internal/mesh/membership/confirm.go
+++ b/internal/mesh/membership/confirm.go
@@ -7,8 +7,8 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// Confirm pushes entries to the other control members and waits until so many have taken them, at most for the limit. It
-// tells whether they have.
+// Confirm pushes entries to the other control members and waits until the wanted number of them has acknowledged, for at most
+// limit. It reports whether they have.
 func (m *Membership) Confirm(ctx context.Context, entries []replica.Entry, wanted int, limit time.Duration) bool {
 	others := m.others()
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -28,8 +28,8 @@
 	return wanted <= 0
 }
 
-// OthersForMajority is how many other control members make a majority of the control members together with this one:
-// of those that are known to live, and of the voters that are wanted, whichever are more.
+// OthersForMajority is how many other control members form a majority together with this one. The majority is that of the
+// live control members or of the wanted voters, whichever are more.
 func (m *Membership) OthersForMajority(voters int) int {
 	return max(len(m.others())+1, voters) / 2
 }
--- a/internal/mesh/membership/contact.go
+++ b/internal/mesh/membership/contact.go
@@ -12,17 +12,17 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// contactRounds is after how many rounds without an answer of a led control member a router looks for another one.
+// contactRounds is the number of heartbeat rounds without an answer from a led control member before a router tries others.
 const contactRounds = 2
 
-// contact is when the latest call was sent that a control member answered which hears of a leader. It counts from the
-// sending: an answer that was long on its way says nothing of the time since. The lock of Membership guards it.
+// contact records when the latest call was sent that was answered by a control member with a known leader. The time of sending
+// counts, because a delayed answer proves nothing about the time since. It is guarded by the lock of Membership.
 type contact struct {
 	made   bool
 	sentAt time.Duration
 }
 
-// note takes what stands behind a router that answered a call which was sent at a time.
+// note records the standing of a router that answered a call sent at the given time.
 func (m *Membership) note(sentAt time.Duration, standing message.Standing, err error) {
 	if err != nil || standing != message.Led {
 		return
@@ -34,15 +34,15 @@
 	}
 }
 
-// now is the time since this membership began.
+// now is the time since this membership was created.
 func (m *Membership) now() time.Duration { return time.Since(m.began) }
 
-// IgnoreStanding has this router take any control member for one that hears of a leader, and seek nobody: a deliberate
-// violation, for the tests of the tests.
+// IgnoreStanding makes this router treat every control member as one with a known leader, and disables the search for routers
+// marked as down. It is a deliberate fault that the tests must detect.
 func (m *Membership) IgnoreStanding() { m.ignoreStanding = true }
 
-// InContact tells whether a call that was sent within the limit was answered by a control member that hears of the leader
-// of every partition.
+// InContact reports whether a control member that is in contact with the leader of every partition answered a call sent
+// within the limit.
 func (m *Membership) InContact(limit time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,8 +52,8 @@
 	return m.contact.made && m.now()-m.contact.sentAt <= limit
 }
 
-// Greet brings this router's copy and that of a router at an address to one state, whether the two know of each other or
-// not, and gives what stands behind the other's.
+// Greet synchronizes this router's copy with that of the router at an address, whether or not the two know each other, and
+// returns the other's standing.
 func (m *Membership) Greet(ctx context.Context, address string) (message.Standing, error) {
 	sentAt := m.now()
 	standing, err := m.node.Beat(ctx, address, 0)
@@ -61,12 +61,12 @@
 	return standing, err
 }
 
-// greetRest is for how long after two copies were compared Sound leaves them as they are: who looks for a control member
-// that is led asks all of them many times a second, while all routers' copies differ as they start.
+// greetRest is how long Sound skips the comparison of copies after the last one. A router that looks for a led control member
+// calls all of them many times a second, at a time when all routers have just started and their copies differ.
 const greetRest = 500 * time.Millisecond
 
-// Sound gives what stands behind the copy of a control member. It has brought this router's copy to one state with that
-// one's within greetRest.
+// Sound returns the standing of a control member's copy. It first synchronizes the two copies unless it did so within
+// greetRest.
 func (m *Membership) Sound(ctx context.Context, address string) (message.Standing, error) {
 	m.mu.Lock()
 	last, compared := m.compared[address]
@@ -87,8 +87,8 @@
 	return standing, err
 }
 
-// ControlAddresses are the inside addresses of all control members that this router has heard of, the starters and those
-// that are taken for down among them.
+// ControlAddresses lists the internal addresses of all control members that this router knows, including the starters and
+// those marked as down.
 func (m *Membership) ControlAddresses() []string {
 	snapshot, _ := m.node.Snapshot()
 	known := map[string]struct{}{}
@@ -103,13 +103,13 @@
 	return slices.Collect(maps.Keys(known))
 }
 
-// seekLimit is for how long routers that are taken for down are sought.
+// seekLimit is how long the control members try to reach a router that is marked as down.
 const seekLimit = 5 * time.Minute
 
-// lost is since when routers are taken for down, by key.
+// lost holds the times since which routers are marked as down, by key.
 type lost map[string]time.Duration
 
-// follow brings the list to the entries.
+// follow updates the times from the entries.
 func (l lost) follow(now time.Duration, entries []replica.Entry) {
 	for _, entry := range entries {
 		if !topic.Down(entry) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// draw gives the address of one that may still be found; "" if there is none.
+// draw returns the address of a random router that has been down for at most seekLimit; "" if there is none.
 func (l lost) draw(now time.Duration, entries []replica.Entry) string {
 	var addresses []string
 	for _, entry := range entries {
@@ -135,8 +135,8 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// seek has a control member that hears of a leader greet one router that is taken for down. That one may live and know of
-// nobody but a member that is cut off: it could not find the others by itself.
+// seek makes a control member with a known leader greet one router that is marked as down. That router may be alive and know
+// only a partitioned member, in which case it could not find the others by itself.
 func (m *Membership) seek(ctx context.Context, snapshot replica.Snapshot, now time.Duration) {
 	if m.config.Led == nil || !m.config.Led() || m.ignoreStanding {
 		return
@@ -144,6 +144,6 @@
 	entries := append(snapshot.Prefix(topic.Routers), snapshot.Prefix(topic.Controls)...)
 	m.lost.follow(now, entries)
 	if address := m.lost.draw(now, entries); address != "" && address != m.config.Self.Address {
-		go func() { _, _ = m.Greet(ctx, address) }() // most of them are down indeed
+		go func() { _, _ = m.Greet(ctx, address) }() // fails for most: they are down
 	}
 }
--- a/internal/mesh/membership/contact_test.go
+++ b/internal/mesh/membership/contact_test.go
@@ -22,7 +22,7 @@
 	slowLink     = 200 * time.Millisecond
 )
 
-// controlMember runs a story of a control member that serves its own calls, and whose starter is at an address.
+// controlMember runs a test with a control member that serves calls to itself and has one other starter address.
 func controlMember(t *testing.T, starter string, story func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -41,11 +41,11 @@
 		story(c, fabric, member)
 		c.Assert(own.Close(), qt.IsNil)
 		c.Assert(other.Close(), qt.IsNil)
-		time.Sleep(time.Minute) // kept connections end
+		time.Sleep(time.Minute) // until idle connections are closed
 	})
 }
 
-// serveLed answers heartbeats at an address as a member that hears of the leader of every partition.
+// serveLed answers heartbeats at an address as a member in contact with the leader of every partition.
 func serveLed(c *qt.C, process *memnet.Process, address string) *rpc.Server {
 	mux := http.NewServeMux()
 	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
@@ -56,7 +56,7 @@
 	return server
 }
 
-// A member that is a starter itself does not take its own answer for a sign that the others hear it.
+// A member that is itself a starter must not count its own answer as contact with the others.
 func TestMemberIsNotInContactByItsOwnAnswer(t *testing.T) {
 	const nobody = "10.0.0.3:7000"
 	controlMember(t, nobody, func(c *qt.C, _ *memnet.Fabric, member *membership.Membership) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Contact counts from the sending of a call: nothing is known of the time since.
+// Contact counts from the time when a call was sent, because a delayed answer proves nothing about the time since.
 func TestContactCountsFromTheSendingOfACall(t *testing.T) {
 	controlMember(t, otherAddress, func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership) {
 		c.Assert(member.InContact(contactLimit), qt.IsFalse)
@@ -80,7 +80,7 @@
 		c.Assert(member.InContact(contactLimit), qt.IsTrue)
 		time.Sleep(contactLimit)
 		fabric.Delay("10.0.0.1", "10.0.0.2", slowLink)
-		_, err = member.Greet(context.Background(), otherAddress) // over the connection that stands
+		_, err = member.Greet(context.Background(), otherAddress) // over the open connection
 		c.Assert(err, qt.IsNil)
 		c.Assert(member.InContact(2*slowLink-time.Millisecond), qt.IsFalse)
 		c.Assert(member.InContact(2*slowLink+time.Millisecond), qt.IsTrue)
--- a/internal/mesh/membership/large_test.go
+++ b/internal/mesh/membership/large_test.go
@@ -19,7 +19,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// The large fleet: routers and control members in zones, started together, and workers that the control members hear of.
+// The large fleet: routers and control members in zones, started together, and workers that report to the control members.
 const (
 	largeZones    = 7
 	largeRouters  = 295
@@ -37,7 +37,7 @@
 	cancel   context.CancelFunc
 }
 
-// startLarge starts routers and control members within startSpread of one another, each with the same three starters.
+// startLarge starts routers and control members within startSpread of one another. All have the same three starters.
 func startLarge(c *qt.C) *largeFleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &largeFleet{zones: map[string]string{}, cancel: cancel}
@@ -88,13 +88,13 @@
 	return f
 }
 
-// end stops all routers and waits for what they have under way.
+// end stops all routers and waits until their calls have ended.
 func (f *largeFleet) end() {
 	f.cancel()
 	time.Sleep(2 * time.Minute)
 }
 
-// knowing is how many routers have every one of the keys.
+// knowing counts the routers that hold all of the keys.
 func (f *largeFleet) knowing(keys []string) int {
 	count := 0
 	for _, router := range f.routers {
@@ -111,7 +111,7 @@
 	return count
 }
 
-// away is how many bytes have gone between zones, heads of calls included.
+// away is the number of bytes sent between zones, headers included.
 func (f *largeFleet) away(c *qt.C) uint64 {
 	sum := uint64(0)
 	for place, client := range f.clients {
@@ -134,7 +134,7 @@
 		// Given 295 routers and 5 control members in 7 zones that start within 0.3 s of one another,
 		f := startLarge(c)
 		defer f.end()
-		// and 160 workers whose first heartbeats reach the control members in the second after,
+		// and 160 workers whose first heartbeats reach the control members during the following second,
 		var keys []string
 		go func() {
 			for number := range largeWorkers {
@@ -148,19 +148,19 @@
 		for place := range largeRouters {
 			keys = append(keys, topic.Routers+fmt.Sprintf("10.0.%d.%d", place/200, 1+place%200))
 		}
-		// then all know all within three seconds of the last,
+		// then all routers hold all entries within 4.5 s
 		began := time.Now()
 		for f.knowing(keys) < largeRouters && time.Since(began) < 10*time.Second {
 			time.Sleep(50 * time.Millisecond)
 		}
 		took := time.Since(began)
 		start := f.away(c)
-		c.Logf("all know all after %v; %.1f MB between zones", took, float64(start)/1e6)
+		c.Logf("all routers hold all entries after %v; %.1f MB between zones", took, float64(start)/1e6)
 		c.Check(took <= 4500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
-		// and what crossed between zones is some hundred kilobytes a router at most.
+		// and the traffic between zones is at most 40 MB, some hundred kilobytes per router.
 		c.Check(start <= 40e6, qt.IsTrue, qt.Commentf("%d bytes", start))
-		// Given a quiet fleet, when one worker has news, then all routers know of it within a moment and at the cost of some
-		// dozens of calls between zones, besides the heartbeats.
+		// Given a fleet without changes, when one worker's entry changes, then all routers receive it within two seconds, and it
+		// costs some dozens of calls between zones besides the heartbeats.
 		time.Sleep(5 * time.Second)
 		quiet := f.away(c)
 		time.Sleep(time.Second)
@@ -169,8 +169,8 @@
 		f.controls[0].Node().Put(largeEntry(7, 2))
 		time.Sleep(time.Second)
 		cost := f.away(c) - before
-		c.Logf("a second of heartbeats: %d bytes between zones; with one news: %d", beats, cost)
-		c.Check(cost <= beats+150_000, qt.IsTrue, qt.Commentf("%d bytes, %d of heartbeats", cost, beats))
+		c.Logf("a second of heartbeats: %d bytes between zones; with one change: %d", beats, cost)
+		c.Check(cost <= beats+150_000, qt.IsTrue, qt.Commentf("%d bytes, of which heartbeats take %d", cost, beats))
 		time.Sleep(time.Second)
 		behind := 0
 		for _, router := range f.routers {
@@ -183,7 +183,7 @@
 	})
 }
 
-// largeEntry is news of a worker, as long as it is in service.
+// largeEntry is a worker's entry of realistic size.
 func largeEntry(number int, version uint64) replica.Entry {
 	return replica.Entry{Key: fmt.Sprintf("%sw-%d", topic.Workers, number), Version: replica.Version{Minor: version}, Value: make([]byte, 90)}
 }
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership keeps one router among the others of the fleet: it makes the router known, sends heartbeats to the
-// watchers that its place on the ring names, reports those that it watches itself and that fell silent, compares its state
-// with a control member's now and then, and passes news on to a few others.
+// Package membership implements a router's membership in the fleet. It announces the router, sends heartbeats to its watchers
+// on the ring, reports watched routers whose heartbeats stop, compares its state regularly with that of a control member, and
+// forwards changes to a few other routers.
 package membership
 
 import (
@@ -23,40 +23,40 @@
 	"sumacloft/internal/periodic"
 )
 
-// The inside ports, counted from the first that the boot file gives.
+// The internal ports, as offsets from the first one in the boot file.
 const (
 	PortControl = iota
 	PortAgent
 	PortFeed
 	PortHints // datagrams between proxies
-	PortProxy // what a proxy serves to operators on its own machine
+	PortProxy // a proxy's endpoint for operators on the same machine
 )
 
 const (
-	// silence is how long a watched router may be silent before it is taken for down.
+	// silence is the time without heartbeats after which a watched router is taken to be down.
 	silence = 4 * time.Second
-	// watcherCount is how many watchers a router has.
+	// watcherCount is the number of watchers of a router.
 	watcherCount = 2
-	// awayTurns is every how many rounds the state is compared with a control member of any zone: one that is cut off
-	// from the others must not be all that this router hears.
+	// awayTurns: in one of this many rounds, the state is compared with a control member of any zone. Otherwise a partitioned
+	// member in the own zone could be a router's only source.
 	awayTurns = 3
 )
 
-// Config is what a router is among the others.
+// Config describes a router and how it communicates with the others.
 type Config struct {
-	Prefix   string     // topic.Controls or topic.Routers: whom it is on a ring with
-	Self     topic.Peer // how the others reach it
-	Starters []string   // inside addresses of control members to join through
+	Prefix   string     // topic.Controls or topic.Routers: the ring that it belongs to
+	Self     topic.Peer // its entry for the other routers
+	Starters []string   // internal addresses of control members to join through
 	Interval time.Duration
-	FanOut   int // edge routers to which news is passed on
+	FanOut   int // number of edge routers to which changes are forwarded
 	Client   *rpc.Client
 	Log      zerolog.Logger
 	OnNews   func(news []replica.Entry) // may be nil
-	// Led tells whether this router hears of the leader of every partition; nil at edge routers.
+	// Led reports whether this router is in contact with the leader of every partition; nil at edge routers.
 	Led func() bool
 }
 
-// Membership is one router's place in the fleet. Use New, then Run.
+// Membership is one router's membership in the fleet. Use New, then Run.
 type Membership struct {
 	config Config
 	node   *node.Node
@@ -88,12 +88,12 @@
 // Node is the router's copy of the replicated map.
 func (m *Membership) Node() *node.Node { return m.node }
 
-// InsideAddress is the address of an inside port on a machine.
+// InsideAddress is the address of an internal port on a machine.
 func InsideAddress(ip string, ports boot.PortRange, port int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(ports.First+port))
 }
 
-// StarterAddresses are the inside addresses of the control members that a boot file names.
+// StarterAddresses lists the internal addresses of the control members that a boot file names.
 func StarterAddresses(settings *boot.Settings) []string {
 	addresses := make([]string, 0, len(settings.Starters))
 	for _, starter := range settings.Starters {
@@ -104,15 +104,15 @@
 	return addresses
 }
 
-// SetStarters takes the starters of a boot file that was read again.
+// SetStarters replaces the starters after the boot file was reloaded.
 func (m *Membership) SetStarters(addresses []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.config.Starters = addresses
 }
 
-// Starters are the inside addresses of control members to join through, without this router's own: an answer of its own
-// is no sign that anybody hears it.
+// Starters lists the internal addresses of control members to join through, except this router's own: an answer from itself
+// does not show that any other router is reachable.
 func (m *Membership) Starters() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +125,7 @@
 	return others
 }
 
-// Join asks all starters for their state and tells how many answered.
+// Join synchronizes with all starters and returns how many answered.
 func (m *Membership) Join(ctx context.Context) int {
 	answered := make(chan bool)
 	starters := m.Starters()
@@ -144,7 +144,7 @@
 	return reached
 }
 
-// Announce makes this router known, at an incarnation above all that is known of it.
+// Announce publishes this router's entry with an incarnation above all that are known of it.
 func (m *Membership) Announce() {
 	snapshot, _ := m.node.Snapshot()
 	m.mu.Lock()
@@ -157,7 +157,7 @@
 	m.node.Put(entry)
 }
 
-// Leave tells the fleet that this router ends.
+// Leave publishes that this router is down.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	m.leaving = true
@@ -174,7 +174,7 @@
 	periodic.Run(ctx, m.config.Interval, func() { m.round(ctx) })
 }
 
-// round sends one heartbeat to each watcher and to one control member, and checks those that this router watches.
+// round sends one heartbeat to each watcher and to one control member, and checks the routers that this one watches.
 func (m *Membership) round(ctx context.Context) {
 	snapshot, _ := m.node.Snapshot()
 	m.mu.Lock()
@@ -211,9 +211,9 @@
 	m.note(sentAt, standing, err)
 }
 
-// control chooses the control member of this round: mostly one of the own zone, where there is one. Starters stand in
-// while no other member is known, and now and then in any case: the members that this router knows may all be gone. While
-// none that hears of a leader has answered, all are tried in turn, and starters every second time.
+// control chooses the control member of this round: usually one of the own zone, if there is one. A starter is chosen while no
+// other member is known, and periodically in any case, because all members that this router knows may be gone. While no member
+// with a known leader has answered, the choice is among all members, and a starter in every second round.
 func (m *Membership) control(members []topic.Peer, turn int) string {
 	var near, others []topic.Peer
 	for _, member := range members {
@@ -239,7 +239,7 @@
 	return others[rand.IntN(len(others))].Address
 }
 
-// reportDown tells the fleet of a router that fell silent.
+// reportDown publishes that a watched router is down.
 func (m *Membership) reportDown(lost detector.Down) {
 	snapshot, _ := m.node.Snapshot()
 	entry, found := snapshot.Get(m.config.Prefix + lost.ID)
@@ -247,19 +247,19 @@
 		return
 	}
 	m.config.Log.Info().Str("peer", lost.ID).Int64("silent_ms", lost.Silent.Milliseconds()).Msg("a router is down")
-	peer, _ := topic.PeerOf(entry) // without an address it can't be sought
+	peer, _ := topic.PeerOf(entry) // seek skips it if it has no address
 	peer.Node = lost.ID
 	m.node.Put(topic.DownEntry(m.config.Prefix, peer, entry.Version.Major))
 }
 
-// heard takes a heartbeat of another router.
+// heard records a heartbeat of another router.
 func (m *Membership) heard(beat message.Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.watched.Heard(m.now(), beat.From, beat.Incarnation)
 }
 
-// news contradicts what others say of this router itself, and passes on what has changed unless others have it anyway.
+// news handles changed entries: it refutes those that are wrong about this router and forwards all unless the others have them.
 func (m *Membership) news(news []replica.Entry, from string, known bool) {
 	own := m.config.Prefix + m.config.Self.Node
 	for _, entry := range news {
@@ -275,14 +275,14 @@
 	}
 }
 
-// contradicts tells whether an entry about this router is not its own word.
+// contradicts reports whether an entry about this router must be refuted: it says down, or has a larger incarnation.
 func (m *Membership) contradicts(entry replica.Entry) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.announced && !m.leaving && (topic.Down(entry) || entry.Version.Major > m.incarnation)
 }
 
-// others are the control members that live, but this one.
+// others lists the live control members except this one.
 func (m *Membership) others() []topic.Peer {
 	var others []topic.Peer
 	for _, member := range m.node.Peers(topic.Controls) {
@@ -295,6 +295,6 @@
 
 func (m *Membership) push(address string, entries []replica.Entry) {
 	if err := m.node.Push(context.Background(), address, entries); err != nil {
-		m.config.Log.Info().Str("peer", address).Err(err).Msg("push not taken")
+		m.config.Log.Info().Str("peer", address).Err(err).Msg("push failed")
 	}
 }
--- a/internal/mesh/membership/place.go
+++ b/internal/mesh/membership/place.go
@@ -5,15 +5,15 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// place is where a router stands on its ring. It is worked out anew where the ring has changed: that takes a hash of each of
-// hundreds of routers.
+// place caches a router's position on its ring. It is recomputed only when the ring has changed, because that takes a hash of
+// each of hundreds of routers.
 type place struct {
-	peers    []topic.Peer // those it was worked out for
+	peers    []topic.Peer // the routers for which it was computed
 	watched  []string     // names of the routers that this one watches
-	watchers []string     // addresses of those that watch it
+	watchers []string     // addresses of the routers that watch this one
 }
 
-// in is the place of a router among peers.
+// in returns the place of a router among peers.
 func (p *place) in(self string, peers []topic.Peer) place {
 	if p.isOf(peers) {
 		return *p
@@ -31,7 +31,7 @@
 	return *p
 }
 
-// isOf tells whether the place was worked out for this very list. Lists of peers are made anew when one of them changes.
+// isOf reports whether the place was computed for this very slice. Lists of peers are rebuilt when one of them changes.
 func (p *place) isOf(peers []topic.Peer) bool {
 	return len(peers) > 0 && len(p.peers) == len(peers) && &p.peers[0] == &peers[0]
 }
--- a/internal/mesh/membership/spread.go
+++ b/internal/mesh/membership/spread.go
@@ -10,19 +10,19 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// spreadInterval is the shortest time between two pushes of news. What comes alone is passed on at once; what comes while much
-// changes is gathered, so that a router's calls are bounded however many workers come and go.
+// spreadInterval is the shortest time between two pushes. A single change is forwarded at once. Frequent changes are batched,
+// which bounds a router's calls however many workers join and leave.
 const spreadInterval = 25 * time.Millisecond
 
-// gathered is news that waits to be passed on. The lock of Membership guards it.
+// gathered is a batch of changes to be forwarded. It is guarded by the lock of Membership.
 type gathered struct {
 	entries map[string]replica.Entry // by key, the newest
-	sources map[string]struct{}      // who it came from; "" for this router
-	due     bool                     // a push is about to follow
-	last    time.Duration            // when news was last passed on
+	sources map[string]struct{}      // the routers that sent them; "" for this router
+	due     bool                     // a push is scheduled
+	last    time.Duration            // time of the last push
 }
 
-// gather passes news on, at once if none was for a while.
+// gather adds changes to the batch and schedules its push, at once if none was made within spreadInterval.
 func (m *Membership) gather(news []replica.Entry, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,7 @@
 	time.AfterFunc(wait, m.passOn)
 }
 
-// passOn pushes what was gathered.
+// passOn pushes the batch.
 func (m *Membership) passOn() {
 	m.mu.Lock()
 	waiting := m.waiting
@@ -62,15 +62,15 @@
 }
 
 const (
-	// awayFanOut is to how many routers of each other zone a router passes its own news on: one of them may be gone.
+	// awayFanOut is the number of routers in each other zone to which a router pushes its own changes; one of them may be down.
 	awayFanOut = 2
-	// awayRelay is the same for news that a control member heard of: who told it may not reach all zones.
+	// awayRelay is the same for changes that a control member received: their source may not reach all zones.
 	awayRelay = 1
 )
 
-// spread pushes news to a few edge routers of the own zone; this router's own news also to a few of each other zone, and a
-// control member's to all other control members. So news crosses between zones a few times, not with each router that
-// hears of it. A router from which all of it came is left out.
+// spread pushes changes to a few edge routers of the own zone. This router's own changes also go to a few of each other zone
+// and, from a control member, to all other control members. Changes thus cross between zones a few times, not once for each
+// router that receives them. If all changes come from a single router, it is left out.
 func (m *Membership) spread(news []replica.Entry, sources map[string]struct{}) {
 	snapshot, _ := m.node.Snapshot()
 	zones, addresses := byZone(m.node.Peers(topic.Routers))
@@ -98,7 +98,7 @@
 	}
 }
 
-// awayCount is to how many routers of another zone news is passed on.
+// awayCount is the number of routers in each other zone to which changes are pushed.
 func (m *Membership) awayCount(own bool) int {
 	switch {
 	case own:
@@ -109,7 +109,7 @@
 	return 0
 }
 
-// byZone lists the peers' names by their zones, and their addresses by name.
+// byZone groups the peers' names by zone and maps names to addresses.
 func byZone(peers []topic.Peer) (zones map[string][]string, addresses map[string]string) {
 	zones = map[string][]string{}
 	addresses = make(map[string]string, len(peers))
--- a/internal/mesh/membership/spread_test.go
+++ b/internal/mesh/membership/spread_test.go
@@ -20,7 +20,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// neighbour is a router that notes what others push to it.
+// neighbour is a router that records the pushes that it receives.
 type neighbour struct {
 	mu     sync.Mutex
 	pushes [][]replica.Entry
@@ -33,7 +33,7 @@
 	return &message.SyncAnswer{}, nil
 }
 
-// taken gives the number of pushes and of entries in them since it was last asked.
+// taken returns the number of pushes since its last call, and of the entries in them.
 func (n *neighbour) taken() (pushes, entries int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -50,7 +50,7 @@
 	otherAddress = "10.0.0.2:7000"
 )
 
-// beside runs a story of a router that knows one other.
+// beside runs a test with a router that knows one other.
 func beside(t *testing.T, story func(c *qt.C, own *membership.Membership, other *neighbour)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -73,11 +73,11 @@
 		other.taken()
 		story(c, own, other)
 		c.Assert(server.Close(), qt.IsNil)
-		time.Sleep(time.Minute) // kept connections end
+		time.Sleep(time.Minute) // until idle connections are closed
 	})
 }
 
-// entry is news of a worker.
+// entry is a worker's entry at a version.
 func entry(number int, version uint64) replica.Entry {
 	return replica.Entry{Key: fmt.Sprintf("%sw-%d", topic.Workers, number), Version: replica.Version{Minor: version}, Value: []byte("x")}
 }
@@ -85,7 +85,7 @@
 func TestNewsThatComesAloneIsPassedOnAtOnce(t *testing.T) {
 	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
 		own.Node().Put(entry(1, 1))
-		time.Sleep(10 * time.Millisecond) // three crossings of the link, and what comes up
+		time.Sleep(10 * time.Millisecond) // connecting and the push take three crossings of the link
 		pushes, entries := other.taken()
 		c.Assert(pushes, qt.Equals, 1)
 		c.Assert(entries, qt.Equals, 1)
@@ -94,13 +94,13 @@
 
 func TestNewsIsGatheredWhileMuchChanges(t *testing.T) {
 	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
-		// Given a thousand news in a second, two of each worker
+		// Given a thousand changes in a second, two of each worker,
 		for number := range 1000 {
 			own.Node().Put(entry(number%500, uint64(1+number/500)))
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		// then the other router has had all of them in few calls.
+		// then the other router receives all of them in few calls.
 		pushes, entries := other.taken()
 		c.Assert(pushes <= 42, qt.IsTrue, qt.Commentf("%d pushes", pushes))
 		c.Assert(entries, qt.Equals, 1000)
@@ -109,12 +109,12 @@
 
 func TestOnlyTheNewestOfAWorkerIsPassedOn(t *testing.T) {
 	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
-		// Given one worker with news all the time
+		// Given one worker that changes continually,
 		for version := range 100 {
 			own.Node().Put(entry(1, uint64(version+1)))
 		}
 		time.Sleep(100 * time.Millisecond)
-		// then the first is passed on and the last, not those between.
+		// then at most the first and the last change are pushed.
 		_, entries := other.taken()
 		c.Assert(entries <= 2, qt.IsTrue, qt.Commentf("%d entries", entries))
 	})
--- a/internal/mesh/message/link.go
+++ b/internal/mesh/message/link.go
@@ -1,20 +1,20 @@
 package message
 
-// Link is how an edge router stands to the control plane.
+// Link is the state of an edge router's connection to the control plane.
 type Link uint8
 
 // The links.
 const (
-	// LinkSeeking: no control member has told of a configuration since this router started.
+	// LinkSeeking: no control member has sent a configuration since this router started.
 	LinkSeeking Link = iota
-	// LinkUnconfirmed: the configuration is what a control member or another router told, no majority stands behind it.
+	// LinkUnconfirmed: the configuration comes from a control member or another router, without confirmation by a majority.
 	LinkUnconfirmed
-	// LinkDisks: a majority of the voters has told what its disks know; no leader has confirmed it yet.
+	// LinkDisks: a majority of the voters has reported what is stored on disk, but no leader has confirmed it yet.
 	LinkDisks
-	// LinkLost: the configuration was confirmed in this router's life, but no control member that hears of its leader has
-	// answered for a while: changes since then are not known here.
+	// LinkLost: the configuration was confirmed since this router started, but no control member with a known leader has
+	// responded recently. Later changes are not known here.
 	LinkLost
-	// LinkConfirmed: a control member that hears of its leader has confirmed the configuration and answered lately.
+	// LinkConfirmed: a control member with a known leader has confirmed the configuration and responded recently.
 	LinkConfirmed
 )
 
@@ -35,7 +35,7 @@
 	return "unknown"
 }
 
-// Advice says what the link means for the router's clients and what an operator can do; "" where nothing is to be done.
+// Advice describes the effect of the link's state on clients and what an operator can do; "" if no action is needed.
 func (l Link) Advice() string {
 	switch l {
 	case LinkSeeking:
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -1,4 +1,4 @@
-// Package message holds what the system's own processes say to each other, and the names of the calls.
+// Package message defines the messages and call paths that the system's own processes use among themselves.
 package message
 
 import (
@@ -6,73 +6,73 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// Beat is a router's heartbeat to one of its watchers, with the sum of its digest.
+// Beat is a router's heartbeat to one of its watchers, with a checksum of the sender's digest.
 type Beat struct {
 	From        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Sum         uint64 `cbor:"3,keyasint,omitempty"` // replica.Digest.Sum
-	Brief       bool   `cbor:"4,keyasint,omitempty"` // the digest is not asked for
+	Brief       bool   `cbor:"4,keyasint,omitempty"` // omit the digest from the response
 }
 
-// BeatAnswer holds the watcher's digest where the sums differ, and what stands behind its copy.
+// BeatAnswer holds the standing of the watcher's copy, and its digest if the checksums differ.
 type BeatAnswer struct {
 	Digest   *replica.Digest `cbor:"1,keyasint,omitempty"`
 	Standing Standing        `cbor:"2,keyasint,omitempty"`
 }
 
-// Standing is what stands behind a router's copy of the fleet's state.
+// Standing is the authority of a router's copy of the fleet's state.
 type Standing uint8
 
 // The standings.
 const (
-	Hearsay Standing = iota // what others said: an edge router, or a control member that is no voter
-	Durable                 // what a voter's own disk holds; the voter knows no leader
-	Led                     // a voter that hears of its leader, which a majority answers
+	Hearsay Standing = iota // gossip from other routers: an edge router, or a control member that is not a voter
+	Durable                 // state on a voter's own disk; the voter knows no leader
+	Led                     // state of a voter in contact with its leader, which has the support of a majority
 )
 
-// Sync brings entries. With a digest, the answer holds what its sender may lack: all in the buckets that differ, but those
-// that it names as held.
+// Sync carries entries. If it has a digest, the response holds the entries that the sender may lack: all in the buckets that
+// differ, except those whose fingerprints are in Held.
 type Sync struct {
 	From     string               `cbor:"1,keyasint"`
 	Entries  []replica.Entry      `cbor:"2,keyasint,omitempty"`
 	Digest   *replica.Digest      `cbor:"3,keyasint,omitempty"`
 	Held     replica.Fingerprints `cbor:"4,keyasint,omitempty"`
-	Repaired bool                 `cbor:"5,keyasint,omitempty"` // the entries were asked for after copies were compared
+	Repaired bool                 `cbor:"5,keyasint,omitempty"` // the entries were requested after a comparison of copies
 }
 
-// SyncAnswer brings entries in return.
+// SyncAnswer holds the entries that the caller lacks and the fingerprints of those that it should send.
 type SyncAnswer struct {
 	Entries []replica.Entry      `cbor:"1,keyasint,omitempty"`
-	Wanted  replica.Fingerprints `cbor:"2,keyasint,omitempty"` // held by the caller and not here
+	Wanted  replica.Fingerprints `cbor:"2,keyasint,omitempty"` // entries that the caller has and the receiver lacks
 }
 
-// The calls that every router serves on its inside port.
+// The calls that every router serves on its first internal port.
 const (
 	CallBeat rpc.Procedure[Beat, BeatAnswer] = "/mesh/Beat"
 	CallSync rpc.Procedure[Sync, SyncAnswer] = "/mesh/Sync"
 )
 
-// Order is an operator's order on its way to the owner of the configuration's partition.
+// Order carries an operator's order to the owner of the configuration's partition.
 type Order struct {
 	Order []byte `cbor:"1,keyasint"` // configstate.Order, encoded
 }
 
-// OrderAnswer is what became of it.
+// OrderAnswer is the outcome of an order.
 type OrderAnswer struct {
 	Status  uint8  `cbor:"1,keyasint"` // configstate.OutcomeStatus
 	Version uint64 `cbor:"2,keyasint,omitempty"`
-	Text    string `cbor:"3,keyasint,omitempty"` // what is wrong with it
+	Text    string `cbor:"3,keyasint,omitempty"` // why the order was rejected
 }
 
 // Read asks the owner of the configuration's partition for the newest document.
 type Read struct {
-	Known uint64 `cbor:"1,keyasint,omitempty"` // index of the document that the caller has; it is not sent again
+	Known uint64 `cbor:"1,keyasint,omitempty"` // index of the caller's document, which is not sent again
 }
 
-// ReadAnswer holds the document; empty: there is none yet, or the caller has it.
+// ReadAnswer holds the document. It is empty if there is none yet or the caller already has it.
 type ReadAnswer struct {
 	Document []byte `cbor:"1,keyasint,omitempty"`
-	Index    uint64 `cbor:"2,keyasint,omitempty"` // of the document in its partition's log; 0: there is none yet
+	Index    uint64 `cbor:"2,keyasint,omitempty"` // of the document in its partition's log; 0 if there is none yet
 }
 
 // The calls between control members.
@@ -81,34 +81,34 @@
 	CallRead  rpc.Procedure[Read, ReadAnswer]   = "/control/Read"
 )
 
-// CallConfirm asks any control member for the newest document, as the leader knows it under its lease at that moment.
+// CallConfirm asks any control member for the newest document that the leader knows while it holds its lease.
 const CallConfirm rpc.Procedure[Read, ReadAnswer] = "/control/Confirm"
 
-// Watch asks an agent for the state of the fleet once it differs from what the proxy knows.
+// Watch is a long poll: the agent answers once the state of the fleet differs from what the proxy knows.
 type Watch struct {
-	Revision uint64 `cbor:"1,keyasint,omitempty"` // of the snapshot known
-	Settings uint64 `cbor:"2,keyasint,omitempty"` // index of the configuration known
-	Life     uint64 `cbor:"3,keyasint,omitempty"` // of the agent that gave them
+	Revision uint64 `cbor:"1,keyasint,omitempty"` // of the snapshot that the proxy has
+	Settings uint64 `cbor:"2,keyasint,omitempty"` // index of the configuration that the proxy has
+	Life     uint64 `cbor:"3,keyasint,omitempty"` // identifies the run of the agent that sent them
 }
 
 // Snapshot is the state of the fleet as an agent knows it.
 type Snapshot struct {
 	Revision uint64          `cbor:"1,keyasint,omitempty"`
 	Life     uint64          `cbor:"2,keyasint,omitempty"`
-	Settings uint64          `cbor:"3,keyasint,omitempty"` // index of the newest configuration; 0: none is known
-	Document []byte          `cbor:"4,keyasint,omitempty"` // of that configuration; empty if the proxy knows it
+	Settings uint64          `cbor:"3,keyasint,omitempty"` // index of the newest configuration; 0 if none is known
+	Document []byte          `cbor:"4,keyasint,omitempty"` // that configuration; empty if the proxy has it
 	Workers  []replica.Entry `cbor:"5,keyasint,omitempty"`
 	Routers  []string        `cbor:"6,keyasint,omitempty"`  // IP addresses of the edge routers that are alive, this one included
 	Same     bool            `cbor:"7,keyasint,omitempty"`  // nothing has changed
-	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"`  // workers that are about to change their phase
-	Link     Link            `cbor:"9,keyasint,omitempty"`  // of the agent to the control plane, also where nothing else has changed
-	Near     []string        `cbor:"10,keyasint,omitempty"` // those of Routers that are in the own zone
-	// Part says that the proxy knows the rest: Workers are those that have changed since the revision that it knows, Gone the
-	// keys of those that are there no longer, and Routers and Near are left out where they are the same.
+	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"`  // pending phase changes of workers
+	Link     Link            `cbor:"9,keyasint,omitempty"`  // the agent's link to the control plane; sent also if nothing else has changed
+	Near     []string        `cbor:"10,keyasint,omitempty"` // those of Routers in the same zone
+	// Part marks a delta to the revision that the proxy knows. Workers then holds the changed entries and Gone the keys of
+	// those removed. Routers and Near are omitted if unchanged.
 	Part        bool     `cbor:"11,keyasint,omitempty"`
 	Gone        []string `cbor:"12,keyasint,omitempty"`
 	SameRouters bool     `cbor:"13,keyasint,omitempty"`
 }
 
-// CallWatch is served by agents on the loopback address.
+// CallWatch is served by agents on the loopback interface.
 const CallWatch rpc.Procedure[Watch, Snapshot] = "/agent/Watch"
--- a/internal/mesh/message/message_size_test.go
+++ b/internal/mesh/message/message_size_test.go
@@ -19,14 +19,14 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// The fleet that docs/CAPACITY.md works its figures out for.
+// The fleet for which docs/CAPACITY.md gives figures.
 const (
 	fleetRouters  = 380
 	fleetControls = 4
 	fleetWorkers  = 600
 )
 
-// pipes is a network of one server in memory that counts the bytes of its connections, both ways together.
+// pipes is an in-memory network with one server. It counts the bytes of its connections in both directions together.
 type pipes struct {
 	incoming chan net.Conn
 	bytes    atomic.Int64
@@ -73,11 +73,11 @@
 	return size, err
 }
 
-// serving is a server of mesh calls in memory, and a client of it.
+// serving is an in-memory server of mesh calls with a client.
 type serving struct {
 	over   *pipes
 	client *rpc.Client
-	digest *replica.Digest // given with each heartbeat's answer, if not nil
+	digest *replica.Digest // sent in each heartbeat response unless nil
 }
 
 const address = "10.0.0.1:7700"
@@ -112,7 +112,7 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// wire is how many bytes a call takes both ways on a connection that is open already.
+// wire returns the bytes of one call in both directions on a connection that is already open.
 func (s *serving) wire(call func()) int64 {
 	call()
 	before := s.over.bytes.Load()
@@ -157,7 +157,7 @@
 	return entries
 }
 
-// snapshot is an agent's answer to its proxy in the large fleet, without a configuration.
+// snapshot is an agent's response to its proxy in the large fleet, without a configuration.
 func snapshot() *message.Snapshot {
 	answer := &message.Snapshot{Revision: 123456, Life: 1 << 60, Settings: 4321, Workers: workerEntries()}
 	for number := range fleetRouters {
@@ -172,7 +172,7 @@
 	return len(bytes)
 }
 
-// The sizes bound what docs/CAPACITY.md says. One that grows past its bound is to be looked at there.
+// The bounds back the figures in docs/CAPACITY.md. If a message outgrows its bound, review the figures there.
 func TestMessagesKeepToTheirSizes(t *testing.T) {
 	c := qt.New(t)
 	digest := replica.Digest{}
@@ -182,15 +182,15 @@
 		size int
 	}{
 		{"heartbeat", 32, encoded(c, beat())},
-		{"heartbeat's answer, equal", 1, encoded(c, message.BeatAnswer{})},
-		{"heartbeat's answer with a digest", 520, encoded(c, message.BeatAnswer{Digest: &digest})},
+		{"heartbeat's response, equal", 1, encoded(c, message.BeatAnswer{})},
+		{"heartbeat's response with a digest", 520, encoded(c, message.BeatAnswer{Digest: &digest})},
 		{"one worker's entry", 170, encoded(c, workerEntry(599))},
 		{"one router's entry", 100, encoded(c, routerEntry(379))},
 		{"state of the large fleet", 100_000, encoded(c, snapshot())},
 	}
 	for _, one := range sizes {
 		c.Logf("%s: %d bytes", one.name, one.size)
-		c.Check(one.size <= one.most, qt.IsTrue, qt.Commentf("%s has %d bytes, %d at most", one.name, one.size, one.most))
+		c.Check(one.size <= one.most, qt.IsTrue, qt.Commentf("%s has %d bytes, more than the bound of %d", one.name, one.size, one.most))
 	}
 }
 
@@ -199,8 +199,8 @@
 	s := serve(t)
 	check := func(name string, most int64, call func()) {
 		size := s.wire(call)
-		c.Logf("%s: %d bytes on the wire, both ways", name, size)
-		c.Check(size <= most, qt.IsTrue, qt.Commentf("%s takes %d bytes, %d at most", name, size, most))
+		c.Logf("%s: %d bytes on the wire in both directions", name, size)
+		c.Check(size <= most, qt.IsTrue, qt.Commentf("%s takes %d bytes, more than the bound of %d", name, size, most))
 	}
 	check("heartbeat", 260, func() { s.beat(t) })
 	check("push of one worker", 370, func() { s.sync(t, workerEntry(599)) })
@@ -243,7 +243,7 @@
 	}
 }
 
-// BenchmarkPeersOfTheLargeFleet is what a router does besides the calls for each piece of news: it reads all routers' entries.
+// BenchmarkPeersOfTheLargeFleet measures a router's local work for one change: decoding the entries of all routers.
 func BenchmarkPeersOfTheLargeFleet(b *testing.B) {
 	entries := make([]replica.Entry, 0, fleetRouters)
 	for number := range fleetRouters {
@@ -256,7 +256,7 @@
 	}
 }
 
-// BenchmarkRepair compares two copies of the large fleet's map that differ in one worker, as both sides do together.
+// BenchmarkRepair compares two copies of the large fleet's map that differ in one worker. It measures both sides together.
 func BenchmarkRepair(b *testing.B) {
 	near, far := replica.New(), replica.New()
 	entries := workerEntries()
@@ -275,7 +275,7 @@
 	b.ReportMetric(float64(bytes), "entry-bytes/op")
 }
 
-// BenchmarkSettingsEntry packs a configuration of 1,000 routes as it spreads.
+// BenchmarkSettingsEntry compresses a configuration of 1,000 routes for distribution.
 func BenchmarkSettingsEntry(b *testing.B) {
 	document := []byte(`{"version":1,"routes":[`)
 	for number := range 1000 {
--- a/internal/mesh/network/network.go
+++ b/internal/mesh/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how the fleet's processes reach each other: connections and datagrams. Processes are given a Network,
-// so that a whole fleet can be run on one that exists in memory only.
+// Package network abstracts the connections and datagrams between the fleet's processes. Processes receive a Network, so that
+// tests can run a whole fleet on an in-memory one.
 package network
 
 import (
@@ -10,27 +10,27 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures to listen: the port may be taken by another process, or the address may not be the
-// machine's. Failures to dial are passed on as the network gave them.
+// Error is the class of failures to listen: the port may be in use, or the address may not belong to this machine. Errors of
+// Dial are returned unwrapped.
 var Error = errs.Class("network: check that the address is this machine's and the port is free")
 
-// Network opens connections and takes them. Addresses are written IP:PORT. Safe for concurrent use.
+// Network opens and accepts connections. Addresses have the form IP:PORT. Safe for concurrent use.
 type Network interface {
-	// Listen takes TCP connections at an address.
+	// Listen accepts TCP connections at an address.
 	Listen(address string) (net.Listener, error)
-	// Dial opens a TCP connection to an address. The context bounds the time that it takes to come up, not its life.
+	// Dial opens a TCP connection to an address. The context bounds the time to connect, not the connection's lifetime.
 	Dial(ctx context.Context, address string, terms Terms) (net.Conn, error)
-	// ListenPacket takes and sends UDP datagrams at an address.
+	// ListenPacket sends and receives UDP datagrams at an address.
 	ListenPacket(address string) (net.PacketConn, error)
 }
 
-// Terms are how a connection is opened. The zero value is the operating system's way.
+// Terms are the options of a connection. The zero value stands for the operating system's defaults.
 type Terms struct {
-	Limit       time.Duration // it may take to come up; 0: as long as the system tries
-	Silence     time.Duration // written bytes may stay unacknowledged before it is given up; 0: as the system does
-	NoKeepAlive bool          // the system doesn't probe it while it is idle
+	Limit       time.Duration // timeout to connect; 0: the system's default
+	Silence     time.Duration // how long written bytes may stay unacknowledged before the connection is closed; 0: the system's default
+	NoKeepAlive bool          // disables TCP keep-alive probes
 }
 
-// Quieter is a connection that tells by itself whether it is open and has nothing to read. Those of the operating system
-// are looked at through their descriptors.
+// Quieter is a connection that can report whether it is open and has no data to read. The state of the operating system's
+// connections is read through their descriptors instead.
 type Quieter interface{ Quiet() bool }
--- a/internal/mesh/network/system.go
+++ b/internal/mesh/network/system.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is the operating system's network; its zero value is ready for use.
+// System is the operating system's network. Its zero value is ready to use.
 type System struct{}
 
 // Listen implements Network.
@@ -43,7 +43,7 @@
 	return socket, nil
 }
 
-// userTimeout has the kernel give up a connection to a machine that says nothing, as one without power does.
+// userTimeout makes the kernel close a connection whose peer acknowledges nothing, such as a machine that has lost power.
 func userTimeout(silence time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/mesh/network/system_test.go
+++ b/internal/mesh/network/system_test.go
@@ -13,7 +13,7 @@
 
 func TestSystemConnects(t *testing.T) {
 	c := qt.New(t)
-	// Given a listener on loopback.
+	// Given a listener on loopback,
 	listener, err := System{}.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = listener.Close() }()
@@ -23,7 +23,7 @@
 			_ = conn.Close()
 		}
 	}()
-	// When it is dialed on terms, then the connection carries bytes.
+	// when it is dialed with options, then the connection carries bytes,
 	terms := Terms{Limit: time.Second, Silence: time.Second, NoKeepAlive: true}
 	conn, err := System{}.Dial(context.Background(), listener.Addr().String(), terms)
 	c.Assert(err, qt.IsNil)
@@ -31,7 +31,7 @@
 	text, err := io.ReadAll(conn)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(text), qt.Equals, "hello")
-	// And the port is not given away twice.
+	// and a second listener on the same port is refused.
 	_, err = System{}.Listen(listener.Addr().String())
 	c.Assert(Error.Has(err), qt.IsTrue)
 	c.Assert(errors.Is(err, syscall.EADDRINUSE), qt.IsTrue)
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one router's copy of the fleet's replicated map: it merges what comes, passes news on to a few
-// others at once, and compares digests with others now and then, which repairs what was lost.
+// Package node maintains one router's copy of the fleet's replicated map. It merges entries from peers, reports changes so
+// that they can be forwarded, and compares digests with peers to repair lost updates.
 package node
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// callLimit bounds one call to a peer.
+	// callLimit is the timeout of one call to a peer.
 	callLimit = 700 * time.Millisecond
-	// syncBytes bounds the entries of one answer.
+	// syncBytes bounds the size of the entries in one response.
 	syncBytes = 256 << 10
 )
 
@@ -36,12 +36,12 @@
 	standing func() message.Standing
 	snapshot replica.Snapshot
 	peers    map[string]*peers // by prefix
-	first    chan struct{}     // holds the comparison that an empty copy begins with
+	first    chan struct{}     // a semaphore of size 1, held by the first exchange of an empty copy
 }
 
-// New makes a node. onNews is told what has changed, outside of the node's lock and in the caller's goroutine, with the
-// peer that it came from ("" for this router), and whether the others are known to have it: what a large repair brought.
-// onBeat is told of each heartbeat. Either may be nil.
+// New makes a node. onNews is called with the changed entries, without the node's lock and in the caller's goroutine. Its
+// other arguments are the peer that sent them ("" for this router) and whether the other routers are known to have them,
+// which holds for a large repair. onBeat is called for each heartbeat. Either may be nil.
 func New(name string, client *rpc.Client, log zerolog.Logger, onNews func([]replica.Entry, string, bool), onBeat func(message.Beat)) *Node {
 	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onNews: onNews, onBeat: onBeat,
 		peers: map[string]*peers{}, first: make(chan struct{}, 1)}
@@ -49,7 +49,7 @@
 	return n
 }
 
-// TellStanding has the answers to heartbeats tell what stands behind this copy; call it before Handle.
+// TellStanding sets the source of the standing in heartbeat responses. Call it before Handle.
 func (n *Node) TellStanding(standing func() message.Standing) { n.standing = standing }
 
 // Handle serves the node's calls on the mux.
@@ -61,17 +61,17 @@
 // Put merges this router's own entries.
 func (n *Node) Put(entries ...replica.Entry) { n.merge(entries, "", false) }
 
-// Take merges entries that a peer gave.
+// Take merges entries received from a peer.
 func (n *Node) Take(from string, entries ...replica.Entry) { n.merge(entries, from, false) }
 
-// Snapshot is the map as it is, with a channel that is closed at its next change.
+// Snapshot returns the current map and a channel that is closed at its next change.
 func (n *Node) Snapshot() (replica.Snapshot, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.snapshot, n.changed
 }
 
-// Forget drops entries that every router has had time to hear of.
+// Forget drops entries that every router has had time to receive.
 func (n *Node) Forget(keys ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,11 +82,11 @@
 	}
 }
 
-// mostRepaired is how many entries of one repair are passed on: a copy that lacked more was new or cut off, and the others
-// have them. What they lack all the same, their own repairs bring.
+// mostRepaired is the largest repair whose entries are forwarded. A copy that lacked more was new or partitioned, so the
+// other routers have the entries. Any router that still lacks some receives them in its own repairs.
 const mostRepaired = 64
 
-// merge takes entries of a peer, or of this router (""). Repaired ones were found by comparing copies.
+// merge merges entries from a peer or from this router (""). Repaired entries were found by comparing copies.
 func (n *Node) merge(entries []replica.Entry, from string, repaired bool) {
 	if len(entries) == 0 {
 		return
@@ -116,7 +116,7 @@
 	return n.entries.Digest()
 }
 
-// beat serves a heartbeat.
+// beat handles a heartbeat.
 func (n *Node) beat(_ context.Context, beat *message.Beat) (*message.BeatAnswer, error) {
 	if n.onBeat != nil {
 		n.onBeat(*beat)
@@ -131,7 +131,7 @@
 	return answer, nil
 }
 
-// sync serves entries that a peer brings, and tells what it lacks where it says what it holds.
+// sync merges the entries that a peer sends and, if the peer sent a digest, returns the entries that it lacks.
 func (n *Node) sync(_ context.Context, sync *message.Sync) (*message.SyncAnswer, error) {
 	n.merge(sync.Entries, sync.From, sync.Digest != nil || sync.Repaired)
 	if sync.Digest == nil {
@@ -146,8 +146,8 @@
 	return &message.SyncAnswer{Entries: entries, Wanted: wanted}, nil
 }
 
-// Beat sends a heartbeat to a peer, and where the copies differ brings both to one state. It gives what stands behind the
-// peer's copy.
+// Beat sends a heartbeat to a peer and exchanges entries if the copies differ, so that both become equal. It returns the
+// standing of the peer's copy.
 func (n *Node) Beat(ctx context.Context, address string, incarnation uint64) (message.Standing, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
@@ -161,7 +161,7 @@
 	return answer.Standing, n.exchange(ctx, address, *answer.Digest)
 }
 
-// Standing asks a peer what stands behind its copy, and leaves both copies as they are.
+// Standing returns the standing of a peer's copy without exchanging entries.
 func (n *Node) Standing(ctx context.Context, address string) (message.Standing, error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
@@ -172,17 +172,17 @@
 	return answer.Standing, nil
 }
 
-// call makes the call of a heartbeat.
+// call sends a heartbeat.
 func (n *Node) call(ctx context.Context, address string, beat message.Beat) (*message.BeatAnswer, error) {
 	beat.From, beat.Sum = n.name, n.digest().Sum()
 	return message.CallBeat.Call(ctx, n.client, address, &beat)
 }
 
-// firstWait is how long a comparison waits for another one while the copy is empty.
+// firstWait is how long an exchange waits for another one to end while the copy is empty.
 const firstWait = 100 * time.Millisecond
 
-// enter waits, while the copy is empty, for a comparison that is under way: what it brings need not be sent twice. It gives
-// what is to be called at the end.
+// enter waits, while the copy is empty, for an exchange in progress, so that the same entries are not transferred twice.
+// The caller must call leave when its own exchange ends.
 func (n *Node) enter(ctx context.Context) (leave func()) {
 	n.mu.Lock()
 	empty := n.entries.Len() == 0
@@ -199,7 +199,7 @@
 	return func() {}
 }
 
-// exchange takes what the peer has and this copy lacks, and sends what the peer then asks for.
+// exchange requests the entries that this copy lacks, then sends those that the peer requests in return.
 func (n *Node) exchange(ctx context.Context, address string, theirs replica.Digest) error {
 	leave := n.enter(ctx)
 	defer leave()
@@ -225,7 +225,7 @@
 	return err
 }
 
-// Push brings entries to a peer.
+// Push sends entries to a peer.
 func (n *Node) Push(ctx context.Context, address string, entries []replica.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
--- a/internal/mesh/node/peers.go
+++ b/internal/mesh/node/peers.go
@@ -7,14 +7,14 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// peers are the routers under a prefix, decoded. In a large fleet there are hundreds, asked for with each news and each
-// round, and they seldom change. The lock of Node guards it.
+// peers caches the decoded routers under a prefix. A large fleet has hundreds of them; the list is read at each change and
+// each heartbeat round and seldom changes. It is guarded by the lock of Node.
 type peers struct {
 	known bool
 	alive []topic.Peer
 }
 
-// Peers lists the routers under a prefix (topic.Routers or topic.Controls) that live. Callers must not change the list.
+// Peers lists the live routers under a prefix (topic.Routers or topic.Controls). Callers must not change the list.
 func (n *Node) Peers(prefix string) []topic.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -30,7 +30,7 @@
 	return held.alive
 }
 
-// notePeers has the routers under a prefix decoded anew where one of them has changed. The lock is held.
+// notePeers invalidates the cached peers under a prefix if an entry below it has changed. The caller holds the lock.
 func (n *Node) notePeers(changed []replica.Entry) {
 	for prefix, held := range n.peers {
 		for i := range changed {
--- a/internal/mesh/replica/digest.go
+++ b/internal/mesh/replica/digest.go
@@ -11,21 +11,21 @@
 // Error is the class of this package's failures.
 var Error = errs.Class("replica")
 
-// Buckets is the number of parts into which a digest divides the keys. All routers must use the same number.
+// Buckets is the number of hash buckets into which a digest divides the keys. All routers must use the same number.
 const Buckets = 64
 
 const digestBytes = Buckets * 8
 
-// Digest summarizes a map: for each bucket of keys one hash over the entries in it. Two maps with equal
-// digests hold the same entries (but for collisions of a 64-bit hash). In cbor it is one string of 512 bytes.
+// Digest summarizes a map as one hash per bucket of keys, computed over the bucket's entries. Maps with equal digests hold
+// the same entries, barring collisions of a 64-bit hash. Its CBOR form is one string of 512 bytes.
 type Digest [Buckets]uint64
 
-// Sum summarizes the digest itself. Routers exchange it first, and whole digests only if the sums differ.
+// Sum is a checksum of the digest. Routers exchange it first, and whole digests only if the checksums differ.
 func (d Digest) Sum() uint64 {
 	return xxhash.Sum64(d.bytes())
 }
 
-// DigestSizeError reports a digest of another size than this program's.
+// DigestSizeError reports a digest whose size differs from this program's.
 type DigestSizeError struct {
 	Got  int // bytes received
 	Want int // bytes of a digest
@@ -41,7 +41,7 @@
 	return d.bytes(), nil
 }
 
-// UnmarshalBinary implements encoding.BinaryUnmarshaler. It fails with a DigestSizeError.
+// UnmarshalBinary implements encoding.BinaryUnmarshaler. It returns a DigestSizeError if the size is wrong.
 func (d *Digest) UnmarshalBinary(data []byte) error {
 	if len(data) != digestBytes {
 		return Error.Wrap(&DigestSizeError{Got: len(data), Want: digestBytes})
@@ -60,7 +60,7 @@
 	return data
 }
 
-// toggle adds an entry to the digest, or takes it out if it is in.
+// toggle adds an entry to the digest, or removes it if it is included.
 func (d *Digest) toggle(entry Entry) {
 	d[bucketOf(entry.Key)] ^= entry.fingerprint()
 }
--- a/internal/mesh/replica/entry.go
+++ b/internal/mesh/replica/entry.go
@@ -1,11 +1,11 @@
-// Package replica is a map replicated on all routers of the fleet. Copies change by merging entries in any
-// order, and find out by comparing digests what one of them lacks (anti-entropy).
+// Package replica implements a map that is replicated on all routers of the fleet. Copies merge entries in any order and
+// compare digests to find the entries that one of them lacks (anti-entropy).
 //
-// Merging is commutative, associative and idempotent: of two entries of one key the one that supersedes the
-// other stays, whichever comes first. Copies that were handed the same entries are therefore equal.
+// Merging is commutative, associative and idempotent: of two entries with the same key, the one that supersedes the other
+// stays, whichever arrives first. Copies that received the same entries are therefore equal.
 //
-// A removal is an entry too (a tombstone, usually with an empty value). It has to stay until every router has
-// heard it, then Forget drops it. The package performs no I/O, reads no clock and starts no goroutine.
+// A removal is also an entry: a tombstone, usually with an empty value. It has to stay until every router has received it;
+// Forget then drops it. The package performs no I/O, reads no clock and starts no goroutine.
 // A Map is not safe for concurrent use; its snapshots are.
 package replica
 
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version orders the entries of one key: by Major first, by Minor among equals.
+// Version orders the entries of one key: by Major first, then by Minor.
 type Version struct {
 	Major uint64 `cbor:"1,keyasint"`
 	Minor uint64 `cbor:"2,keyasint"`
@@ -31,15 +31,15 @@
 	return cmp.Compare(v.Minor, other.Minor)
 }
 
-// Entry is the value of a key at one version. It is never changed once made, nor are the bytes of its value.
+// Entry is the value of a key at one version. Entries and the bytes of their values are immutable.
 type Entry struct {
 	Key     string  `cbor:"1,keyasint"`
 	Version Version `cbor:"2,keyasint"`
 	Value   []byte  `cbor:"3,keyasint,omitempty"`
 }
 
-// Supersedes tells whether e takes the place of other, an entry of the same key. The larger version wins. At
-// equal versions the larger value wins, which has no meaning but is the same on every router.
+// Supersedes reports whether e replaces other, an entry with the same key. The larger version wins. At equal versions the
+// larger value wins: an arbitrary rule that has the same result on every router.
 func (e Entry) Supersedes(other Entry) bool {
 	if order := e.Version.Compare(other.Version); order != 0 {
 		return order > 0
@@ -47,14 +47,14 @@
 	return bytes.Compare(e.Value, other.Value) > 0
 }
 
-// Size is the number of bytes that the entry counts against the limit of Map.Missing.
+// Size is the number of bytes that the entry takes of the limits of Map.Missing, Map.Lacking and Map.Named.
 func (e Entry) Size() int {
 	const versionBytes = 16
 	return len(e.Key) + versionBytes + len(e.Value)
 }
 
-// fingerprint is the part of the entry in its bucket's digest. It covers the value as well: two copies that
-// hold different values at equal versions have to notice it.
+// fingerprint is the entry's hash in the digest of its bucket. It includes the value, so that copies with different values
+// at equal versions have different digests.
 func (e Entry) fingerprint() uint64 {
 	var numbers [24]byte
 	binary.BigEndian.PutUint64(numbers[0:], e.Version.Major)
--- a/internal/mesh/replica/fingerprints.go
+++ b/internal/mesh/replica/fingerprints.go
@@ -2,19 +2,19 @@
 
 import "encoding/binary"
 
-// fingerprintBytes is the length of a fingerprint.
+// fingerprintBytes is the size of a fingerprint.
 const fingerprintBytes = 8
 
-// Fingerprints name entries, each at its version and with its value, by a hash. What two copies differ in is found by them
-// at a tenth of the bytes that the entries take. In cbor it is one string.
+// Fingerprints identify entries by hashes of key, version and value. Comparing copies by fingerprints takes a tenth of the
+// bytes of the entries. The CBOR form is one string.
 type Fingerprints []byte
 
-// add appends an entry's.
+// add appends the fingerprint of an entry.
 func (f Fingerprints) add(entry Entry) Fingerprints {
 	return binary.BigEndian.AppendUint64(f, entry.fingerprint())
 }
 
-// set is them in a set; what is cut short is left out.
+// set returns the fingerprints as a set, without a truncated one at the end.
 func (f Fingerprints) set() map[uint64]bool {
 	set := make(map[uint64]bool, len(f)/fingerprintBytes)
 	for rest := f; len(rest) >= fingerprintBytes; rest = rest[fingerprintBytes:] {
@@ -23,16 +23,17 @@
 	return set
 }
 
-// Held names the entries in the buckets that differ from another copy's.
+// Held returns the fingerprints of the entries in the buckets that differ from another copy's.
 func (m *Map) Held(theirs Digest) Fingerprints {
 	var held Fingerprints
 	m.eachDiffering(theirs, func(entry Entry) { held = held.add(entry) })
 	return held
 }
 
-// Lacking lists the entries that a copy lacks which holds just the named ones in the buckets that differ, up to limit bytes
-// (see Entry.Size), though never fewer than one, and names those of it that are not held here: not at all, or at another
-// version. What is beyond the limit follows at the next comparison, when the copy names what it took.
+// Lacking compares this copy with another that holds exactly the given fingerprints in the buckets that differ. It returns the
+// entries that the other copy lacks, up to limit bytes (see Entry.Size) but at least one, and the fingerprints of the other's
+// entries that this copy lacks or holds at another version. Entries beyond the limit follow at the next comparison, when the
+// other copy lists those that it received.
 func (m *Map) Lacking(theirs Digest, held Fingerprints, limit int) (entries []Entry, wanted Fingerprints) {
 	known := held.set()
 	left := limit
@@ -55,7 +56,7 @@
 	return entries, wanted
 }
 
-// Named lists the entries that are held as they are named, up to limit bytes, though never fewer than one.
+// Named lists the entries with the given fingerprints, up to limit bytes but at least one.
 func (m *Map) Named(wanted Fingerprints, limit int) (entries []Entry) {
 	names := wanted.set()
 	left := limit
@@ -70,7 +71,7 @@
 	return entries
 }
 
-// eachDiffering calls do with each entry in a bucket that differs from another copy's, in the order of the keys.
+// eachDiffering calls do for each entry in a bucket that differs from another copy's, in key order.
 func (m *Map) eachDiffering(theirs Digest, do func(Entry)) {
 	if theirs == m.digest {
 		return
--- a/internal/mesh/replica/fingerprints_test.go
+++ b/internal/mesh/replica/fingerprints_test.go
@@ -10,8 +10,8 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// compare brings two copies together as two routers do: one names what it holds, the other answers with what it lacks and
-// names what it wants.
+// compare synchronizes two copies as two routers do: one lists the fingerprints that it holds, the other returns the entries
+// that the first lacks and requests those that it lacks itself.
 func compare(one, other *replica.Map, limit int) (sent int) {
 	mine := one.Digest()
 	entries, wanted := other.Lacking(mine, one.Held(other.Digest()), limit)
@@ -27,7 +27,7 @@
 
 func TestComparedCopiesBecomeEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Given two copies that were told different things of the same keys,
+		// Given two copies that received different entries of the same keys,
 		entries := rapid.Custom(func(t *rapid.T) replica.Entry {
 			return entryAt(rapid.IntRange(0, 200).Draw(t, "key"), uint64(rapid.IntRange(0, 3).Draw(t, "version")))
 		})
@@ -35,7 +35,7 @@
 		one.Merge(rapid.SliceOfN(entries, 0, 300).Draw(t, "one"))
 		other.Merge(rapid.SliceOfN(entries, 0, 300).Draw(t, "other"))
 		limit := rapid.SampledFrom([]int{1, 200, 1 << 20}).Draw(t, "limit")
-		// when they are compared again and again, then they become equal, however little goes at a time.
+		// when they are compared repeatedly, then they become equal, however small the limit.
 		for round := 0; one.Digest() != other.Digest(); round++ {
 			if round > 500 {
 				t.Fatal("the copies still differ")
@@ -47,7 +47,7 @@
 
 func TestOnlyWhatDiffersIsSent(t *testing.T) {
 	c := qt.New(t)
-	// Given copies of a large fleet's state that differ in three entries: one newer here, one newer there, one here only,
+	// Given copies of a large fleet's state that differ in three entries: one newer on each side and one on one side only,
 	one, other := replica.New(), replica.New()
 	for key := range 500 {
 		one.Merge([]replica.Entry{entryAt(key, 1)})
@@ -55,20 +55,20 @@
 	}
 	one.Merge([]replica.Entry{entryAt(3, 2), entryAt(700, 1)})
 	other.Merge([]replica.Entry{entryAt(9, 2)})
-	// when they are compared, then no more than what is lacking goes either way: what is old is not sent back.
+	// when they are compared, then only the lacking entries are transferred: outdated ones are not sent back.
 	c.Assert(compare(one, other, 1<<20), qt.Equals, 3+1)
 	c.Assert(one.Digest(), qt.Equals, other.Digest())
 }
 
 func TestChangesAreWhatDiffersBetweenSnapshots(t *testing.T) {
 	c := qt.New(t)
-	// Given a map and an earlier snapshot of it
+	// Given a map and an earlier snapshot of it,
 	entries := replica.New()
 	entries.Merge([]replica.Entry{entryAt(1, 1), entryAt(2, 1), entryAt(3, 1), entryAt(5, 1), {Key: "other", Version: replica.Version{Minor: 1}}})
 	before := entries.Snapshot()
 	changed, gone := before.Changes(before, "k")
 	c.Assert(len(changed)+len(gone), qt.Equals, 0)
-	// when entries are added, changed and forgotten, then just these are told of.
+	// when entries are added, changed and forgotten, then exactly these are listed.
 	entries.Merge([]replica.Entry{entryAt(2, 2), entryAt(4, 1), {Key: "other", Version: replica.Version{Minor: 2}}})
 	entries.Forget("k1", "k5")
 	changed, gone = entries.Snapshot().Changes(before, "k")
--- a/internal/mesh/replica/forgotten.go
+++ b/internal/mesh/replica/forgotten.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// ForgottenLimit bounds how many entries a Forgotten remembers; the oldest leave first.
+// ForgottenLimit is the capacity of a Forgotten; the oldest entries are evicted first.
 const ForgottenLimit = 4096
 
-// Forgotten remembers which entries were forgotten, so that slow gossip neither brings back a tombstone for
-// another round nor, worse, the entry that the tombstone had removed. It is asked only about keys that are not
-// present; a key that is present again may stay in it. Make one with NewForgotten.
+// Forgotten remembers the entries dropped by Map.Forget. Without it, slow gossip could bring back a tombstone for another
+// grace period or, worse, the entry that the tombstone had removed. It is consulted only for keys that are not present; a
+// key that is present again may stay in it. Use NewForgotten.
 type Forgotten struct {
 	byKey map[string]Entry
 	order []string // keys of byKey, oldest first
 }
 
-// NewForgotten makes an empty memory.
+// NewForgotten makes an empty Forgotten.
 func NewForgotten() *Forgotten {
 	return &Forgotten{byKey: make(map[string]Entry)}
 }
 
-// Add remembers an entry in place of an earlier one of its key.
+// Add remembers an entry and replaces an earlier one with the same key.
 func (f *Forgotten) Add(entry Entry) {
 	f.remove(entry.Key)
 	f.byKey[entry.Key] = entry
@@ -29,13 +29,13 @@
 	}
 }
 
-// Get finds the remembered entry of a key.
+// Get returns the remembered entry of a key.
 func (f *Forgotten) Get(key string) (Entry, bool) {
 	entry, known := f.byKey[key]
 	return entry, known
 }
 
-// remove drops the memory of a key, if there is one.
+// remove drops the remembered entry of a key, if any.
 func (f *Forgotten) remove(key string) {
 	if _, known := f.byKey[key]; !known {
 		return
--- a/internal/mesh/replica/map.go
+++ b/internal/mesh/replica/map.go
@@ -4,13 +4,13 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Map is one router's copy of the replicated map. Make one with New.
+// Map is one router's copy of the replicated map. Use New.
 type Map struct {
 	entries   *immutable.SortedMap[string, Entry]
 	digest    Digest
 	revision  uint64
 	forgotten *Forgotten
-	sentUpTo  string // last key that Missing handed out; it goes on after it
+	sentUpTo  string // last key that Missing returned; its next call continues after it
 }
 
 // New makes an empty map.
@@ -21,9 +21,9 @@
 	}
 }
 
-// Merge takes in entries, own ones as well as those of others, and returns those that changed the map: they
-// are news, to be passed on. An entry older than one that was forgotten is not taken: the forgotten one comes
-// back in its place, and among the accepted, so that whoever still holds the older one hears of it.
+// Merge merges entries of this router or of others and returns those that changed the map, for forwarding. It rejects an
+// entry older than a forgotten one. The forgotten entry is restored instead and returned among the accepted ones, so that
+// routers that still hold the older entry receive it.
 func (m *Map) Merge(entries []Entry) (accepted []Entry) {
 	for _, entry := range entries {
 		news, isNews := m.judge(entry)
@@ -36,7 +36,7 @@
 	return accepted
 }
 
-// judge decides what an entry brings: itself, the forgotten entry that it is older than, or nothing.
+// judge returns the entry to store and true: the entry itself or a newer forgotten one. It returns false if nothing changes.
 func (m *Map) judge(entry Entry) (news Entry, isNews bool) {
 	if current, known := m.entries.Get(entry.Key); known {
 		return entry, entry.Supersedes(current)
@@ -57,10 +57,10 @@
 	m.revision++
 }
 
-// Forget removes entries from this copy only. It is meant for tombstones that every router has had time to
-// hear; each router forgets for itself. The map remembers the last few thousand forgotten entries: the same
-// entry, heard again from a router that forgets a little later, is not taken in again, and an older one cannot
-// come back (see Merge). Keys that the map does not hold are skipped.
+// Forget drops entries from this copy only. It is meant for tombstones that every router has had time to receive; each
+// router drops them on its own. The map remembers the last few thousand forgotten entries: the same entry is not accepted
+// again from a router that forgets it a little later, and an older one cannot come back (see Merge). Keys that the map does
+// not hold are skipped.
 func (m *Map) Forget(keys ...string) {
 	for _, key := range keys {
 		entry, known := m.entries.Get(key)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Get finds the entry of a key; tombstones are found too.
+// Get returns the entry of a key, which may be a tombstone.
 func (m *Map) Get(key string) (Entry, bool) {
 	return m.entries.Get(key)
 }
@@ -89,25 +89,25 @@
 	return m.entries.Len()
 }
 
-// Revision counts the changes of this copy, those by Forget included. It means nothing on another router.
+// Revision counts the changes of this copy, including those by Forget. It is not comparable between routers.
 func (m *Map) Revision() uint64 {
 	return m.revision
 }
 
-// Snapshot is the present state; taking one costs nothing and later changes do not touch it.
+// Snapshot returns the current state in constant time. Later changes do not affect it.
 func (m *Map) Snapshot() Snapshot {
 	return Snapshot{entries: m.entries, revision: m.revision}
 }
 
-// Digest summarizes the present state, for comparison with another router's. It is kept up to date with each
-// change, so asking for it is cheap.
+// Digest summarizes the current state, for comparison with another router's. It is maintained incrementally, so this call is
+// cheap.
 func (m *Map) Digest() Digest {
 	return m.digest
 }
 
-// Missing lists entries that the holder of the other digest may lack: those in buckets that differ, up to
-// limit bytes (see Entry.Size), though never fewer than one if limit is above 0. Each call goes on after the
-// last entry of the call before, so all get through however small the limit.
+// Missing lists entries that the holder of the other digest may lack: those in buckets that differ, up to limit bytes (see
+// Entry.Size) but at least one if limit is positive. Each call continues after the last entry of the previous one, so that
+// repeated calls reach all entries however small the limit.
 func (m *Map) Missing(theirs Digest, limit int) []Entry {
 	if limit <= 0 || theirs == m.digest {
 		return nil
@@ -120,7 +120,7 @@
 	return picker.picked
 }
 
-// pickFrom offers all entries once, in the order of their keys, starting after sentUpTo.
+// pickFrom offers all entries to the picker once, in key order, starting after sentUpTo.
 func (m *Map) pickFrom(picker *missingPicker) {
 	iterator := m.entries.Iterator()
 	iterator.Seek(m.sentUpTo)
@@ -148,11 +148,11 @@
 // missingPicker collects the entries of differing buckets.
 type missingPicker struct {
 	mine, theirs Digest
-	left         int // bytes
+	left         int // bytes left of the limit
 	picked       []Entry
 }
 
-// offer takes an entry if its bucket differs and there is room for it, and tells if the room is used up.
+// offer adds an entry if its bucket differs and its size fits, and reports whether the limit is reached.
 func (p *missingPicker) offer(entry Entry) (full bool) {
 	bucket := bucketOf(entry.Key)
 	if p.mine[bucket] == p.theirs[bucket] {
--- a/internal/mesh/replica/map_test.go
+++ b/internal/mesh/replica/map_test.go
@@ -21,7 +21,7 @@
 	return copied
 }
 
-// forgetOthers has a map hear of and forget as many other keys.
+// forgetOthers merges and forgets the given number of other keys.
 func forgetOthers(copied *replica.Map, count int) {
 	for number := range count {
 		key := fmt.Sprint("other", number)
@@ -33,7 +33,7 @@
 func TestMergeTakesTheNewerOfTwoVersions(t *testing.T) {
 	c := qt.New(t)
 
-	c.Run("given a key, when a larger version comes, then it is accepted", func(c *qt.C) {
+	c.Run("given a key, when a larger version arrives, then it is accepted", func(c *qt.C) {
 		copied := mapOf(entry("a", 1, "old"))
 		newer := entry("a", 2, "new")
 		c.Assert(copied.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
@@ -43,7 +43,7 @@
 		c.Assert(copied.Revision(), qt.Equals, uint64(2))
 	})
 
-	c.Run("given a key, when a smaller version comes, then nothing changes", func(c *qt.C) {
+	c.Run("given a key, when a smaller version arrives, then nothing changes", func(c *qt.C) {
 		copied := mapOf(entry("a", 2, "new"))
 		before := copied.Digest()
 		c.Assert(copied.Merge([]replica.Entry{entry("a", 1, "old")}), qt.HasLen, 0)
@@ -76,7 +76,7 @@
 		c.Assert(copied.Prefix(""), qt.DeepEquals, []replica.Entry{tombstone})
 	})
 
-	c.Run("given a forgotten tombstone, when it is heard again, then it is no news", func(c *qt.C) {
+	c.Run("given a forgotten tombstone, when it arrives again, then it is not accepted", func(c *qt.C) {
 		copied := mapOf(tombstone)
 		copied.Forget("a", "never known")
 		c.Assert(copied.Len(), qt.Equals, 0)
@@ -84,7 +84,7 @@
 		c.Assert(copied.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
 	})
 
-	c.Run("given a forgotten tombstone, when what it removed is heard, then the tombstone is back", func(c *qt.C) {
+	c.Run("given a forgotten tombstone, when the entry that it removed arrives, then the tombstone is restored", func(c *qt.C) {
 		copied := mapOf(tombstone)
 		copied.Forget("a")
 		accepted := copied.Merge([]replica.Entry{entry("a", 1, "x")})
@@ -93,14 +93,14 @@
 		c.Assert(found, qt.DeepEquals, tombstone)
 	})
 
-	c.Run("given a forgotten tombstone, when a newer version is heard, then it is accepted", func(c *qt.C) {
+	c.Run("given a forgotten tombstone, when a newer version arrives, then it is accepted", func(c *qt.C) {
 		copied := mapOf(tombstone)
 		copied.Forget("a")
 		newer := entry("a", 3, "y")
 		c.Assert(copied.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
 	})
 
-	c.Run("given a key forgotten twice, when others fill the limit, then its memory has one place", func(c *qt.C) {
+	c.Run("given a key forgotten twice, when other keys fill the limit, then it is remembered once", func(c *qt.C) {
 		copied := mapOf(entry("a", 1, ""))
 		copied.Forget("a")
 		copied.Merge([]replica.Entry{tombstone})
@@ -109,7 +109,7 @@
 		c.Assert(copied.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
 	})
 
-	c.Run("given more forgotten keys than the limit, when the oldest is heard, then it is taken as new", func(c *qt.C) {
+	c.Run("given more forgotten keys than the limit, when the oldest arrives, then it is accepted as new", func(c *qt.C) {
 		copied := mapOf(tombstone)
 		copied.Forget("a")
 		forgetOthers(copied, replica.ForgottenLimit)
@@ -119,12 +119,12 @@
 
 func TestSnapshotsDoNotChange(t *testing.T) {
 	c := qt.New(t)
-	// Given a snapshot.
+	// Given a snapshot,
 	copied := mapOf(entry("a/1", 1, "x"), entry("b/1", 1, "y"))
 	snapshot := copied.Snapshot()
-	// When the map goes on.
+	// when the map changes,
 	copied.Merge([]replica.Entry{entry("a/1", 2, "z"), entry("a/2", 1, "z")})
-	// Then the snapshot is as it was.
+	// then the snapshot is unchanged.
 	c.Assert(snapshot.Prefix("a/"), qt.DeepEquals, []replica.Entry{entry("a/1", 1, "x")})
 	c.Assert(snapshot.Len(), qt.Equals, 2)
 	c.Assert(snapshot.Revision(), qt.Equals, uint64(2))
@@ -134,7 +134,7 @@
 func TestDigestOnTheWire(t *testing.T) {
 	c := qt.New(t)
 
-	c.Run("given a digest, when it goes through cbor, then it is the same and compact", func(c *qt.C) {
+	c.Run("given a digest, when it is encoded as CBOR and decoded, then it is equal, and its encoding compact", func(c *qt.C) {
 		digest := mapOf(entry("a", 1, "x"), entry("b", 7, "y")).Digest()
 		body, err := cbor.Marshal(digest)
 		c.Assert(err, qt.IsNil)
@@ -145,7 +145,7 @@
 		c.Assert(read.Sum(), qt.Equals, digest.Sum())
 	})
 
-	c.Run("given a digest of another release, when it is read, then the fault says what to do", func(c *qt.C) {
+	c.Run("given a digest of another release, when it is decoded, then the error says what to do", func(c *qt.C) {
 		var read replica.Digest
 		err := read.UnmarshalBinary([]byte("short"))
 		var fault *replica.DigestSizeError
@@ -158,9 +158,9 @@
 
 func TestDigestSeesValuesAtEqualVersions(t *testing.T) {
 	c := qt.New(t)
-	// Given two copies with one version of a key but different values.
+	// Given two copies with different values at one version of a key,
 	one, other := mapOf(entry("a", 1, "x")), mapOf(entry("a", 1, "y"))
-	// Then their digests differ, and repair makes them equal.
+	// then their digests differ, and a repair makes them equal.
 	c.Assert(one.Digest(), qt.Not(qt.Equals), other.Digest())
 	one.Merge(other.Missing(one.Digest(), 1000))
 	c.Assert(one.Digest(), qt.Equals, other.Digest())
@@ -175,19 +175,19 @@
 	full := mapOf(entries...)
 	size := entries[0].Size()
 
-	c.Run("given an equal map, when asked, then nothing is missing", func(c *qt.C) {
+	c.Run("given an equal map, when asked for missing entries, then there are none", func(c *qt.C) {
 		c.Assert(full.Missing(mapOf(entries...).Digest(), 1000), qt.HasLen, 0)
 	})
 
-	c.Run("given no room, when asked, then nothing is handed out", func(c *qt.C) {
+	c.Run("given a limit of zero, when asked for missing entries, then none is returned", func(c *qt.C) {
 		c.Assert(full.Missing(replica.Digest{}, 0), qt.HasLen, 0)
 	})
 
-	c.Run("given less room than one entry, when asked, then one is handed out", func(c *qt.C) {
+	c.Run("given a limit below the size of one entry, when asked for missing entries, then one is returned", func(c *qt.C) {
 		c.Assert(full.Missing(replica.Digest{}, 1), qt.HasLen, 1)
 	})
 
-	c.Run("given room for seven, when a peer never merges, then all get through all the same", func(c *qt.C) {
+	c.Run("given a limit of seven entries, when a peer never merges them, then repeated calls return all entries", func(c *qt.C) {
 		seen := make(map[string]bool)
 		for range 200/7 + 1 {
 			missing := full.Missing(replica.Digest{}, 7*size)
@@ -199,7 +199,7 @@
 		c.Assert(seen, qt.HasLen, 200)
 	})
 
-	c.Run("given one entry that differs, when asked, then only its bucket is handed out", func(c *qt.C) {
+	c.Run("given one entry that differs, when asked for missing entries, then only those of its bucket are returned", func(c *qt.C) {
 		other := mapOf(entries...)
 		other.Merge([]replica.Entry{entry("key042", 2, "news")})
 		missing := other.Missing(full.Digest(), 1<<20)
--- a/internal/mesh/replica/property_test.go
+++ b/internal/mesh/replica/property_test.go
@@ -22,8 +22,8 @@
 	}
 })
 
-// Given any entries, when two copies merge them in any order, in any pieces and some of them twice, then the
-// copies are equal, and so are their digests.
+// Given any entries, when two copies merge them in any order, in any batches and some of them twice, then the copies and
+// their digests are equal.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOf(drawnEntry).Draw(t, "entries")
@@ -39,8 +39,8 @@
 	})
 }
 
-// Given any merges and removals, when the map is compared with a plain model, then it agrees with it; and its
-// digest, kept incrementally, is that of a map made anew.
+// Given any merges and removals, when the map is compared with a plain model, then both are equal; and the incrementally
+// maintained digest equals that of a newly built map.
 func TestMapAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copied := replica.New()
@@ -76,7 +76,7 @@
 	assert(t, copied.Digest(), qt.Equals, anew.Digest())
 }
 
-// Given two copies that differ, when they repair each other in rounds of few bytes, then they become equal.
+// Given two copies that differ, when they repair each other in small batches, then they become equal.
 func TestRepairConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one := mapOf(rapid.SliceOf(drawnEntry).Draw(t, "one")...)
@@ -92,8 +92,8 @@
 	})
 }
 
-// Given a tombstone that some copies have forgotten already, when all go on exchanging what they hold, then no
-// copy ever holds the removed entry again, once it has heard of the tombstone.
+// Given a tombstone that some copies have already forgotten, when all copies continue to exchange entries, then a copy that
+// has received the tombstone never holds the removed entry again.
 func TestForgottenEntriesStayDead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive, tombstone := entry("a", 1, "x"), entry("a", 2, "")
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -7,13 +7,13 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Snapshot is the state of a Map at one moment. It never changes and is safe for concurrent use.
+// Snapshot is the state of a Map at one moment. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	entries  *immutable.SortedMap[string, Entry]
 	revision uint64
 }
 
-// Get finds the entry of a key; tombstones are found too.
+// Get returns the entry of a key, which may be a tombstone.
 func (s Snapshot) Get(key string) (Entry, bool) {
 	return s.entries.Get(key)
 }
@@ -33,8 +33,8 @@
 	return found
 }
 
-// Changes lists the entries under a prefix that are other ones than in an earlier snapshot of the same map, or are not there,
-// and the keys under it that are there no longer, both sorted by key.
+// Changes compares with an earlier snapshot of the same map. It lists the entries under a prefix that were added or changed
+// since, and the keys that were removed, both sorted by key.
 func (s Snapshot) Changes(since Snapshot, prefix string) (changed []Entry, gone []string) {
 	if s.entries == since.entries {
 		return nil, nil
@@ -65,7 +65,7 @@
 	return s.entries.Len()
 }
 
-// Revision is that of the Map when the snapshot was taken.
+// Revision is the revision of the Map when the snapshot was taken.
 func (s Snapshot) Revision() uint64 {
 	return s.revision
 }
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc carries the calls between the system's own processes: connect-go unary calls over HTTP/1.1 whose
-// bodies are CBOR. Messages are the Go structs of package message; procedures are named by constants there.
+// Package rpc implements the calls between the system's own processes: unary connect-go calls over HTTP/1.1 with CBOR
+// bodies. The messages are the Go structs of package message, which also names the procedures by constants.
 package rpc
 
 import (
@@ -17,22 +17,22 @@
 	"sumacloft/internal/mesh/traffic"
 )
 
-// Error is the class of failures of calls between the system's processes. The peer may be down or cut off; callers
-// go on to another peer.
+// Error is the class of failed calls between the system's processes. The peer may be down or unreachable; callers try
+// another peer.
 var Error = errs.Class("rpc: check that the peer runs and that the inside ports are open")
 
 const (
-	// dialLimit bounds how long a connection may take to come up: peers are on the same network.
+	// dialLimit is the timeout for opening a connection; peers are on the same network.
 	dialLimit = 500 * time.Millisecond
-	// silentLimit is how long written bytes may stay unacknowledged before the kernel gives the connection up.
+	// silentLimit is how long written bytes may stay unacknowledged before the kernel closes the connection.
 	silentLimit = 2 * time.Second
-	// idleLimit is how long a connection without a call is kept.
+	// idleLimit is how long an idle connection is kept.
 	idleLimit = 30 * time.Second
-	// headerLimit bounds the time that a caller may take to send the head of a call.
+	// headerLimit is the timeout for receiving the headers of a call.
 	headerLimit = 5 * time.Second
 )
 
-// Client makes calls. It keeps connections for later calls. Safe for concurrent use.
+// Client makes calls. It reuses connections. Safe for concurrent use.
 type Client struct {
 	http  *http.Client
 	meter *traffic.Meter
@@ -53,19 +53,19 @@
 	return &Client{http: &http.Client{Transport: shortHeads{transport, meter}}, meter: meter}
 }
 
-// Meter counts the client's calls by their paths.
+// Meter counts the client's calls by path.
 func (c *Client) Meter() *traffic.Meter { return c.meter }
 
-// headBytes is what the heads of a call and of its answer take, each.
+// headBytes is the size of the headers of a call, and also of those of its response.
 const headBytes = 93
 
-// shortHeads leaves out of calls what no server here reads: heads are most of what a small call carries. It counts the calls.
+// shortHeads removes headers that no server here reads, because headers are most of a small call. It also counts the calls.
 type shortHeads struct {
 	http.RoundTripper
 	meter *traffic.Meter
 }
 
-// RoundTrip serves http.RoundTripper.
+// RoundTrip implements http.RoundTripper.
 func (s shortHeads) RoundTrip(call *http.Request) (*http.Response, error) {
 	kind := traffic.Kind(call.URL.Path)
 	s.meter.Add(kind, call.URL.Host, headBytes+int(max(call.ContentLength, 0)), headBytes)
@@ -76,13 +76,13 @@
 	return answer, err
 }
 
-// countedBody counts what is read of a body.
+// countedBody counts the bytes read from a body.
 type countedBody struct {
 	io.ReadCloser
 	count func(n int)
 }
 
-// Read serves io.Reader.
+// Read implements io.Reader.
 func (b *countedBody) Read(into []byte) (int, error) {
 	n, err := b.ReadCloser.Read(into)
 	if n > 0 {
@@ -93,13 +93,13 @@
 
 func (s shortHeads) roundTrip(call *http.Request) (*http.Response, error) {
 	short := call.Clone(call.Context())
-	short.Header["User-Agent"] = nil // one that is missing would be filled in
+	short.Header["User-Agent"] = nil // net/http adds a default if the key is absent
 	short.Header.Del("Accept-Encoding")
 	short.Header.Del("Connect-Protocol-Version")
 	return s.RoundTripper.RoundTrip(short)
 }
 
-// noDate leaves the time of day out of answers: no decision reads it.
+// noDate omits the Date header from responses, because nothing reads it.
 func noDate(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(answer http.ResponseWriter, call *http.Request) {
 		answer.Header()["Date"] = nil
@@ -107,17 +107,16 @@
 	})
 }
 
-// Both ends go without compression: most messages are far below the size at which it pays, and what is large comes
-// compressed.
+// Both ends disable compression: most messages are too small to benefit, and large ones are compressed already.
 var (
 	plainCalls   = connect.WithAcceptCompression("gzip", nil, nil)
 	plainAnswers = connect.WithCompression("gzip", nil, nil)
 )
 
-// Procedure is a call's path and the types of its question and answer.
+// Procedure is the path of a call, with the types of its request and response.
 type Procedure[Question, Answer any] string
 
-// Call makes the call at the address and waits for the answer, at most until the context ends.
+// Call calls the procedure at the address and waits for the response until the context ends.
 func (p Procedure[Question, Answer]) Call(ctx context.Context, client *Client, address string, question *Question) (*Answer, error) {
 	caller := connect.NewClient[Question, Answer](client.http, "http://"+address+string(p), connect.WithCodec(codec{}), plainCalls)
 	answer, err := caller.CallUnary(ctx, connect.NewRequest(question))
@@ -127,7 +126,7 @@
 	return answer.Msg, nil
 }
 
-// Handle serves the call on the mux.
+// Handle registers the procedure's handler on the mux.
 func (p Procedure[Question, Answer]) Handle(mux *http.ServeMux, handler func(context.Context, *Question) (*Answer, error)) {
 	unary := func(ctx context.Context, request *connect.Request[Question]) (*connect.Response[Answer], error) {
 		answer, err := handler(ctx, request.Msg)
@@ -146,23 +145,23 @@
 	once sync.Once
 }
 
-// NewServer makes a server of the mux that listens on the network.
+// NewServer makes a server for the mux that listens on the network.
 func NewServer(over network.Network, mux *http.ServeMux) *Server {
 	server := &http.Server{Handler: noDate(mux), ReadHeaderTimeout: headerLimit, IdleTimeout: 2 * idleLimit}
 	return &Server{over: over, http: server}
 }
 
-// Serve answers calls on the address until Close.
+// Serve handles calls on the address until Close.
 func (s *Server) Serve(address string) error {
 	listener, err := s.over.Listen(address)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	go func() { _ = s.http.Serve(listener) }() // ends with Close, whose error is the only one that matters
+	go func() { _ = s.http.Serve(listener) }() // returns after Close, which reports the only relevant error
 	return nil
 }
 
-// Close ends the server and its connections.
+// Close shuts down the server and closes its connections.
 func (s *Server) Close() error {
 	var err error
 	s.once.Do(func() { err = s.http.Close() })
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -23,7 +23,7 @@
 
 func TestHeadsCarryOnlyWhatIsRead(t *testing.T) {
 	c := qt.New(t)
-	// Given a server that looks at the head of a call, and answers it as our server does
+	// Given a server that records the headers of a call and handles it as usual,
 	heads := make(chan http.Header, 1)
 	mux := http.NewServeMux()
 	callEcho.Handle(mux, func(_ context.Context, question *note) (*note, error) { return question, nil })
@@ -32,9 +32,9 @@
 		mux.ServeHTTP(answer, call)
 	}))
 	defer peer.Close()
-	// when it is called
+	// when a client calls it,
 	answer, err := callEcho.Call(t.Context(), rpc.NewClient(network.System{}), peer.Listener.Addr().String(), &note{Text: "a"})
-	// then the answer comes, and the head names nothing but the encoding and the length.
+	// then the response arrives and the request has only the headers for encoding and length.
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Text, qt.Equals, "a")
 	c.Assert(<-heads, qt.DeepEquals, http.Header{"Content-Type": {"application/cbor"}, "Content-Length": {"4"}})
@@ -42,7 +42,7 @@
 
 func TestAnswersCarryNoTimeOfDay(t *testing.T) {
 	c := qt.New(t)
-	// Given our server
+	// Given a server,
 	mux := http.NewServeMux()
 	callEcho.Handle(mux, func(_ context.Context, question *note) (*note, error) {
 		if question.Text == "" {
@@ -55,7 +55,7 @@
 	server := rpc.NewServer(fixed{listening}, mux)
 	c.Assert(server.Serve(address), qt.IsNil)
 	defer server.Close()
-	// when a call comes
+	// when a call arrives,
 	connection, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	defer connection.Close()
@@ -63,23 +63,23 @@
 	c.Assert(err, qt.IsNil)
 	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	c.Assert(err, qt.IsNil)
-	// then the head of its answer has the encoding and the length, and the library's word that it takes no compression.
+	// then its response has the headers for encoding and length, and the library's header that disables compression.
 	want := http.Header{"Content-Type": {"application/cbor"}, "Content-Length": {"4"}, "Accept-Encoding": {""}}
 	c.Assert(answer.Header, qt.DeepEquals, want)
-	// A handler's failure is a failure of the call.
+	// An error of the handler becomes an error of the call.
 	_, err = callEcho.Call(t.Context(), rpc.NewClient(network.System{}), address, &note{})
 	c.Assert(err, qt.ErrorMatches, "rpc: check that the peer runs.*not now")
 	c.Assert(rpc.Error.Has(err), qt.IsTrue)
 }
 
-// listener is a listener on a port of the system's choice.
+// listener listens on a loopback port that the system chooses.
 func listener(c *qt.C) net.Listener {
 	listening, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	return listening
 }
 
-// fixed is the system's network, with one listener that is there already.
+// fixed is the system's network, but Listen returns an existing listener.
 type fixed struct{ listening net.Listener }
 
 func (f fixed) Listen(string) (net.Listener, error) { return f.listening, nil }
--- a/internal/mesh/topic/topic.go
+++ b/internal/mesh/topic/topic.go
@@ -1,4 +1,4 @@
-// Package topic names the keys of the fleet's replicated map and encodes what stands under them.
+// Package topic defines the keys of the fleet's replicated map and encodes and decodes the entries stored under them.
 package topic
 
 import (
@@ -14,10 +14,10 @@
 	"sumacloft/internal/mesh/replica"
 )
 
-// Error is the class of entries that can't be read: routers of another version of the program may be about.
+// Error is the class of entries that can't be decoded: other routers may run another version of the program.
 var Error = errs.Class("replicated entry: check that all routers run the same version")
 
-// The keys, or what they begin with.
+// The keys and key prefixes.
 const (
 	Settings = "settings"
 	Workers  = "worker/"
@@ -26,12 +26,12 @@
 	Orders   = "order/"
 )
 
-// PhaseOrder says that a worker is about to change its phase: it gets nothing new until its heartbeats show the new one.
+// PhaseOrder announces that a worker will change its phase. It is assigned no new work until its heartbeats show the new one.
 type PhaseOrder struct {
 	Phase string `cbor:"1,keyasint"`
 }
 
-// OrderEntry is the entry of an order that a holder sends at a fence; orders of one holder are numbered.
+// OrderEntry is the entry of an order issued at a fence. Orders of the same issuer are numbered.
 func OrderEntry(worker string, order PhaseOrder, fence, number uint64) replica.Entry {
 	value, err := cbor.Marshal(order)
 	if err != nil {
@@ -40,12 +40,12 @@
 	return replica.Entry{Key: Orders + worker, Version: replica.Version{Major: fence, Minor: number}, Value: value}
 }
 
-// NoOrderEntry says that no order for a worker is under way any more.
+// NoOrderEntry is the tombstone of an order: the worker has no pending order.
 func NoOrderEntry(worker string, fence, number uint64) replica.Entry {
 	return replica.Entry{Key: Orders + worker, Version: replica.Version{Major: fence, Minor: number}}
 }
 
-// OrderOf is the order that an entry holds; false where it says that there is none.
+// OrderOf decodes the order that an entry holds; false if the entry is a tombstone or can't be decoded.
 func OrderOf(entry replica.Entry) (PhaseOrder, bool) {
 	var order PhaseOrder
 	if len(entry.Value) == 0 || cbor.Unmarshal(entry.Value, &order) != nil {
@@ -54,7 +54,7 @@
 	return order, true
 }
 
-// PastOrders are the entries of orders to workers that are not known, or no longer.
+// PastOrders lists the entries of orders to workers that are not in the snapshot.
 func PastOrders(snapshot replica.Snapshot) []replica.Entry {
 	return slices.DeleteFunc(snapshot.Prefix(Orders), func(entry replica.Entry) bool {
 		_, known := snapshot.Get(Workers + Node(entry.Key))
@@ -62,21 +62,21 @@
 	})
 }
 
-// Peer is one router of the fleet: a control member or an edge router's agent.
+// Peer is one router of the fleet: a control member or the agent of an edge router.
 type Peer struct {
 	Node     string `cbor:"1,keyasint"`
-	Address  string `cbor:"2,keyasint"`           // of its inside port
-	Steering string `cbor:"3,keyasint,omitempty"` // where workers and the operator reach it; control members only
+	Address  string `cbor:"2,keyasint"`           // of its first internal port
+	Steering string `cbor:"3,keyasint,omitempty"` // address for workers and operators; control members only
 	Zone     string `cbor:"4,keyasint,omitempty"`
 }
 
-// The minor versions of a peer's entry: at one incarnation, news of its end goes before news of its life.
+// The minor versions of a peer's entry. At the same incarnation, the entry that it is down supersedes the one that it is alive.
 const (
 	minorAlive = 0
 	minorDown  = 1
 )
 
-// PeerEntry is the entry of a peer that lives, at an incarnation.
+// PeerEntry is the entry of a live peer at an incarnation.
 func PeerEntry(prefix string, peer Peer, incarnation uint64) replica.Entry {
 	value, err := cbor.Marshal(peer)
 	if err != nil {
@@ -85,18 +85,18 @@
 	return replica.Entry{Key: prefix + peer.Node, Version: replica.Version{Major: incarnation, Minor: minorAlive}, Value: value}
 }
 
-// DownEntry says that a peer is down. It is no longer believed once the peer shows a larger incarnation. Its address stays
-// known: it may live where nobody hears of it.
+// DownEntry records that a peer is down. An entry with a larger incarnation supersedes it. It keeps the address, because the
+// peer may be alive but unreachable for the routers that reported it.
 func DownEntry(prefix string, peer Peer, incarnation uint64) replica.Entry {
 	entry := PeerEntry(prefix, peer, incarnation)
 	entry.Version.Minor = minorDown
 	return entry
 }
 
-// Down tells whether an entry says that its peer is down.
+// Down reports whether an entry records that its peer is down.
 func Down(entry replica.Entry) bool { return entry.Version.Minor == minorDown }
 
-// Peers decodes the living peers among the entries.
+// Peers decodes the live peers among the entries.
 func Peers(entries []replica.Entry) []Peer {
 	peers := make([]Peer, 0, len(entries))
 	for _, entry := range entries {
@@ -107,7 +107,7 @@
 	return peers
 }
 
-// PeerOf decodes the peer that an entry is about, one that is down included; false where its address is not known.
+// PeerOf decodes the peer of an entry, including one that is down; false if its address is not known.
 func PeerOf(entry replica.Entry) (Peer, bool) {
 	var peer Peer
 	if cbor.Unmarshal(entry.Value, &peer) != nil {
@@ -116,13 +116,13 @@
 	return peer, peer.Address != ""
 }
 
-// Node is the name of the peer that an entry is about.
+// Node returns the name of the peer or worker in a key.
 func Node(key string) string {
 	_, node, _ := strings.Cut(key, "/")
 	return node
 }
 
-// SettingsEntry is the entry of a configuration that was taken at an index of its partition's log.
+// SettingsEntry is the entry of a configuration that was committed at an index of its partition's log.
 func SettingsEntry(index uint64, document []byte) (replica.Entry, error) {
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
@@ -138,7 +138,7 @@
 	return replica.Entry{Key: Settings, Version: replica.Version{Major: index}, Value: packed.Bytes()}, nil
 }
 
-// Document is the configuration's document that an entry holds.
+// Document decompresses the configuration document that an entry holds.
 func Document(entry replica.Entry) ([]byte, error) {
 	document, err := io.ReadAll(flate.NewReader(bytes.NewReader(entry.Value)))
 	return document, Error.Wrap(err)
--- a/internal/mesh/traffic/traffic.go
+++ b/internal/mesh/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what a process sends and receives, by kind of message and by peer, so that an operator sees where
-// the bytes of a fleet go, and which of them cross between zones.
+// Package traffic counts the messages and bytes that a process sends and receives, by kind and peer. Operators use it to see
+// which traffic takes the bandwidth of a fleet, and how much of it crosses zones.
 package traffic
 
 import (
@@ -9,30 +9,30 @@
 	"sync"
 )
 
-// Kind names a kind of message: the path of a call, or one of the constants below.
+// Kind is a kind of message: the path of a call, or one of the constants below.
 type Kind string
 
-// The kinds that are no calls between the system's own processes.
+// The kinds of traffic other than calls between the system's own processes.
 const (
-	Hint    Kind = "hint"    // load told to other proxies
-	Read    Kind = "read"    // a prompt sent to be read, and its answer
-	Run     Kind = "run"     // a request sent to run, and its answer
+	Hint    Kind = "hint"    // load hints to other proxies
+	Read    Kind = "read"    // prefill requests and their responses
+	Run     Kind = "run"     // requests to run and their responses
 	Service Kind = "service" // probes, releases and reports at workers
 )
 
-// Meter counts messages. Its zero value is ready, a nil one counts nothing. Safe for concurrent use.
+// Meter counts messages. Its zero value is ready to use; a nil Meter counts nothing. Safe for concurrent use.
 type Meter struct {
 	mu     sync.Mutex
 	counts map[key]*count
 }
 
-// key is whom messages of one kind went to.
+// key identifies a counter: the kind of message and the host of the peer.
 type key struct {
 	kind Kind
 	host string
 }
 
-// count is of the messages to one host.
+// count holds the counters of one kind and host.
 type count struct{ messages, sent, received uint64 }
 
 // Add counts a message to an address (host:port) with the bytes sent and received for it.
@@ -40,7 +40,7 @@
 	m.add(kind, address, 1, sent, received)
 }
 
-// AddReceived counts further bytes received for a message that was counted.
+// AddReceived counts further bytes received for a message that Add has counted.
 func (m *Meter) AddReceived(kind Kind, address string, received int) {
 	m.add(kind, address, 0, 0, received)
 }
@@ -67,16 +67,16 @@
 	m.counts[at].received += uint64(received)
 }
 
-// Total is the sum over the peers of one place.
+// Total is the sum of one kind over the peers in the own zone, or over those in other zones.
 type Total struct {
 	Kind     Kind
-	Near     bool // peers of the own zone, or else those of others
+	Near     bool // peers in the own zone; false: peers in other zones
 	Messages uint64
-	Sent     uint64 // bytes, without those of the transport
-	Received uint64 // likewise
+	Sent     uint64 // bytes, without transport overhead
+	Received uint64 // bytes, without transport overhead
 }
 
-// Totals sums up by kind, apart for the hosts that near tells are of the own zone.
+// Totals sums the counters by kind, separately for hosts in the own zone, for which near returns true, and for others.
 func (m *Meter) Totals(near func(host string) bool) []Total {
 	if m == nil {
 		return nil
@@ -107,7 +107,7 @@
 	return totals
 }
 
-// compareNear orders what is near before what is not.
+// compareNear orders true before false.
 func compareNear(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/mesh/traffic/traffic_test.go
+++ b/internal/mesh/traffic/traffic_test.go
@@ -10,14 +10,14 @@
 
 func TestTotalsAreByKindAndZone(t *testing.T) {
 	c := qt.New(t)
-	// Given messages of two kinds to peers of two zones
+	// Given messages of two kinds to peers in two zones,
 	meter := &traffic.Meter{}
 	meter.Add(traffic.Run, "10.0.0.1:80", 100, 10)
 	meter.AddReceived(traffic.Run, "10.0.0.1:80", 5)
 	meter.Add(traffic.Run, "10.0.1.1:80", 50, 0)
 	meter.Add(traffic.Run, "10.0.1.2:80", 50, 0)
 	meter.Add(traffic.Hint, "10.0.1.1", 7, 0)
-	// when they are summed up, then the own zone stands apart.
+	// when they are summed up, then the own zone has totals of its own.
 	near := func(host string) bool { return host == "10.0.0.1" }
 	c.Assert(meter.Totals(near), qt.DeepEquals, []traffic.Total{
 		{Kind: traffic.Hint, Messages: 1, Sent: 7},
