--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 func (a *Agent) Break(faults Faults) {
 	a.faults = faults
 	if faults.TrustAnyMember {
-		a.members.IgnoreStanding()
+		a.members.IgnoreAuthority()
 	}
 }
 
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -164,14 +164,14 @@
 // ask brings the agent's copy and a control member's to one state, and has the member confirm the configuration if it
 // hears of a leader. It tells whether the member answered.
 func (a *Agent) ask(ctx context.Context, address string) (answered bool) {
-	standing, err := a.members.Sound(ctx, address)
+	standing, err := a.members.Probe(ctx, address)
 	if err != nil {
 		return false
 	}
 	if standing == message.Durable {
 		a.confirmation.vote(address)
 	}
-	if standing != message.Led || a.confirmation.isConfirmed() {
+	if standing != message.LeaderBacked || a.confirmation.isConfirmed() {
 		return true
 	}
 	if err := a.takeNewest(ctx, address); err != nil {
@@ -196,6 +196,6 @@
 	if err != nil {
 		return err
 	}
-	a.members.Node().Take(address, entry)
+	a.members.Node().Receive(address, entry)
 	return nil
 }
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -55,7 +55,7 @@
 		snapshot, changed := f.node.Snapshot()
 		settings, opening := f.settings(snapshot)
 		differs := question.Revision != snapshot.Revision() || question.Settings != settings.Version.Major
-		if question.Life != f.life || differs && f.untilNext() <= 0 {
+		if question.AgentRun != f.life || differs && f.untilNext() <= 0 {
 			answer, err := f.answer(snapshot, question)
 			if err == nil {
 				f.answered(len(answer.Workers))
@@ -66,7 +66,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-limit.C:
-			return &message.Snapshot{Same: true, Link: f.link()}, nil
+			return &message.Snapshot{Unchanged: true, Link: f.link()}, nil
 		case <-changed:
 			time.Sleep(max(gatherTime, f.untilNext()))
 		case <-opening:
@@ -112,7 +112,7 @@
 func (f *feed) answer(snapshot replica.Snapshot, question *message.Watch) (*message.Snapshot, error) {
 	answer := &message.Snapshot{
 		Revision: snapshot.Revision(),
-		Life:     f.life,
+		AgentRun: f.life,
 		Orders:   snapshot.Prefix(topic.Orders),
 		Link:     f.link(),
 	}
@@ -122,7 +122,7 @@
 	if len(entry.Value) == 0 {
 		return answer, nil
 	}
-	if question.Life == f.life && question.Settings == answer.Settings {
+	if question.AgentRun == f.life && question.Settings == answer.Settings {
 		return answer, nil
 	}
 	document, err := topic.Document(entry)
@@ -140,20 +140,20 @@
 	given := f.given
 	f.given = snapshot
 	f.mu.Unlock()
-	answer.Part = question.Life == f.life && question.Revision == given.Revision()
-	if answer.Part {
-		answer.Workers, answer.Gone = snapshot.Changes(given, topic.Workers)
+	answer.Delta = question.AgentRun == f.life && question.Revision == given.Revision()
+	if answer.Delta {
+		answer.Workers, answer.Removed = snapshot.Changes(given, topic.Workers)
 		changed, gone := snapshot.Changes(given, topic.Routers)
-		answer.SameRouters = len(changed)+len(gone) == 0
+		answer.RoutersUnchanged = len(changed)+len(gone) == 0
 	} else {
 		answer.Workers = snapshot.Prefix(topic.Workers)
 	}
-	if answer.SameRouters {
+	if answer.RoutersUnchanged {
 		return
 	}
 	peers := topic.Peers(snapshot.Prefix(topic.Routers))
 	answer.Routers = hosts(peers)
-	answer.Near = hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone }))
+	answer.SameZone = hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone }))
 }
 
 // hosts are the IP addresses of peers.
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -36,7 +36,7 @@
 func ask(c *qt.C, f *feed, known *message.Snapshot) *message.Snapshot {
 	question := &message.Watch{}
 	if known != nil {
-		question = &message.Watch{Revision: known.Revision, Settings: known.Settings, Life: known.Life}
+		question = &message.Watch{Revision: known.Revision, Settings: known.Settings, AgentRun: known.AgentRun}
 	}
 	answer, err := f.watch(context.Background(), question)
 	c.Assert(err, qt.IsNil)
@@ -56,33 +56,33 @@
 		// Given a proxy that asks for the first time, then it is told all.
 		copied, f := fed()
 		first := ask(c, f, nil)
-		c.Assert(first.Part, qt.IsFalse)
+		c.Assert(first.Delta, qt.IsFalse)
 		c.Assert(keysOf(first.Workers), qt.DeepEquals, []string{"worker/w1", "worker/w2"})
 		c.Assert(first.Routers, qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
-		c.Assert(first.Near, qt.DeepEquals, []string{"10.0.0.1"})
+		c.Assert(first.SameZone, qt.DeepEquals, []string{"10.0.0.1"})
 		// When one worker changes and another is forgotten, then it is told of these two alone.
 		copied.Put(workerEntry("w2", 2))
 		copied.Forget(topic.Workers + "w1")
 		second := ask(c, f, first)
-		c.Assert(second.Part, qt.IsTrue)
+		c.Assert(second.Delta, qt.IsTrue)
 		c.Assert(keysOf(second.Workers), qt.DeepEquals, []string{"worker/w2"})
-		c.Assert(second.Gone, qt.DeepEquals, []string{"worker/w1"})
-		c.Assert(second.SameRouters, qt.IsTrue)
+		c.Assert(second.Removed, qt.DeepEquals, []string{"worker/w1"})
+		c.Assert(second.RoutersUnchanged, qt.IsTrue)
 		// When a router comes, then it is told of the routers.
 		copied.Put(topic.PeerEntry(topic.Routers, topic.Peer{Node: "edge-3", Address: "10.0.0.3:7000", Zone: "north"}, 1))
 		third := ask(c, f, second)
-		c.Assert(third.Part, qt.IsTrue)
+		c.Assert(third.Delta, qt.IsTrue)
 		c.Assert(third.Workers, qt.HasLen, 0)
-		c.Assert(third.Near, qt.DeepEquals, []string{"10.0.0.1", "10.0.0.3"})
+		c.Assert(third.SameZone, qt.DeepEquals, []string{"10.0.0.1", "10.0.0.3"})
 		// When an answer was lost, so that it asks with what it knew before, then it is told all.
 		copied.Put(workerEntry("w3", 1))
 		again := ask(c, f, second)
-		c.Assert(again.Part, qt.IsFalse)
+		c.Assert(again.Delta, qt.IsFalse)
 		c.Assert(keysOf(again.Workers), qt.DeepEquals, []string{"worker/w2", "worker/w3"})
 		// When nothing changes, then it is told so, with how the agent stands to the control plane.
 		began := time.Now()
 		same := ask(c, f, again)
-		c.Assert(same.Same, qt.IsTrue)
+		c.Assert(same.Unchanged, qt.IsTrue)
 		c.Assert(same.Link, qt.Equals, message.LinkConfirmed)
 		c.Assert(time.Since(began), qt.Equals, watchLimit)
 	})
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -21,7 +21,7 @@
 		snapshot, _ := a.members.Node().Snapshot()
 		now := time.Since(a.began)
 		keys := workers.Expire(now, registry.Tombstones(snapshot.Prefix(topic.Workers)))
-		keys = append(keys, orders.Expire(now, topic.PastOrders(snapshot))...)
+		keys = append(keys, orders.Expire(now, topic.OrphanedOrders(snapshot))...)
 		if len(keys) > 0 {
 			a.members.Node().Forget(keys...)
 		}
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -18,7 +18,7 @@
 	case a.confirmation.isConfirmed():
 		return message.LinkLost
 	case byMajority:
-		return message.LinkDisks
+		return message.LinkDiskMajority
 	}
 	return message.LinkUnconfirmed
 }
--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -143,7 +143,7 @@
 func (d *duty) end(worker string, fence uint64) {
 	d.number++
 	delete(d.pending, worker)
-	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.number))
+	d.member.members.Node().Put(topic.OrderTombstone(worker, fence, d.number))
 }
 
 // balance asks the workers of a service for their reports and sends the orders that follow.
--- a/internal/control/member/faults.go
+++ b/internal/control/member/faults.go
@@ -29,6 +29,6 @@
 func (m *Member) Break(faults Faults) {
 	m.faults = faults
 	if faults.IgnoreStanding {
-		m.members.IgnoreStanding()
+		m.members.IgnoreAuthority()
 	}
 }
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -76,7 +76,7 @@
 	registry  *registry.Registry
 	kept      uint64                    // revision of the view that is on disk
 	confirmed map[string]registry.State // of workers that end, as a majority of the members knows it
-	past      *tombstone.Keeper         // of orders to workers that are not known
+	past      *tombstone.Tracker        // of orders to workers that are not known
 }
 
 // Disk is where a member keeps its partitions.
@@ -100,15 +100,15 @@
 			Steering: settings.ListenOn.Control,
 			Zone:     settings.Zone,
 		},
-		Starters: membership.StarterAddresses(settings),
-		Interval: beatInterval,
-		FanOut:   fanOut,
-		Client:   m.client,
-		Log:      log,
-		OnNews:   m.news,
-		Led:      func() bool { return m.standing() == message.Led },
+		Starters:  membership.StarterAddresses(settings),
+		Interval:  beatInterval,
+		FanOut:    fanOut,
+		Client:    m.client,
+		Log:       log,
+		OnChange:  m.news,
+		HasLeader: func() bool { return m.standing() == message.LeaderBacked },
 	})
-	m.members.Node().TellStanding(m.standing)
+	m.members.Node().SetAuthority(m.standing)
 	return m
 }
 
@@ -266,14 +266,14 @@
 }
 
 // standing is what stands behind this member's copy of the fleet's state.
-func (m *Member) standing() message.Standing {
+func (m *Member) standing() message.Authority {
 	switch {
 	case m.isLed(ledLimit):
-		return message.Led
+		return message.LeaderBacked
 	case m.host.Voter():
 		return message.Durable
 	}
-	return message.Hearsay
+	return message.Gossiped
 }
 
 // news takes what other members tell of workers.
@@ -313,7 +313,7 @@
 	for _, key := range forgotten {
 		delete(m.confirmed, topic.Node(key))
 	}
-	forgotten = append(forgotten, m.past.Expire(now, topic.PastOrders(snapshot))...)
+	forgotten = append(forgotten, m.past.Expire(now, topic.OrphanedOrders(snapshot))...)
 	m.mu.Unlock()
 	for _, worker := range changed {
 		m.log.Info().Str("worker", worker.ID).Str("service", worker.Service).Msg("worker lapsed: no heartbeat")
--- a/internal/control/member/workers.go
+++ b/internal/control/member/workers.go
@@ -48,7 +48,7 @@
 func workerCalls(over network.Network, keep bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return over.Dial(ctx, address, network.Terms{})
+			return over.Dial(ctx, address, network.DialOptions{})
 		},
 		DisableCompression:  true,
 		DisableKeepAlives:   !keep,
--- a/internal/fleettest/limits_test.go
+++ b/internal/fleettest/limits_test.go
@@ -26,7 +26,7 @@
 
 // connect opens a connection of a client to an edge.
 func (c *Client) connect(edge *Edge) net.Conn {
-	conn, err := c.process.Dial(context.Background(), edge.Front(), network.Terms{})
+	conn, err := c.process.Dial(context.Background(), edge.Front(), network.DialOptions{})
 	if err != nil {
 		c.fleet.t.Fatal(err)
 	}
--- a/internal/fleettest/memnet/machine.go
+++ b/internal/fleettest/memnet/machine.go
@@ -118,8 +118,8 @@
 }
 
 // Dial serves network.Network.
-func (p *Process) Dial(ctx context.Context, address string, terms network.Terms) (net.Conn, error) {
-	limit := terms.Limit
+func (p *Process) Dial(ctx context.Context, address string, terms network.DialOptions) (net.Conn, error) {
+	limit := terms.Timeout
 	if limit <= 0 {
 		limit = longestDial
 	}
@@ -154,7 +154,7 @@
 }
 
 // connect tries once: with retry, the way there says nothing now.
-func (p *Process) connect(address string, terms network.Terms) (c *Conn, wait time.Duration, retry <-chan struct{}, err error) {
+func (p *Process) connect(address string, terms network.DialOptions) (c *Conn, wait time.Duration, retry <-chan struct{}, err error) {
 	f := p.fabric
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +180,7 @@
 	from := &net.TCPAddr{IP: net.ParseIP(here), Port: f.ephemeral()}
 	to := &net.TCPAddr{IP: net.ParseIP(there), Port: port}
 	c = newConn(p, from, to)
-	c.silence = terms.Silence
+	c.silence = terms.UnackedTimeout
 	c.peer = newConn(l.owner, to, from)
 	c.peer.peer = c
 	l.queue = append(l.queue, c.peer)
--- a/internal/fleettest/memnet/memnet_test.go
+++ b/internal/fleettest/memnet/memnet_test.go
@@ -29,7 +29,7 @@
 }
 
 // connected tells a story of a connection.
-func connected(t *testing.T, terms network.Terms, story func(c *qt.C, p *pair)) {
+func connected(t *testing.T, terms network.DialOptions, story func(c *qt.C, p *pair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -58,7 +58,7 @@
 }
 
 func TestBytesArriveAfterTheDelay(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		// When one end writes and closes.
 		began := time.Now()
 		write(c, p.near, "hello")
@@ -74,7 +74,7 @@
 }
 
 func TestWriteToWhoHasClosedIsReset(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		c.Assert(p.far.Close(), qt.IsNil)
 		write(c, p.near, "late")
 		time.Sleep(2 * delay)
@@ -84,20 +84,20 @@
 }
 
 func TestProcessThatIsKilledWithUnreadBytesResets(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		write(c, p.near, "unread")
 		time.Sleep(delay)
 		p.server.Kill()
 		_, err := reads(p.near)
 		c.Assert(errors.Is(err, syscall.ECONNRESET), qt.IsTrue)
 		// And its port refuses from then on.
-		_, err = p.client.Dial(context.Background(), server, network.Terms{})
+		_, err = p.client.Dial(context.Background(), server, network.DialOptions{})
 		c.Assert(errors.Is(err, syscall.ECONNREFUSED), qt.IsTrue)
 	})
 }
 
 func TestCutLinkHoldsBytesUntilItIsWhole(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		// Given a link that is cut in one direction.
 		p.fabric.Set("10.0.0.1", "10.0.0.2", Silent)
 		write(c, p.near, "held")
@@ -119,7 +119,7 @@
 }
 
 func TestUnheardBytesEndTheConnectionAfterTheSilence(t *testing.T) {
-	connected(t, network.Terms{Silence: 2 * time.Second}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{UnackedTimeout: 2 * time.Second}, func(c *qt.C, p *pair) {
 		p.fabric.Cut("10.0.0.1", "10.0.0.2")
 		began := time.Now()
 		write(c, p.near, "lost")
@@ -130,23 +130,23 @@
 }
 
 func TestRefusingLinkResetsAtOnce(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		p.fabric.Set("10.0.0.1", "10.0.0.2", Refusing)
 		_, err := reads(p.near)
 		c.Assert(errors.Is(err, syscall.ECONNRESET), qt.IsTrue)
-		_, err = p.client.Dial(context.Background(), server, network.Terms{})
+		_, err = p.client.Dial(context.Background(), server, network.DialOptions{})
 		c.Assert(errors.Is(err, syscall.ECONNREFUSED), qt.IsTrue)
 	})
 }
 
 func TestMachineWithoutPowerSaysNothing(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		// Given a machine that has lost power.
 		machine := p.fabric.Machine("10.0.0.2")
 		machine.PowerOff()
 		// Then a dial ends with its limit, and an open connection stays silent.
 		began := time.Now()
-		_, err := p.client.Dial(context.Background(), server, network.Terms{Limit: time.Second})
+		_, err := p.client.Dial(context.Background(), server, network.DialOptions{Timeout: time.Second})
 		c.Assert(errors.Is(err, syscall.ETIMEDOUT), qt.IsTrue)
 		c.Assert(time.Since(began), qt.Equals, time.Second)
 		write(c, p.near, "anybody there")
@@ -158,13 +158,13 @@
 		machine.PowerOn()
 		_, err = reads(p.near)
 		c.Assert(errors.Is(err, syscall.ECONNRESET), qt.IsTrue)
-		_, err = p.client.Dial(context.Background(), server, network.Terms{})
+		_, err = p.client.Dial(context.Background(), server, network.DialOptions{})
 		c.Assert(errors.Is(err, syscall.ECONNREFUSED), qt.IsTrue)
 	})
 }
 
 func TestQuietTellsOfWhatHasArrived(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		quiet := p.near.(network.Quieter)
 		c.Assert(quiet.Quiet(), qt.IsTrue)
 		write(c, p.far, "x")
@@ -175,7 +175,7 @@
 }
 
 func TestWriterWaitsForTheReader(t *testing.T) {
-	connected(t, network.Terms{}, func(c *qt.C, p *pair) {
+	connected(t, network.DialOptions{}, func(c *qt.C, p *pair) {
 		// Given a writer with more than the other end takes unread.
 		size := 3 * windowBytes
 		done := make(chan error, 1)
--- a/internal/fleettest/tombstone_test.go
+++ b/internal/fleettest/tombstone_test.go
@@ -98,7 +98,7 @@
 		changed, changing := f.NewWorker(Model, Writing, Behaviour{}), f.NewWorker(Model, Writing, Behaviour{})
 		f.Serve()
 		order := topic.PhaseOrder{Phase: Reading}
-		entries := []replica.Entry{topic.NoOrderEntry(changed.ID, 1000, 2), topic.OrderEntry(changing.ID, order, 1000, 2)}
+		entries := []replica.Entry{topic.OrderTombstone(changed.ID, 1000, 2), topic.OrderEntry(changing.ID, order, 1000, 2)}
 		_, err := message.CallSync.Call(context.Background(), rpc.NewClient(f.Operator.process), f.Edges[0].Inside(),
 			&message.Sync{From: "test", Entries: entries})
 		c.Assert(err, qt.IsNil)
--- a/internal/fleettest/worker.go
+++ b/internal/fleettest/worker.go
@@ -127,7 +127,7 @@
 			DisableCompression: true,
 			DisableKeepAlives:  !keep,
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return process.Dial(ctx, address, network.Terms{Limit: time.Second})
+				return process.Dial(ctx, address, network.DialOptions{Timeout: time.Second})
 			},
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/mesh/detector/detector.go
+++ b/internal/mesh/detector/detector.go
@@ -32,9 +32,9 @@
 }
 
 type member struct {
-	incarnation uint64
-	heardAt     time.Duration // last heartbeat, or when the timeout was started
-	down        bool          // reported, and no heartbeat received since
+	incarnation   uint64
+	lastHeartbeat time.Duration // last heartbeat, or when the timeout was started
+	down          bool          // reported, and no heartbeat received since
 }
 
 // New makes a detector that reports members without a heartbeat for longer than timeout. Check has to be called several
@@ -53,21 +53,21 @@
 			expected[id] = known
 			continue
 		}
-		expected[id] = &member{heardAt: now}
+		expected[id] = &member{lastHeartbeat: now}
 	}
 	d.members = expected
 }
 
-// Heard records a heartbeat. It ignores members that are not watched and incarnations older than the newest.
+// Heartbeat records a heartbeat. It ignores members that are not watched and incarnations older than the newest.
 // It reports whether a member that had been reported as down is back.
-func (d *Detector) Heard(now time.Duration, id string, incarnation uint64) (back bool) {
+func (d *Detector) Heartbeat(now time.Duration, id string, incarnation uint64) (back bool) {
 	known, watched := d.members[id]
 	if !watched || incarnation < known.incarnation {
 		return false
 	}
 	back = known.down
 	known.incarnation = incarnation
-	known.heardAt = now
+	known.lastHeartbeat = now
 	known.down = false
 	return back
 }
@@ -80,7 +80,7 @@
 	length := now - d.checkedAt
 	d.checkedAt = now
 	if length > d.timeout/2 {
-		d.renewPatience(now, length)
+		d.restartTimeouts(now, length)
 		return nil
 	}
 	return d.collect(now)
@@ -103,17 +103,17 @@
 	}
 }
 
-func (d *Detector) renewPatience(now, length time.Duration) {
+func (d *Detector) restartTimeouts(now, length time.Duration) {
 	d.pause = &Pause{Length: length}
 	for _, known := range d.members {
-		known.heardAt = now
+		known.lastHeartbeat = now
 	}
 }
 
 func (d *Detector) collect(now time.Duration) []Down {
 	var downs []Down
 	for id, known := range d.members {
-		silent := now - known.heardAt
+		silent := now - known.lastHeartbeat
 		if known.down || silent <= d.timeout {
 			continue
 		}
--- a/internal/mesh/detector/detector_test.go
+++ b/internal/mesh/detector/detector_test.go
@@ -30,10 +30,10 @@
 	c.Run("given a member with heartbeats, when they stop, then it is reported once", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a", "b"})
-		c.Assert(watcher.Heard(50*time.Millisecond, "a", 7), qt.IsFalse)
-		watcher.Heard(60*time.Millisecond, "b", 8)
+		c.Assert(watcher.Heartbeat(50*time.Millisecond, "a", 7), qt.IsFalse)
+		watcher.Heartbeat(60*time.Millisecond, "b", 8)
 		c.Assert(run(watcher, 0, 900*time.Millisecond), qt.HasLen, 0)
-		watcher.Heard(950*time.Millisecond, "b", 8)
+		watcher.Heartbeat(950*time.Millisecond, "b", 8)
 		want := detector.Down{ID: "a", Incarnation: 7, Silent: 1050 * time.Millisecond}
 		c.Assert(run(watcher, 900*time.Millisecond, 1500*time.Millisecond), qt.DeepEquals, []detector.Down{want})
 	})
@@ -58,13 +58,13 @@
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
 		c.Assert(run(watcher, 0, 2*timeout), qt.HasLen, 1)
-		c.Assert(watcher.Heard(2*timeout, "a", 1), qt.IsTrue)
-		c.Assert(watcher.Heard(2*timeout, "a", 1), qt.IsFalse)
+		c.Assert(watcher.Heartbeat(2*timeout, "a", 1), qt.IsTrue)
+		c.Assert(watcher.Heartbeat(2*timeout, "a", 1), qt.IsFalse)
 		c.Assert(run(watcher, 2*timeout, 4*timeout), qt.HasLen, 1)
 	})
 }
 
-func TestWhoIsWatched(t *testing.T) {
+func TestExpectedMembersAreWatched(t *testing.T) {
 	c := qt.New(t)
 
 	c.Run("given a newly expected member, when another is close to its timeout, then the new one has the full timeout", func(c *qt.C) {
@@ -95,17 +95,17 @@
 	c.Run("given an unknown member or an earlier incarnation, when it sends a heartbeat, then it is ignored", func(c *qt.C) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
-		watcher.Heard(0, "a", 5)
+		watcher.Heartbeat(0, "a", 5)
 		run(watcher, 0, 900*time.Millisecond)
-		c.Assert(watcher.Heard(900*time.Millisecond, "a", 4), qt.IsFalse)
-		c.Assert(watcher.Heard(900*time.Millisecond, "stranger", 4), qt.IsFalse)
+		c.Assert(watcher.Heartbeat(900*time.Millisecond, "a", 4), qt.IsFalse)
+		c.Assert(watcher.Heartbeat(900*time.Millisecond, "stranger", 4), qt.IsFalse)
 		downs := run(watcher, 900*time.Millisecond, 1200*time.Millisecond)
 		c.Assert(downs, qt.HasLen, 1)
 		c.Assert(downs[0].Incarnation, qt.Equals, uint64(5))
 	})
 }
 
-func TestOwnPausesAreForgiven(t *testing.T) {
+func TestOwnPauseRestartsTimeouts(t *testing.T) {
 	c := qt.New(t)
 	// Given a watching process that was halted for longer than half the timeout,
 	watcher := detector.New(timeout)
@@ -127,21 +127,21 @@
 
 // Given regular checks and any heartbeats, then a member is reported exactly when its last heartbeat is older than the
 // timeout.
-func TestReportsMatchSilences(t *testing.T) {
+func TestReportsMatchTimeouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		watcher := detector.New(timeout)
 		watcher.Expect(0, []string{"a"})
-		heardAt := time.Duration(0)
+		lastHeartbeat := time.Duration(0)
 		reported := false
 		for now := interval; now < 10*time.Second; now += interval {
 			if rapid.IntRange(0, 9).Draw(t, "heartbeat") == 0 {
-				assert(t, watcher.Heard(now, "a", 1), qt.Equals, reported)
-				heardAt, reported = now, false
+				assert(t, watcher.Heartbeat(now, "a", 1), qt.Equals, reported)
+				lastHeartbeat, reported = now, false
 			}
-			silentTooLong := now-heardAt > timeout
+			timedOut := now-lastHeartbeat > timeout
 			downs := watcher.Check(now)
-			assert(t, len(downs) == 1, qt.Equals, silentTooLong && !reported)
-			reported = reported || silentTooLong
+			assert(t, len(downs) == 1, qt.Equals, timedOut && !reported)
+			reported = reported || timedOut
 		}
 	})
 }
--- a/internal/mesh/membership/confirm.go
+++ b/internal/mesh/membership/confirm.go
@@ -10,18 +10,18 @@
 // Confirm pushes entries to the other control members and waits until the wanted number of them has acknowledged, for at most
 // limit. It reports whether they have.
 func (m *Membership) Confirm(ctx context.Context, entries []replica.Entry, wanted int, limit time.Duration) bool {
-	others := m.others()
+	others := m.otherControls()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	taken := make(chan error, len(others))
+	results := make(chan error, len(others))
 	for _, member := range others {
-		go func() { taken <- m.node.Push(ctx, member.Address, entries) }()
+		go func() { results <- m.node.Push(ctx, member.Address, entries) }()
 	}
 	for range others {
 		if wanted <= 0 {
 			return true
 		}
-		if <-taken == nil {
+		if <-results == nil {
 			wanted--
 		}
 	}
@@ -31,5 +31,5 @@
 // OthersForMajority is how many other control members form a majority together with this one. The majority is that of the
 // live control members or of the wanted voters, whichever are more.
 func (m *Membership) OthersForMajority(voters int) int {
-	return max(len(m.others())+1, voters) / 2
+	return max(len(m.otherControls())+1, voters) / 2
 }
--- a/internal/mesh/membership/contact_test.go
+++ b/internal/mesh/membership/contact_test.go
@@ -23,7 +23,7 @@
 )
 
 // controlMember runs a test with a control member that serves calls to itself and has one other starter address.
-func controlMember(t *testing.T, starter string, story func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership)) {
+func controlMember(t *testing.T, starter string, run func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		fabric := memnet.New(time.Millisecond)
@@ -38,7 +38,7 @@
 		})
 		own := serveLed(c, process, ownAddress)
 		other := serveLed(c, fabric.Machine("10.0.0.2").Process(), otherAddress)
-		story(c, fabric, member)
+		run(c, fabric, member)
 		c.Assert(own.Close(), qt.IsNil)
 		c.Assert(other.Close(), qt.IsNil)
 		time.Sleep(time.Minute) // until idle connections are closed
@@ -49,7 +49,7 @@
 func serveLed(c *qt.C, process *memnet.Process, address string) *rpc.Server {
 	mux := http.NewServeMux()
 	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
-		return &message.BeatAnswer{Standing: message.Led}, nil
+		return &message.BeatAnswer{Authority: message.LeaderBacked}, nil
 	})
 	server := rpc.NewServer(process, mux)
 	c.Assert(server.Serve(address), qt.IsNil)
@@ -57,13 +57,13 @@
 }
 
 // A member that is itself a starter must not count its own answer as contact with the others.
-func TestMemberIsNotInContactByItsOwnAnswer(t *testing.T) {
-	const nobody = "10.0.0.3:7000"
-	controlMember(t, nobody, func(c *qt.C, _ *memnet.Fabric, member *membership.Membership) {
+func TestOwnAnswerIsNotContact(t *testing.T) {
+	const unreachable = "10.0.0.3:7000"
+	controlMember(t, unreachable, func(c *qt.C, _ *memnet.Fabric, member *membership.Membership) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go member.Run(ctx)
-		c.Assert(member.Starters(), qt.DeepEquals, []string{nobody})
+		c.Assert(member.Starters(), qt.DeepEquals, []string{unreachable})
 		for range 60 {
 			time.Sleep(time.Second)
 			c.Assert(member.InContact(contactLimit), qt.IsFalse)
@@ -72,15 +72,15 @@
 }
 
 // Contact counts from the time when a call was sent, because a delayed answer proves nothing about the time since.
-func TestContactCountsFromTheSendingOfACall(t *testing.T) {
+func TestContactCountsFromSendTime(t *testing.T) {
 	controlMember(t, otherAddress, func(c *qt.C, fabric *memnet.Fabric, member *membership.Membership) {
 		c.Assert(member.InContact(contactLimit), qt.IsFalse)
-		_, err := member.Greet(context.Background(), otherAddress)
+		_, err := member.Synchronize(context.Background(), otherAddress)
 		c.Assert(err, qt.IsNil)
 		c.Assert(member.InContact(contactLimit), qt.IsTrue)
 		time.Sleep(contactLimit)
 		fabric.Delay("10.0.0.1", "10.0.0.2", slowLink)
-		_, err = member.Greet(context.Background(), otherAddress) // over the open connection
+		_, err = member.Synchronize(context.Background(), otherAddress) // over the open connection
 		c.Assert(err, qt.IsNil)
 		c.Assert(member.InContact(2*slowLink-time.Millisecond), qt.IsFalse)
 		c.Assert(member.InContact(2*slowLink+time.Millisecond), qt.IsTrue)
--- a/internal/mesh/membership/large_test.go
+++ b/internal/mesh/membership/large_test.go
@@ -44,21 +44,21 @@
 	fabric := memnet.New(500 * time.Microsecond)
 	random := rand.New(rand.NewPCG(1, 2))
 	var starters []string
-	for place := range 3 {
-		starters = append(starters, fmt.Sprintf("10.1.%d.1:7000", place))
+	for index := range 3 {
+		starters = append(starters, fmt.Sprintf("10.1.%d.1:7000", index))
 	}
 	run := func(prefix, host, zone string, fanOut int, interval time.Duration) *membership.Membership {
 		f.zones[host] = zone
 		client := rpc.NewClient(fabric.Machine(host).Process())
 		m := membership.New(membership.Config{
-			Prefix:   prefix,
-			Self:     topic.Peer{Node: host, Address: host + ":7000", Zone: zone},
-			Starters: starters,
-			Interval: interval,
-			FanOut:   fanOut,
-			Client:   client,
-			Log:      zerolog.Nop(),
-			Led:      func() bool { return prefix == topic.Controls },
+			Prefix:    prefix,
+			Self:      topic.Peer{Node: host, Address: host + ":7000", Zone: zone},
+			Starters:  starters,
+			Interval:  interval,
+			FanOut:    fanOut,
+			Client:    client,
+			Log:       zerolog.Nop(),
+			HasLeader: func() bool { return prefix == topic.Controls },
 		})
 		f.clients = append(f.clients, client)
 		mux := http.NewServeMux()
@@ -79,23 +79,23 @@
 		}()
 		return m
 	}
-	for place := range largeControls {
-		f.controls = append(f.controls, run(topic.Controls, fmt.Sprintf("10.1.%d.1", place), fmt.Sprintf("z%d", place), 3, 500*time.Millisecond))
+	for index := range largeControls {
+		f.controls = append(f.controls, run(topic.Controls, fmt.Sprintf("10.1.%d.1", index), fmt.Sprintf("z%d", index), 3, 500*time.Millisecond))
 	}
-	for place := range largeRouters {
-		f.routers = append(f.routers, run(topic.Routers, fmt.Sprintf("10.0.%d.%d", place/200, 1+place%200), fmt.Sprintf("z%d", place%largeZones), 2, time.Second))
+	for index := range largeRouters {
+		f.routers = append(f.routers, run(topic.Routers, fmt.Sprintf("10.0.%d.%d", index/200, 1+index%200), fmt.Sprintf("z%d", index%largeZones), 2, time.Second))
 	}
 	return f
 }
 
-// end stops all routers and waits until their calls have ended.
-func (f *largeFleet) end() {
+// stop stops all routers and waits until their calls have ended.
+func (f *largeFleet) stop() {
 	f.cancel()
 	time.Sleep(2 * time.Minute)
 }
 
-// knowing counts the routers that hold all of the keys.
-func (f *largeFleet) knowing(keys []string) int {
+// countHolding counts the routers that hold all of the keys.
+func (f *largeFleet) countHolding(keys []string) int {
 	count := 0
 	for _, router := range f.routers {
 		snapshot, _ := router.Node().Snapshot()
@@ -111,13 +111,13 @@
 	return count
 }
 
-// away is the number of bytes sent between zones, headers included.
-func (f *largeFleet) away(c *qt.C) uint64 {
+// crossZoneBytes is the number of bytes sent between zones, headers included.
+func (f *largeFleet) crossZoneBytes(c *qt.C) uint64 {
 	sum := uint64(0)
-	for place, client := range f.clients {
-		zone := fmt.Sprintf("z%d", place)
-		if place >= largeControls {
-			zone = fmt.Sprintf("z%d", (place-largeControls)%largeZones)
+	for index, client := range f.clients {
+		zone := fmt.Sprintf("z%d", index)
+		if index >= largeControls {
+			zone = fmt.Sprintf("z%d", (index-largeControls)%largeZones)
 		}
 		for _, total := range client.Meter().Totals(func(host string) bool { return f.zones[host] == zone }) {
 			if !total.Near {
@@ -128,12 +128,12 @@
 	return sum
 }
 
-func TestHundredsThatStartTogetherKnowAllAtLittleCost(t *testing.T) {
+func TestLargeFleetConvergesWithBoundedTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		// Given 295 routers and 5 control members in 7 zones that start within 0.3 s of one another,
 		f := startLarge(c)
-		defer f.end()
+		defer f.stop()
 		// and 160 workers whose first heartbeats reach the control members during the following second,
 		var keys []string
 		go func() {
@@ -145,41 +145,41 @@
 		for number := range largeWorkers {
 			keys = append(keys, largeEntry(number, 1).Key)
 		}
-		for place := range largeRouters {
-			keys = append(keys, topic.Routers+fmt.Sprintf("10.0.%d.%d", place/200, 1+place%200))
+		for index := range largeRouters {
+			keys = append(keys, topic.Routers+fmt.Sprintf("10.0.%d.%d", index/200, 1+index%200))
 		}
 		// then all routers hold all entries within 4.5 s
-		began := time.Now()
-		for f.knowing(keys) < largeRouters && time.Since(began) < 10*time.Second {
+		startedAt := time.Now()
+		for f.countHolding(keys) < largeRouters && time.Since(startedAt) < 10*time.Second {
 			time.Sleep(50 * time.Millisecond)
 		}
-		took := time.Since(began)
-		start := f.away(c)
-		c.Logf("all routers hold all entries after %v; %.1f MB between zones", took, float64(start)/1e6)
-		c.Check(took <= 4500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
+		elapsed := time.Since(startedAt)
+		startBytes := f.crossZoneBytes(c)
+		c.Logf("all routers hold all entries after %v; %.1f MB between zones", elapsed, float64(startBytes)/1e6)
+		c.Check(elapsed <= 4500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", elapsed))
 		// and the traffic between zones is at most 40 MB, some hundred kilobytes per router.
-		c.Check(start <= 40e6, qt.IsTrue, qt.Commentf("%d bytes", start))
+		c.Check(startBytes <= 40e6, qt.IsTrue, qt.Commentf("%d bytes", startBytes))
 		// Given a fleet without changes, when one worker's entry changes, then all routers receive it within two seconds, and it
 		// costs some dozens of calls between zones besides the heartbeats.
 		time.Sleep(5 * time.Second)
-		quiet := f.away(c)
+		beforeBeats := f.crossZoneBytes(c)
 		time.Sleep(time.Second)
-		beats := f.away(c) - quiet
-		before := f.away(c)
+		beatBytes := f.crossZoneBytes(c) - beforeBeats
+		before := f.crossZoneBytes(c)
 		f.controls[0].Node().Put(largeEntry(7, 2))
 		time.Sleep(time.Second)
-		cost := f.away(c) - before
-		c.Logf("a second of heartbeats: %d bytes between zones; with one change: %d", beats, cost)
-		c.Check(cost <= beats+150_000, qt.IsTrue, qt.Commentf("%d bytes, of which heartbeats take %d", cost, beats))
+		changeBytes := f.crossZoneBytes(c) - before
+		c.Logf("a second of heartbeats: %d bytes between zones; with one change: %d", beatBytes, changeBytes)
+		c.Check(changeBytes <= beatBytes+150_000, qt.IsTrue, qt.Commentf("%d bytes, of which heartbeats take %d", changeBytes, beatBytes))
 		time.Sleep(time.Second)
-		behind := 0
+		outdated := 0
 		for _, router := range f.routers {
 			snapshot, _ := router.Node().Snapshot()
 			if entry, _ := snapshot.Get(largeEntry(7, 1).Key); entry.Version.Minor != 2 {
-				behind++
+				outdated++
 			}
 		}
-		c.Check(behind, qt.Equals, 0)
+		c.Check(outdated, qt.Equals, 0)
 	})
 }
 
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -33,13 +33,13 @@
 )
 
 const (
-	// silence is the time without heartbeats after which a watched router is taken to be down.
-	silence = 4 * time.Second
+	// heartbeatTimeout is the time without heartbeats after which a watched router is taken to be down.
+	heartbeatTimeout = 4 * time.Second
 	// watcherCount is the number of watchers of a router.
 	watcherCount = 2
-	// awayTurns: in one of this many rounds, the state is compared with a control member of any zone. Otherwise a partitioned
-	// member in the own zone could be a router's only source.
-	awayTurns = 3
+	// remoteZoneRounds is the interval, in rounds, at which the state is compared with a control member of any zone. Otherwise a
+	// partitioned member in the own zone could be a router's only source.
+	remoteZoneRounds = 3
 )
 
 // Config describes a router and how it communicates with the others.
@@ -51,37 +51,37 @@
 	FanOut   int // number of edge routers to which changes are forwarded
 	Client   *rpc.Client
 	Log      zerolog.Logger
-	OnNews   func(news []replica.Entry) // may be nil
-	// Led reports whether this router is in contact with the leader of every partition; nil at edge routers.
-	Led func() bool
+	OnChange func(changed []replica.Entry) // may be nil
+	// HasLeader reports whether this router is in contact with the leader of every partition; nil at edge routers.
+	HasLeader func() bool
 }
 
 // Membership is one router's membership in the fleet. Use New, then Run.
 type Membership struct {
-	config Config
-	node   *node.Node
-	began  time.Time
+	config    Config
+	node      *node.Node
+	startedAt time.Time
 
 	mu          sync.Mutex
 	incarnation uint64
 	announced   bool
 	leaving     bool
 	watched     *detector.Detector
-	turn        int
-	waiting     gathered
+	roundNumber int
+	pending     batch
 	contact     contact
-	compared    map[string]time.Duration // when Sound last compared copies, by address
-	place       place
-	lost        lost
+	compared    map[string]time.Duration // when Probe last compared copies, by address
+	position    ringPosition
+	downSince   downTimes
 
-	ignoreStanding bool
+	ignoreAuthority bool
 }
 
 // New makes the membership of a router.
 func New(config Config) *Membership {
-	m := &Membership{config: config, began: time.Now(), incarnation: 1, watched: detector.New(silence), lost: lost{},
+	m := &Membership{config: config, startedAt: time.Now(), incarnation: 1, watched: detector.New(heartbeatTimeout), downSince: downTimes{},
 		compared: map[string]time.Duration{}}
-	m.node = node.New(config.Self.Node, config.Client, config.Log, m.news, m.heard)
+	m.node = node.New(config.Self.Node, config.Client, config.Log, m.handleChanges, m.recordHeartbeat)
 	return m
 }
 
@@ -131,7 +131,7 @@
 	starters := m.Starters()
 	for _, address := range starters {
 		go func() {
-			_, err := m.Greet(ctx, address)
+			_, err := m.Synchronize(ctx, address)
 			answered <- err == nil
 		}()
 	}
@@ -178,43 +178,43 @@
 func (m *Membership) round(ctx context.Context) {
 	snapshot, _ := m.node.Snapshot()
 	m.mu.Lock()
-	place := m.place.in(m.config.Self.Node, m.node.Peers(m.config.Prefix))
+	position := m.position.update(m.config.Self.Node, m.node.Peers(m.config.Prefix))
 	incarnation := m.incarnation
-	m.turn++
-	turn := m.turn
+	m.roundNumber++
+	round := m.roundNumber
 	now := m.now()
-	m.watched.Expect(now, place.watched)
+	m.watched.Expect(now, position.watched)
 	down := m.watched.Check(now)
 	m.mu.Unlock()
-	for _, lost := range down {
-		m.reportDown(lost)
+	for _, failed := range down {
+		m.reportDown(failed)
 	}
 	targets := map[string]struct{}{}
-	for _, address := range place.watchers {
+	for _, address := range position.watchers {
 		targets[address] = struct{}{}
 	}
-	if control := m.control(m.node.Peers(topic.Controls), turn); control != "" {
+	if control := m.chooseControl(m.node.Peers(topic.Controls), round); control != "" {
 		targets[control] = struct{}{}
 	}
 	for address := range targets {
 		go m.beat(ctx, address, incarnation)
 	}
-	m.seek(ctx, snapshot, now)
+	m.reconnect(ctx, snapshot, now)
 }
 
 func (m *Membership) beat(ctx context.Context, address string, incarnation uint64) {
 	sentAt := m.now()
-	standing, err := m.node.Beat(ctx, address, incarnation)
+	authority, err := m.node.Beat(ctx, address, incarnation)
 	if err != nil && ctx.Err() == nil {
 		m.config.Log.Info().Str("peer", address).Err(err).Msg("heartbeat not answered")
 	}
-	m.note(sentAt, standing, err)
+	m.recordContact(sentAt, authority, err)
 }
 
-// control chooses the control member of this round: usually one of the own zone, if there is one. A starter is chosen while no
+// chooseControl chooses the chooseControl member of this round: usually one of the own zone, if there is one. A starter is chosen while no
 // other member is known, and periodically in any case, because all members that this router knows may be gone. While no member
 // with a known leader has answered, the choice is among all members, and a starter in every second round.
-func (m *Membership) control(members []topic.Peer, turn int) string {
+func (m *Membership) chooseControl(members []topic.Peer, round int) string {
 	var near, others []topic.Peer
 	for _, member := range members {
 		if member.Address == m.config.Self.Address {
@@ -227,10 +227,10 @@
 	}
 	inContact := m.InContact(contactRounds * m.config.Interval)
 	starters := m.Starters()
-	if len(starters) > 0 && (len(others) == 0 || turn%(4*awayTurns) == 0 || !inContact && turn%2 == 0) {
+	if len(starters) > 0 && (len(others) == 0 || round%(4*remoteZoneRounds) == 0 || !inContact && round%2 == 0) {
 		return starters[rand.IntN(len(starters))]
 	}
-	if len(near) > 0 && inContact && turn%awayTurns != 0 {
+	if len(near) > 0 && inContact && round%remoteZoneRounds != 0 {
 		others = near
 	}
 	if len(others) == 0 {
@@ -240,50 +240,51 @@
 }
 
 // reportDown publishes that a watched router is down.
-func (m *Membership) reportDown(lost detector.Down) {
+func (m *Membership) reportDown(failed detector.Down) {
 	snapshot, _ := m.node.Snapshot()
-	entry, found := snapshot.Get(m.config.Prefix + lost.ID)
+	entry, found := snapshot.Get(m.config.Prefix + failed.ID)
 	if !found || topic.Down(entry) {
 		return
 	}
-	m.config.Log.Info().Str("peer", lost.ID).Int64("silent_ms", lost.Silent.Milliseconds()).Msg("a router is down")
+	m.config.Log.Info().Str("peer", failed.ID).Int64("silent_ms", failed.Silent.Milliseconds()).Msg("a router is down")
 	peer, _ := topic.PeerOf(entry) // seek skips it if it has no address
-	peer.Node = lost.ID
+	peer.Node = failed.ID
 	m.node.Put(topic.DownEntry(m.config.Prefix, peer, entry.Version.Major))
 }
 
-// heard records a heartbeat of another router.
-func (m *Membership) heard(beat message.Beat) {
+// recordHeartbeat records a heartbeat of another router.
+func (m *Membership) recordHeartbeat(beat message.Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.watched.Heard(m.now(), beat.From, beat.Incarnation)
+	m.watched.Heartbeat(m.now(), beat.From, beat.Incarnation)
 }
 
-// news handles changed entries: it refutes those that are wrong about this router and forwards all unless the others have them.
-func (m *Membership) news(news []replica.Entry, from string, known bool) {
+// handleChanges processes changed entries. It refutes those that are wrong about this router, and forwards all unless the others
+// are known to have them.
+func (m *Membership) handleChanges(changed []replica.Entry, from string, widelyKnown bool) {
 	own := m.config.Prefix + m.config.Self.Node
-	for _, entry := range news {
-		if entry.Key == own && m.contradicts(entry) {
+	for _, entry := range changed {
+		if entry.Key == own && m.mustRefute(entry) {
 			go m.Announce()
 		}
 	}
-	if m.config.OnNews != nil && from != "" {
-		m.config.OnNews(news)
+	if m.config.OnChange != nil && from != "" {
+		m.config.OnChange(changed)
 	}
-	if !known {
-		m.gather(news, from)
+	if !widelyKnown {
+		m.enqueue(changed, from)
 	}
 }
 
-// contradicts reports whether an entry about this router must be refuted: it says down, or has a larger incarnation.
-func (m *Membership) contradicts(entry replica.Entry) bool {
+// mustRefute reports whether an entry about this router must be refuted: it says down, or has a larger incarnation.
+func (m *Membership) mustRefute(entry replica.Entry) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.announced && !m.leaving && (topic.Down(entry) || entry.Version.Major > m.incarnation)
 }
 
-// others lists the live control members except this one.
-func (m *Membership) others() []topic.Peer {
+// otherControls lists the live control members except this one.
+func (m *Membership) otherControls() []topic.Peer {
 	var others []topic.Peer
 	for _, member := range m.node.Peers(topic.Controls) {
 		if member.Node != m.config.Self.Node {
--- a/internal/mesh/membership/place.go
+++ b/internal/mesh/membership/place.go
@@ -5,17 +5,17 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// place caches a router's position on its ring. It is recomputed only when the ring has changed, because that takes a hash of
-// each of hundreds of routers.
-type place struct {
+// ringPosition caches a router's neighbours on its ring. It is recomputed only when the ring has changed, because that hashes the
+// names of hundreds of routers.
+type ringPosition struct {
 	peers    []topic.Peer // the routers for which it was computed
 	watched  []string     // names of the routers that this one watches
 	watchers []string     // addresses of the routers that watch this one
 }
 
-// in returns the place of a router among peers.
-func (p *place) in(self string, peers []topic.Peer) place {
-	if p.isOf(peers) {
+// update recomputes the position of a router among peers if they have changed, and returns it.
+func (p *ringPosition) update(self string, peers []topic.Peer) ringPosition {
+	if p.isFor(peers) {
 		return *p
 	}
 	names := make([]string, 0, len(peers))
@@ -24,14 +24,14 @@
 		names = append(names, peer.Node)
 		addresses[peer.Node] = peer.Address
 	}
-	*p = place{peers: peers, watched: ring.Watched(self, names, watcherCount)}
+	*p = ringPosition{peers: peers, watched: ring.Watched(self, names, watcherCount)}
 	for _, watcher := range ring.Watchers(self, names, watcherCount) {
 		p.watchers = append(p.watchers, addresses[watcher])
 	}
 	return *p
 }
 
-// isOf reports whether the place was computed for this very slice. Lists of peers are rebuilt when one of them changes.
-func (p *place) isOf(peers []topic.Peer) bool {
+// isFor reports whether the position was computed for this very slice. Lists of peers are rebuilt when one of them changes.
+func (p *ringPosition) isFor(peers []topic.Peer) bool {
 	return len(peers) > 0 && len(p.peers) == len(peers) && &p.peers[0] == &peers[0]
 }
--- a/internal/mesh/membership/spread.go
+++ b/internal/mesh/membership/spread.go
@@ -14,97 +14,97 @@
 // which bounds a router's calls however many workers join and leave.
 const spreadInterval = 25 * time.Millisecond
 
-// gathered is a batch of changes to be forwarded. It is guarded by the lock of Membership.
-type gathered struct {
+// batch is a batch of changes to be forwarded. It is guarded by the lock of Membership.
+type batch struct {
 	entries map[string]replica.Entry // by key, the newest
 	sources map[string]struct{}      // the routers that sent them; "" for this router
 	due     bool                     // a push is scheduled
 	last    time.Duration            // time of the last push
 }
 
-// gather adds changes to the batch and schedules its push, at once if none was made within spreadInterval.
-func (m *Membership) gather(news []replica.Entry, from string) {
+// enqueue adds changes to the batch and schedules its push, at once if none was made within spreadInterval.
+func (m *Membership) enqueue(changed []replica.Entry, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.waiting.entries == nil {
-		m.waiting.entries = map[string]replica.Entry{}
-		m.waiting.sources = map[string]struct{}{}
+	if m.pending.entries == nil {
+		m.pending.entries = map[string]replica.Entry{}
+		m.pending.sources = map[string]struct{}{}
 	}
-	for _, entry := range news {
-		if known, found := m.waiting.entries[entry.Key]; !found || known.Version.Compare(entry.Version) < 0 {
-			m.waiting.entries[entry.Key] = entry
+	for _, entry := range changed {
+		if known, found := m.pending.entries[entry.Key]; !found || known.Version.Compare(entry.Version) < 0 {
+			m.pending.entries[entry.Key] = entry
 		}
 	}
-	m.waiting.sources[from] = struct{}{}
-	if m.waiting.due {
+	m.pending.sources[from] = struct{}{}
+	if m.pending.due {
 		return
 	}
-	m.waiting.due = true
-	wait := m.waiting.last + spreadInterval - m.now()
+	m.pending.due = true
+	wait := m.pending.last + spreadInterval - m.now()
 	if wait <= 0 {
-		go m.passOn()
+		go m.flush()
 		return
 	}
-	time.AfterFunc(wait, m.passOn)
+	time.AfterFunc(wait, m.flush)
 }
 
-// passOn pushes the batch.
-func (m *Membership) passOn() {
+// flush pushes the batch.
+func (m *Membership) flush() {
 	m.mu.Lock()
-	waiting := m.waiting
-	m.waiting = gathered{last: m.now()}
+	pending := m.pending
+	m.pending = batch{last: m.now()}
 	m.mu.Unlock()
-	news := make([]replica.Entry, 0, len(waiting.entries))
-	for _, entry := range waiting.entries {
-		news = append(news, entry)
+	changed := make([]replica.Entry, 0, len(pending.entries))
+	for _, entry := range pending.entries {
+		changed = append(changed, entry)
 	}
-	m.spread(news, waiting.sources)
+	m.spread(changed, pending.sources)
 }
 
 const (
-	// awayFanOut is the number of routers in each other zone to which a router pushes its own changes; one of them may be down.
-	awayFanOut = 2
-	// awayRelay is the same for changes that a control member received: their source may not reach all zones.
-	awayRelay = 1
+	// remoteFanOut is the number of routers in each other zone to which a router pushes its own changes; one of them may be down.
+	remoteFanOut = 2
+	// remoteRelayFanOut is the same for changes that a control member received: their source may not reach all zones.
+	remoteRelayFanOut = 1
 )
 
 // spread pushes changes to a few edge routers of the own zone. This router's own changes also go to a few of each other zone
 // and, from a control member, to all other control members. Changes thus cross between zones a few times, not once for each
 // router that receives them. If all changes come from a single router, it is left out.
-func (m *Membership) spread(news []replica.Entry, sources map[string]struct{}) {
+func (m *Membership) spread(changed []replica.Entry, sources map[string]struct{}) {
 	snapshot, _ := m.node.Snapshot()
 	zones, addresses := byZone(m.node.Peers(topic.Routers))
-	var but map[string]struct{}
+	var exclude map[string]struct{}
 	if len(sources) == 1 {
-		but = sources
+		exclude = sources
 	}
 	_, own := sources[""]
 	for zone, names := range zones {
 		count := m.config.FanOut
 		if zone != m.config.Self.Zone {
-			count = m.awayCount(own)
+			count = m.remoteCount(own)
 		}
 		seed := fnv.New64a()
 		_, _ = fmt.Fprintf(seed, "%s/%d/%s", m.config.Self.Node, snapshot.Revision(), zone) // never fails
-		for _, name := range ring.Spread(seed.Sum64(), m.config.Self.Node, names, count, but) {
-			go m.push(addresses[name], news)
+		for _, name := range ring.Spread(seed.Sum64(), m.config.Self.Node, names, count, exclude) {
+			go m.push(addresses[name], changed)
 		}
 	}
 	if m.config.Prefix != topic.Controls || !own {
 		return
 	}
-	for _, member := range m.others() {
-		go m.push(member.Address, news)
+	for _, member := range m.otherControls() {
+		go m.push(member.Address, changed)
 	}
 }
 
-// awayCount is the number of routers in each other zone to which changes are pushed.
-func (m *Membership) awayCount(own bool) int {
+// remoteCount is the number of routers in each other zone to which changes are pushed.
+func (m *Membership) remoteCount(own bool) int {
 	switch {
 	case own:
-		return awayFanOut
+		return remoteFanOut
 	case m.config.Prefix == topic.Controls:
-		return awayRelay
+		return remoteRelayFanOut
 	}
 	return 0
 }
--- a/internal/mesh/membership/spread_test.go
+++ b/internal/mesh/membership/spread_test.go
@@ -26,15 +26,15 @@
 	pushes [][]replica.Entry
 }
 
-func (n *neighbour) take(_ context.Context, sync *message.Sync) (*message.SyncAnswer, error) {
+func (n *neighbour) record(_ context.Context, sync *message.Sync) (*message.SyncAnswer, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.pushes = append(n.pushes, sync.Entries)
 	return &message.SyncAnswer{}, nil
 }
 
-// taken returns the number of pushes since its last call, and of the entries in them.
-func (n *neighbour) taken() (pushes, entries int) {
+// drain returns the number of pushes since its last call, and of the entries in them.
+func (n *neighbour) drain() (pushes, entries int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, push := range n.pushes {
@@ -50,14 +50,14 @@
 	otherAddress = "10.0.0.2:7000"
 )
 
-// beside runs a test with a router that knows one other.
-func beside(t *testing.T, story func(c *qt.C, own *membership.Membership, other *neighbour)) {
+// withNeighbour runs a test with a router that knows one other.
+func withNeighbour(t *testing.T, run func(c *qt.C, own *membership.Membership, other *neighbour)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		fabric := memnet.New(time.Millisecond)
 		other := &neighbour{}
 		mux := http.NewServeMux()
-		message.CallSync.Handle(mux, other.take)
+		message.CallSync.Handle(mux, other.record)
 		server := rpc.NewServer(fabric.Machine("10.0.0.2").Process(), mux)
 		c.Assert(server.Serve(otherAddress), qt.IsNil)
 		own := membership.New(membership.Config{
@@ -70,8 +70,8 @@
 		})
 		own.Node().Put(topic.PeerEntry(topic.Routers, topic.Peer{Node: "other", Address: otherAddress}, 1))
 		time.Sleep(time.Second)
-		other.taken()
-		story(c, own, other)
+		other.drain()
+		run(c, own, other)
 		c.Assert(server.Close(), qt.IsNil)
 		time.Sleep(time.Minute) // until idle connections are closed
 	})
@@ -82,18 +82,18 @@
 	return replica.Entry{Key: fmt.Sprintf("%sw-%d", topic.Workers, number), Version: replica.Version{Minor: version}, Value: []byte("x")}
 }
 
-func TestNewsThatComesAloneIsPassedOnAtOnce(t *testing.T) {
-	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
+func TestSingleChangeIsForwardedAtOnce(t *testing.T) {
+	withNeighbour(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
 		own.Node().Put(entry(1, 1))
 		time.Sleep(10 * time.Millisecond) // connecting and the push take three crossings of the link
-		pushes, entries := other.taken()
+		pushes, entries := other.drain()
 		c.Assert(pushes, qt.Equals, 1)
 		c.Assert(entries, qt.Equals, 1)
 	})
 }
 
-func TestNewsIsGatheredWhileMuchChanges(t *testing.T) {
-	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
+func TestFrequentChangesAreBatched(t *testing.T) {
+	withNeighbour(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
 		// Given a thousand changes in a second, two of each worker,
 		for number := range 1000 {
 			own.Node().Put(entry(number%500, uint64(1+number/500)))
@@ -101,21 +101,21 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		// then the other router receives all of them in few calls.
-		pushes, entries := other.taken()
+		pushes, entries := other.drain()
 		c.Assert(pushes <= 42, qt.IsTrue, qt.Commentf("%d pushes", pushes))
 		c.Assert(entries, qt.Equals, 1000)
 	})
 }
 
-func TestOnlyTheNewestOfAWorkerIsPassedOn(t *testing.T) {
-	beside(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
+func TestOnlyNewestEntryOfWorkerIsForwarded(t *testing.T) {
+	withNeighbour(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
 		// Given one worker that changes continually,
 		for version := range 100 {
 			own.Node().Put(entry(1, uint64(version+1)))
 		}
 		time.Sleep(100 * time.Millisecond)
 		// then at most the first and the last change are pushed.
-		_, entries := other.taken()
+		_, entries := other.drain()
 		c.Assert(entries <= 2, qt.IsTrue, qt.Commentf("%d entries", entries))
 	})
 }
--- a/internal/mesh/message/link.go
+++ b/internal/mesh/message/link.go
@@ -9,8 +9,8 @@
 	LinkSeeking Link = iota
 	// LinkUnconfirmed: the configuration comes from a control member or another router, without confirmation by a majority.
 	LinkUnconfirmed
-	// LinkDisks: a majority of the voters has reported what is stored on disk, but no leader has confirmed it yet.
-	LinkDisks
+	// LinkDiskMajority: a majority of the voters has reported what is stored on disk, but no leader has confirmed it yet.
+	LinkDiskMajority
 	// LinkLost: the configuration was confirmed since this router started, but no control member with a known leader has
 	// responded recently. Later changes are not known here.
 	LinkLost
@@ -25,7 +25,7 @@
 		return "seeking"
 	case LinkUnconfirmed:
 		return "unconfirmed"
-	case LinkDisks:
+	case LinkDiskMajority:
 		return "known to a majority of the disks"
 	case LinkLost:
 		return "out of contact"
@@ -44,7 +44,7 @@
 	case LinkUnconfirmed:
 		return "no majority of the control members stands behind the configuration: this router serves by it, and it may be old; " +
 			"look at its links, at the starters in its boot file, and at how many control members run"
-	case LinkDisks:
+	case LinkDiskMajority:
 		return "no leader is known yet: an order that was acknowledged in the last moment before a loss of all power may not be in force; " +
 			"if this lasts for more than a few seconds, count the control members that run and reach each other"
 	case LinkLost:
--- a/internal/mesh/message/message.go
+++ b/internal/mesh/message/message.go
@@ -14,20 +14,20 @@
 	Brief       bool   `cbor:"4,keyasint,omitempty"` // omit the digest from the response
 }
 
-// BeatAnswer holds the standing of the watcher's copy, and its digest if the checksums differ.
+// BeatAnswer holds the authority of the watcher's copy, and its digest if the checksums differ.
 type BeatAnswer struct {
-	Digest   *replica.Digest `cbor:"1,keyasint,omitempty"`
-	Standing Standing        `cbor:"2,keyasint,omitempty"`
+	Digest    *replica.Digest `cbor:"1,keyasint,omitempty"`
+	Authority Authority       `cbor:"2,keyasint,omitempty"`
 }
 
-// Standing is the authority of a router's copy of the fleet's state.
-type Standing uint8
+// Authority ranks the source of a router's copy of the fleet's state.
+type Authority uint8
 
-// The standings.
+// The levels of authority, in ascending order.
 const (
-	Hearsay Standing = iota // gossip from other routers: an edge router, or a control member that is not a voter
-	Durable                 // state on a voter's own disk; the voter knows no leader
-	Led                     // state of a voter in contact with its leader, which has the support of a majority
+	Gossiped     Authority = iota // gossip from other routers: an edge router, or a control member that is not a voter
+	Durable                       // state on a voter's own disk; the voter knows no leader
+	LeaderBacked                  // state of a voter in contact with its leader, which has the support of a majority
 )
 
 // Sync carries entries. If it has a digest, the response holds the entries that the sender may lack: all in the buckets that
@@ -88,26 +88,26 @@
 type Watch struct {
 	Revision uint64 `cbor:"1,keyasint,omitempty"` // of the snapshot that the proxy has
 	Settings uint64 `cbor:"2,keyasint,omitempty"` // index of the configuration that the proxy has
-	Life     uint64 `cbor:"3,keyasint,omitempty"` // identifies the run of the agent that sent them
+	AgentRun uint64 `cbor:"3,keyasint,omitempty"` // identifies the run of the agent that sent them
 }
 
 // Snapshot is the state of the fleet as an agent knows it.
 type Snapshot struct {
-	Revision uint64          `cbor:"1,keyasint,omitempty"`
-	Life     uint64          `cbor:"2,keyasint,omitempty"`
-	Settings uint64          `cbor:"3,keyasint,omitempty"` // index of the newest configuration; 0 if none is known
-	Document []byte          `cbor:"4,keyasint,omitempty"` // that configuration; empty if the proxy has it
-	Workers  []replica.Entry `cbor:"5,keyasint,omitempty"`
-	Routers  []string        `cbor:"6,keyasint,omitempty"`  // IP addresses of the edge routers that are alive, this one included
-	Same     bool            `cbor:"7,keyasint,omitempty"`  // nothing has changed
-	Orders   []replica.Entry `cbor:"8,keyasint,omitempty"`  // pending phase changes of workers
-	Link     Link            `cbor:"9,keyasint,omitempty"`  // the agent's link to the control plane; sent also if nothing else has changed
-	Near     []string        `cbor:"10,keyasint,omitempty"` // those of Routers in the same zone
-	// Part marks a delta to the revision that the proxy knows. Workers then holds the changed entries and Gone the keys of
-	// those removed. Routers and Near are omitted if unchanged.
-	Part        bool     `cbor:"11,keyasint,omitempty"`
-	Gone        []string `cbor:"12,keyasint,omitempty"`
-	SameRouters bool     `cbor:"13,keyasint,omitempty"`
+	Revision  uint64          `cbor:"1,keyasint,omitempty"`
+	AgentRun  uint64          `cbor:"2,keyasint,omitempty"`
+	Settings  uint64          `cbor:"3,keyasint,omitempty"` // index of the newest configuration; 0 if none is known
+	Document  []byte          `cbor:"4,keyasint,omitempty"` // that configuration; empty if the proxy has it
+	Workers   []replica.Entry `cbor:"5,keyasint,omitempty"`
+	Routers   []string        `cbor:"6,keyasint,omitempty"`  // IP addresses of the edge routers that are alive, this one included
+	Unchanged bool            `cbor:"7,keyasint,omitempty"`  // nothing has changed
+	Orders    []replica.Entry `cbor:"8,keyasint,omitempty"`  // pending phase changes of workers
+	Link      Link            `cbor:"9,keyasint,omitempty"`  // the agent's link to the control plane; sent also if nothing else has changed
+	SameZone  []string        `cbor:"10,keyasint,omitempty"` // those of Routers in the same zone
+	// Delta marks a delta to the revision that the proxy knows. Workers then holds the changed entries and Removed the keys
+	// of those removed. Routers and SameZone are omitted if unchanged.
+	Delta            bool     `cbor:"11,keyasint,omitempty"`
+	Removed          []string `cbor:"12,keyasint,omitempty"`
+	RoutersUnchanged bool     `cbor:"13,keyasint,omitempty"`
 }
 
 // CallWatch is served by agents on the loopback interface.
--- a/internal/mesh/message/message_size_test.go
+++ b/internal/mesh/message/message_size_test.go
@@ -26,25 +26,25 @@
 	fleetWorkers  = 600
 )
 
-// pipes is an in-memory network with one server. It counts the bytes of its connections in both directions together.
-type pipes struct {
+// pipeNetwork is an in-memory network with one server. It counts the bytes of its connections in both directions together.
+type pipeNetwork struct {
 	incoming chan net.Conn
 	bytes    atomic.Int64
 }
 
-func newPipes() *pipes { return &pipes{incoming: make(chan net.Conn)} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{incoming: make(chan net.Conn)} }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return p, nil }
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return p, nil }
 
-func (p *pipes) Dial(context.Context, string, network.Terms) (net.Conn, error) {
+func (p *pipeNetwork) Dial(context.Context, string, network.DialOptions) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.incoming <- far
-	return &counted{Conn: near, bytes: &p.bytes}, nil
+	return &countedConn{Conn: near, bytes: &p.bytes}, nil
 }
 
-func (p *pipes) ListenPacket(string) (net.PacketConn, error) { return nil, net.ErrClosed }
+func (p *pipeNetwork) ListenPacket(string) (net.PacketConn, error) { return nil, net.ErrClosed }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	conn, open := <-p.incoming
 	if !open {
 		return nil, net.ErrClosed
@@ -52,39 +52,39 @@
 	return conn, nil
 }
 
-func (p *pipes) Close() error { return nil }
+func (p *pipeNetwork) Close() error { return nil }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7700} }
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7700} }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(into []byte) (int, error) {
+func (c *countedConn) Read(into []byte) (int, error) {
 	size, err := c.Conn.Read(into)
 	c.bytes.Add(int64(size))
 	return size, err
 }
 
-func (c *counted) Write(from []byte) (int, error) {
+func (c *countedConn) Write(from []byte) (int, error) {
 	size, err := c.Conn.Write(from)
 	c.bytes.Add(int64(size))
 	return size, err
 }
 
-// serving is an in-memory server of mesh calls with a client.
-type serving struct {
-	over   *pipes
+// meshServer is an in-memory server of mesh calls with a client.
+type meshServer struct {
+	pipes  *pipeNetwork
 	client *rpc.Client
 	digest *replica.Digest // sent in each heartbeat response unless nil
 }
 
 const address = "10.0.0.1:7700"
 
-func serve(t testing.TB) *serving {
+func serve(t testing.TB) *meshServer {
 	t.Helper()
-	s := &serving{over: newPipes()}
+	s := &meshServer{pipes: newPipeNetwork()}
 	mux := http.NewServeMux()
 	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
 		return &message.BeatAnswer{Digest: s.digest}, nil
@@ -92,32 +92,32 @@
 	message.CallSync.Handle(mux, func(context.Context, *message.Sync) (*message.SyncAnswer, error) {
 		return &message.SyncAnswer{}, nil
 	})
-	server := rpc.NewServer(s.over, mux)
+	server := rpc.NewServer(s.pipes, mux)
 	qt.Assert(t, server.Serve(address), qt.IsNil)
 	t.Cleanup(func() {
-		close(s.over.incoming)
+		close(s.pipes.incoming)
 		_ = server.Close() // the test is over
 	})
-	s.client = rpc.NewClient(s.over)
+	s.client = rpc.NewClient(s.pipes)
 	return s
 }
 
-func (s *serving) beat(t testing.TB) {
+func (s *meshServer) beat(t testing.TB) {
 	_, err := message.CallBeat.Call(t.Context(), s.client, address, beat())
 	qt.Assert(t, err, qt.IsNil)
 }
 
-func (s *serving) sync(t testing.TB, entries ...replica.Entry) {
+func (s *meshServer) sync(t testing.TB, entries ...replica.Entry) {
 	_, err := message.CallSync.Call(t.Context(), s.client, address, &message.Sync{From: "edge-zone-1-17", Entries: entries})
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// wire returns the bytes of one call in both directions on a connection that is already open.
-func (s *serving) wire(call func()) int64 {
+// wireBytes returns the bytes of one call in both directions on a connection that is already open.
+func (s *meshServer) wireBytes(call func()) int64 {
 	call()
-	before := s.over.bytes.Load()
+	before := s.pipes.bytes.Load()
 	call()
-	return s.over.bytes.Load() - before
+	return s.pipes.bytes.Load() - before
 }
 
 func beat() *message.Beat {
@@ -159,7 +159,7 @@
 
 // snapshot is an agent's response to its proxy in the large fleet, without a configuration.
 func snapshot() *message.Snapshot {
-	answer := &message.Snapshot{Revision: 123456, Life: 1 << 60, Settings: 4321, Workers: workerEntries()}
+	answer := &message.Snapshot{Revision: 123456, AgentRun: 1 << 60, Settings: 4321, Workers: workerEntries()}
 	for number := range fleetRouters {
 		answer.Routers = append(answer.Routers, fmt.Sprintf("10.%d.%d.4", number%7, number/7))
 	}
@@ -173,13 +173,13 @@
 }
 
 // The bounds back the figures in docs/CAPACITY.md. If a message outgrows its bound, review the figures there.
-func TestMessagesKeepToTheirSizes(t *testing.T) {
+func TestMessageSizesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	digest := replica.Digest{}
 	sizes := []struct {
-		name string
-		most int // bytes
-		size int
+		name  string
+		limit int // bytes
+		size  int
 	}{
 		{"heartbeat", 32, encoded(c, beat())},
 		{"heartbeat's response, equal", 1, encoded(c, message.BeatAnswer{})},
@@ -188,19 +188,19 @@
 		{"one router's entry", 100, encoded(c, routerEntry(379))},
 		{"state of the large fleet", 100_000, encoded(c, snapshot())},
 	}
-	for _, one := range sizes {
-		c.Logf("%s: %d bytes", one.name, one.size)
-		c.Check(one.size <= one.most, qt.IsTrue, qt.Commentf("%s has %d bytes, more than the bound of %d", one.name, one.size, one.most))
+	for _, encoding := range sizes {
+		c.Logf("%s: %d bytes", encoding.name, encoding.size)
+		c.Check(encoding.size <= encoding.limit, qt.IsTrue, qt.Commentf("%s has %d bytes, bound is %d", encoding.name, encoding.size, encoding.limit))
 	}
 }
 
-func TestCallsKeepToTheirSizesOnTheWire(t *testing.T) {
+func TestCallSizesOnTheWireAreBounded(t *testing.T) {
 	c := qt.New(t)
 	s := serve(t)
-	check := func(name string, most int64, call func()) {
-		size := s.wire(call)
+	check := func(name string, limit int64, call func()) {
+		size := s.wireBytes(call)
 		c.Logf("%s: %d bytes on the wire in both directions", name, size)
-		c.Check(size <= most, qt.IsTrue, qt.Commentf("%s takes %d bytes, more than the bound of %d", name, size, most))
+		c.Check(size <= limit, qt.IsTrue, qt.Commentf("%s takes %d bytes, bound is %d", name, size, limit))
 	}
 	check("heartbeat", 260, func() { s.beat(t) })
 	check("push of one worker", 370, func() { s.sync(t, workerEntry(599)) })
--- a/internal/mesh/network/network.go
+++ b/internal/mesh/network/network.go
@@ -19,16 +19,16 @@
 	// Listen accepts TCP connections at an address.
 	Listen(address string) (net.Listener, error)
 	// Dial opens a TCP connection to an address. The context bounds the time to connect, not the connection's lifetime.
-	Dial(ctx context.Context, address string, terms Terms) (net.Conn, error)
+	Dial(ctx context.Context, address string, options DialOptions) (net.Conn, error)
 	// ListenPacket sends and receives UDP datagrams at an address.
 	ListenPacket(address string) (net.PacketConn, error)
 }
 
-// Terms are the options of a connection. The zero value stands for the operating system's defaults.
-type Terms struct {
-	Limit       time.Duration // timeout to connect; 0: the system's default
-	Silence     time.Duration // how long written bytes may stay unacknowledged before the connection is closed; 0: the system's default
-	NoKeepAlive bool          // disables TCP keep-alive probes
+// DialOptions are the options of a connection. The zero value stands for the operating system's defaults.
+type DialOptions struct {
+	Timeout        time.Duration // timeout to connect; 0: the system's default
+	UnackedTimeout time.Duration // limit for written bytes to stay unacknowledged; 0: the system's default
+	NoKeepAlive    bool          // disables TCP keep-alive probes
 }
 
 // Quieter is a connection that can report whether it is open and has no data to read. The state of the operating system's
--- a/internal/mesh/network/system.go
+++ b/internal/mesh/network/system.go
@@ -23,13 +23,13 @@
 }
 
 // Dial implements Network.
-func (System) Dial(ctx context.Context, address string, terms Terms) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: terms.Limit}
-	if terms.NoKeepAlive {
+func (System) Dial(ctx context.Context, address string, options DialOptions) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: options.Timeout}
+	if options.NoKeepAlive {
 		dialer.KeepAlive = -1
 	}
-	if terms.Silence > 0 {
-		dialer.Control = userTimeout(terms.Silence)
+	if options.UnackedTimeout > 0 {
+		dialer.Control = userTimeout(options.UnackedTimeout)
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
@@ -46,10 +46,10 @@
 // userTimeout makes the kernel close a connection whose peer acknowledges nothing, such as a machine that has lost power.
 func userTimeout(silence time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(descriptor uintptr) {
-			failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}
 }
--- a/internal/mesh/network/system_test.go
+++ b/internal/mesh/network/system_test.go
@@ -24,8 +24,8 @@
 		}
 	}()
 	// when it is dialed with options, then the connection carries bytes,
-	terms := Terms{Limit: time.Second, Silence: time.Second, NoKeepAlive: true}
-	conn, err := System{}.Dial(context.Background(), listener.Addr().String(), terms)
+	options := DialOptions{Timeout: time.Second, UnackedTimeout: time.Second, NoKeepAlive: true}
+	conn, err := System{}.Dial(context.Background(), listener.Addr().String(), options)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	text, err := io.ReadAll(conn)
@@ -48,7 +48,7 @@
 	_, err = from.WriteTo([]byte("x"), to.LocalAddr())
 	c.Assert(err, qt.IsNil)
 	buffer := make([]byte, 8)
-	n, _, err := to.ReadFrom(buffer)
+	size, _, err := to.ReadFrom(buffer)
 	c.Assert(err, qt.IsNil)
-	c.Assert(string(buffer[:n]), qt.Equals, "x")
+	c.Assert(string(buffer[:size]), qt.Equals, "x")
 }
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// callLimit is the timeout of one call to a peer.
-	callLimit = 700 * time.Millisecond
+	// callTimeout is the timeout of one call to a peer.
+	callTimeout = 700 * time.Millisecond
 	// syncBytes bounds the size of the entries in one response.
 	syncBytes = 256 << 10
 )
@@ -28,29 +28,29 @@
 	client *rpc.Client
 	log    zerolog.Logger
 
-	mu       sync.Mutex
-	entries  *replica.Map
-	changed  chan struct{} // closed at the next change
-	onNews   func(news []replica.Entry, from string, known bool)
-	onBeat   func(beat message.Beat)
-	standing func() message.Standing
-	snapshot replica.Snapshot
-	peers    map[string]*peers // by prefix
-	first    chan struct{}     // a semaphore of size 1, held by the first exchange of an empty copy
+	mu            sync.Mutex
+	entries       *replica.Map
+	changed       chan struct{} // closed at the next change
+	onChange      func(changed []replica.Entry, from string, widelyKnown bool)
+	onHeartbeat   func(beat message.Beat)
+	authority     func() message.Authority
+	snapshot      replica.Snapshot
+	peers         map[string]*peers // by prefix
+	firstExchange chan struct{}     // a semaphore of size 1, held by the first exchange of an empty copy
 }
 
-// New makes a node. onNews is called with the changed entries, without the node's lock and in the caller's goroutine. Its
+// New makes a node. onChange is called with the changed entries, without the node's lock and in the caller's goroutine. Its
 // other arguments are the peer that sent them ("" for this router) and whether the other routers are known to have them,
-// which holds for a large repair. onBeat is called for each heartbeat. Either may be nil.
-func New(name string, client *rpc.Client, log zerolog.Logger, onNews func([]replica.Entry, string, bool), onBeat func(message.Beat)) *Node {
-	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onNews: onNews, onBeat: onBeat,
-		peers: map[string]*peers{}, first: make(chan struct{}, 1)}
+// which holds for a large repair. onHeartbeat is called for each heartbeat. Either may be nil.
+func New(name string, client *rpc.Client, log zerolog.Logger, onChange func([]replica.Entry, string, bool), onHeartbeat func(message.Beat)) *Node {
+	n := &Node{name: name, client: client, log: log, entries: replica.New(), changed: make(chan struct{}), onChange: onChange, onHeartbeat: onHeartbeat,
+		peers: map[string]*peers{}, firstExchange: make(chan struct{}, 1)}
 	n.snapshot = n.entries.Snapshot()
 	return n
 }
 
-// TellStanding sets the source of the standing in heartbeat responses. Call it before Handle.
-func (n *Node) TellStanding(standing func() message.Standing) { n.standing = standing }
+// SetAuthority sets the function that provides the authority in heartbeat responses. Call it before Handle.
+func (n *Node) SetAuthority(authority func() message.Authority) { n.authority = authority }
 
 // Handle serves the node's calls on the mux.
 func (n *Node) Handle(mux *http.ServeMux) {
@@ -61,8 +61,8 @@
 // Put merges this router's own entries.
 func (n *Node) Put(entries ...replica.Entry) { n.merge(entries, "", false) }
 
-// Take merges entries received from a peer.
-func (n *Node) Take(from string, entries ...replica.Entry) { n.merge(entries, from, false) }
+// Receive merges entries received from a peer.
+func (n *Node) Receive(from string, entries ...replica.Entry) { n.merge(entries, from, false) }
 
 // Snapshot returns the current map and a channel that is closed at its next change.
 func (n *Node) Snapshot() (replica.Snapshot, <-chan struct{}) {
@@ -82,32 +82,32 @@
 	}
 }
 
-// mostRepaired is the largest repair whose entries are forwarded. A copy that lacked more was new or partitioned, so the
+// maxForwardedRepair is the largest repair whose entries are forwarded. A copy that lacked more was new or partitioned, so the
 // other routers have the entries. Any router that still lacks some receives them in its own repairs.
-const mostRepaired = 64
+const maxForwardedRepair = 64
 
 // merge merges entries from a peer or from this router (""). Repaired entries were found by comparing copies.
 func (n *Node) merge(entries []replica.Entry, from string, repaired bool) {
 	if len(entries) == 0 {
 		return
 	}
-	news := n.accept(entries)
-	if len(news) > 0 && n.onNews != nil {
-		n.onNews(news, from, repaired && len(news) > mostRepaired)
+	changed := n.accept(entries)
+	if len(changed) > 0 && n.onChange != nil {
+		n.onChange(changed, from, repaired && len(changed) > maxForwardedRepair)
 	}
 }
 
 func (n *Node) accept(entries []replica.Entry) []replica.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	news := n.entries.Merge(entries)
-	if len(news) > 0 {
+	changed := n.entries.Merge(entries)
+	if len(changed) > 0 {
 		n.snapshot = n.entries.Snapshot()
-		n.notePeers(news)
+		n.invalidatePeers(changed)
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
-	return news
+	return changed
 }
 
 func (n *Node) digest() replica.Digest {
@@ -118,12 +118,12 @@
 
 // beat handles a heartbeat.
 func (n *Node) beat(_ context.Context, beat *message.Beat) (*message.BeatAnswer, error) {
-	if n.onBeat != nil {
-		n.onBeat(*beat)
+	if n.onHeartbeat != nil {
+		n.onHeartbeat(*beat)
 	}
 	answer := &message.BeatAnswer{}
-	if n.standing != nil {
-		answer.Standing = n.standing()
+	if n.authority != nil {
+		answer.Authority = n.authority()
 	}
 	if digest := n.digest(); !beat.Brief && digest.Sum() != beat.Sum {
 		answer.Digest = &digest
@@ -142,34 +142,34 @@
 	if len(sync.Held) == 0 {
 		return &message.SyncAnswer{Entries: n.entries.Missing(*sync.Digest, syncBytes)}, nil
 	}
-	entries, wanted := n.entries.Lacking(*sync.Digest, sync.Held, syncBytes)
+	entries, wanted := n.entries.Compare(*sync.Digest, sync.Held, syncBytes)
 	return &message.SyncAnswer{Entries: entries, Wanted: wanted}, nil
 }
 
 // Beat sends a heartbeat to a peer and exchanges entries if the copies differ, so that both become equal. It returns the
-// standing of the peer's copy.
-func (n *Node) Beat(ctx context.Context, address string, incarnation uint64) (message.Standing, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// authority of the peer's copy.
+func (n *Node) Beat(ctx context.Context, address string, incarnation uint64) (message.Authority, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := n.call(ctx, address, message.Beat{Incarnation: incarnation})
 	if err != nil {
-		return message.Hearsay, err
+		return message.Gossiped, err
 	}
 	if answer.Digest == nil {
-		return answer.Standing, nil
+		return answer.Authority, nil
 	}
-	return answer.Standing, n.exchange(ctx, address, *answer.Digest)
+	return answer.Authority, n.exchange(ctx, address, *answer.Digest)
 }
 
-// Standing returns the standing of a peer's copy without exchanging entries.
-func (n *Node) Standing(ctx context.Context, address string) (message.Standing, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// Authority returns the authority of a peer's copy without exchanging entries.
+func (n *Node) Authority(ctx context.Context, address string) (message.Authority, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := n.call(ctx, address, message.Beat{Brief: true})
 	if err != nil {
-		return message.Hearsay, err
+		return message.Gossiped, err
 	}
-	return answer.Standing, nil
+	return answer.Authority, nil
 }
 
 // call sends a heartbeat.
@@ -178,12 +178,12 @@
 	return message.CallBeat.Call(ctx, n.client, address, &beat)
 }
 
-// firstWait is how long an exchange waits for another one to end while the copy is empty.
-const firstWait = 100 * time.Millisecond
+// firstExchangeWait is how long an exchange waits for another one to end while the copy is empty.
+const firstExchangeWait = 100 * time.Millisecond
 
-// enter waits, while the copy is empty, for an exchange in progress, so that the same entries are not transferred twice.
-// The caller must call leave when its own exchange ends.
-func (n *Node) enter(ctx context.Context) (leave func()) {
+// awaitFirstExchange waits, while the copy is empty, for an exchange in progress, so that the same entries are not transferred
+// twice. The caller must call leave when its own exchange ends.
+func (n *Node) awaitFirstExchange(ctx context.Context) (leave func()) {
 	n.mu.Lock()
 	empty := n.entries.Len() == 0
 	n.mu.Unlock()
@@ -191,9 +191,9 @@
 		return func() {}
 	}
 	select {
-	case n.first <- struct{}{}:
-		return func() { <-n.first }
-	case <-time.After(firstWait):
+	case n.firstExchange <- struct{}{}:
+		return func() { <-n.firstExchange }
+	case <-time.After(firstExchangeWait):
 	case <-ctx.Done():
 	}
 	return func() {}
@@ -201,13 +201,13 @@
 
 // exchange requests the entries that this copy lacks, then sends those that the peer requests in return.
 func (n *Node) exchange(ctx context.Context, address string, theirs replica.Digest) error {
-	leave := n.enter(ctx)
+	leave := n.awaitFirstExchange(ctx)
 	defer leave()
 	n.mu.Lock()
-	digest, held := n.entries.Digest(), n.entries.Held(theirs)
+	digest, held := n.entries.Digest(), n.entries.DifferingFingerprints(theirs)
 	n.mu.Unlock()
-	question := &message.Sync{From: n.name, Digest: &digest, Held: held}
-	answer, err := message.CallSync.Call(ctx, n.client, address, question)
+	request := &message.Sync{From: n.name, Digest: &digest, Held: held}
+	answer, err := message.CallSync.Call(ctx, n.client, address, request)
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 		return nil
 	}
 	n.mu.Lock()
-	wanted := n.entries.Named(answer.Wanted, syncBytes)
+	wanted := n.entries.ByFingerprint(answer.Wanted, syncBytes)
 	n.mu.Unlock()
 	if len(wanted) == 0 {
 		return nil // superseded meanwhile
@@ -227,7 +227,7 @@
 
 // Push sends entries to a peer.
 func (n *Node) Push(ctx context.Context, address string, entries []replica.Entry) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := message.CallSync.Call(ctx, n.client, address, &message.Sync{From: n.name, Entries: entries})
 	return err
--- a/internal/mesh/node/peers.go
+++ b/internal/mesh/node/peers.go
@@ -30,8 +30,8 @@
 	return held.alive
 }
 
-// notePeers invalidates the cached peers under a prefix if an entry below it has changed. The caller holds the lock.
-func (n *Node) notePeers(changed []replica.Entry) {
+// invalidatePeers invalidates the cached peers under a prefix if an entry below it has changed. The caller holds the lock.
+func (n *Node) invalidatePeers(changed []replica.Entry) {
 	for prefix, held := range n.peers {
 		for i := range changed {
 			if strings.HasPrefix(changed[i].Key, prefix) {
--- a/internal/mesh/replica/entry.go
+++ b/internal/mesh/replica/entry.go
@@ -47,7 +47,7 @@
 	return bytes.Compare(e.Value, other.Value) > 0
 }
 
-// Size is the number of bytes that the entry takes of the limits of Map.Missing, Map.Lacking and Map.Named.
+// Size is the number of bytes that the entry takes of the limits of Map.Missing, Map.Compare and Map.ByFingerprint.
 func (e Entry) Size() int {
 	const versionBytes = 16
 	return len(e.Key) + versionBytes + len(e.Value)
--- a/internal/mesh/replica/fingerprints.go
+++ b/internal/mesh/replica/fingerprints.go
@@ -23,29 +23,29 @@
 	return set
 }
 
-// Held returns the fingerprints of the entries in the buckets that differ from another copy's.
-func (m *Map) Held(theirs Digest) Fingerprints {
+// DifferingFingerprints returns the fingerprints of the entries in the buckets that differ from another copy's.
+func (m *Map) DifferingFingerprints(theirs Digest) Fingerprints {
 	var held Fingerprints
 	m.eachDiffering(theirs, func(entry Entry) { held = held.add(entry) })
 	return held
 }
 
-// Lacking compares this copy with another that holds exactly the given fingerprints in the buckets that differ. It returns the
+// Compare compares this copy with another that holds exactly the given fingerprints in the buckets that differ. It returns the
 // entries that the other copy lacks, up to limit bytes (see Entry.Size) but at least one, and the fingerprints of the other's
 // entries that this copy lacks or holds at another version. Entries beyond the limit follow at the next comparison, when the
 // other copy lists those that it received.
-func (m *Map) Lacking(theirs Digest, held Fingerprints, limit int) (entries []Entry, wanted Fingerprints) {
+func (m *Map) Compare(theirs Digest, held Fingerprints, limit int) (entries []Entry, wanted Fingerprints) {
 	known := held.set()
-	left := limit
+	bytesLeft := limit
 	m.eachDiffering(theirs, func(entry Entry) {
 		print := entry.fingerprint()
 		if known[print] {
 			delete(known, print)
 			return
 		}
-		if len(entries) == 0 || entry.Size() <= left {
+		if len(entries) == 0 || entry.Size() <= bytesLeft {
 			entries = append(entries, entry)
-			left -= entry.Size()
+			bytesLeft -= entry.Size()
 		}
 	})
 	for rest := held; len(rest) >= fingerprintBytes; rest = rest[fingerprintBytes:] {
@@ -56,16 +56,16 @@
 	return entries, wanted
 }
 
-// Named lists the entries with the given fingerprints, up to limit bytes but at least one.
-func (m *Map) Named(wanted Fingerprints, limit int) (entries []Entry) {
-	names := wanted.set()
-	left := limit
+// ByFingerprint lists the entries with the given fingerprints, up to limit bytes but at least one.
+func (m *Map) ByFingerprint(wanted Fingerprints, limit int) (entries []Entry) {
+	set := wanted.set()
+	bytesLeft := limit
 	iterator := m.entries.Iterator()
 	for iterator.First(); !iterator.Done(); {
 		_, entry, _ := iterator.Next()
-		if names[entry.fingerprint()] && (len(entries) == 0 || entry.Size() <= left) {
+		if set[entry.fingerprint()] && (len(entries) == 0 || entry.Size() <= bytesLeft) {
 			entries = append(entries, entry)
-			left -= entry.Size()
+			bytesLeft -= entry.Size()
 		}
 	}
 	return entries
--- a/internal/mesh/replica/fingerprints_test.go
+++ b/internal/mesh/replica/fingerprints_test.go
@@ -14,9 +14,9 @@
 // that the first lacks and requests those that it lacks itself.
 func compare(one, other *replica.Map, limit int) (sent int) {
 	mine := one.Digest()
-	entries, wanted := other.Lacking(mine, one.Held(other.Digest()), limit)
+	entries, wanted := other.Compare(mine, one.DifferingFingerprints(other.Digest()), limit)
 	one.Merge(entries)
-	returned := one.Named(wanted, limit)
+	returned := one.ByFingerprint(wanted, limit)
 	other.Merge(returned)
 	return len(entries) + len(returned)
 }
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestOnlyWhatDiffersIsSent(t *testing.T) {
+func TestOnlyDifferingEntriesAreSent(t *testing.T) {
 	c := qt.New(t)
 	// Given copies of a large fleet's state that differ in three entries: one newer on each side and one on one side only,
 	one, other := replica.New(), replica.New()
@@ -60,18 +60,18 @@
 	c.Assert(one.Digest(), qt.Equals, other.Digest())
 }
 
-func TestChangesAreWhatDiffersBetweenSnapshots(t *testing.T) {
+func TestChangesListsDifferencesBetweenSnapshots(t *testing.T) {
 	c := qt.New(t)
 	// Given a map and an earlier snapshot of it,
 	entries := replica.New()
 	entries.Merge([]replica.Entry{entryAt(1, 1), entryAt(2, 1), entryAt(3, 1), entryAt(5, 1), {Key: "other", Version: replica.Version{Minor: 1}}})
 	before := entries.Snapshot()
-	changed, gone := before.Changes(before, "k")
-	c.Assert(len(changed)+len(gone), qt.Equals, 0)
+	changed, removed := before.Changes(before, "k")
+	c.Assert(len(changed)+len(removed), qt.Equals, 0)
 	// when entries are added, changed and forgotten, then exactly these are listed.
 	entries.Merge([]replica.Entry{entryAt(2, 2), entryAt(4, 1), {Key: "other", Version: replica.Version{Minor: 2}}})
 	entries.Forget("k1", "k5")
-	changed, gone = entries.Snapshot().Changes(before, "k")
+	changed, removed = entries.Snapshot().Changes(before, "k")
 	c.Assert(changed, qt.DeepEquals, []replica.Entry{entryAt(2, 2), entryAt(4, 1)})
-	c.Assert(gone, qt.DeepEquals, []string{"k1", "k5"})
+	c.Assert(removed, qt.DeepEquals, []string{"k1", "k5"})
 }
--- a/internal/mesh/replica/forgotten.go
+++ b/internal/mesh/replica/forgotten.go
@@ -41,6 +41,6 @@
 		return
 	}
 	delete(f.byKey, key)
-	place := slices.Index(f.order, key)
-	f.order = slices.Delete(f.order, place, place+1)
+	index := slices.Index(f.order, key)
+	f.order = slices.Delete(f.order, index, index+1)
 }
--- a/internal/mesh/replica/map.go
+++ b/internal/mesh/replica/map.go
@@ -10,7 +10,7 @@
 	digest    Digest
 	revision  uint64
 	forgotten *Forgotten
-	sentUpTo  string // last key that Missing returned; its next call continues after it
+	lastSent  string // last key that Missing returned; its next call continues after it
 }
 
 // New makes an empty map.
@@ -26,18 +26,18 @@
 // routers that still hold the older entry receive it.
 func (m *Map) Merge(entries []Entry) (accepted []Entry) {
 	for _, entry := range entries {
-		news, isNews := m.judge(entry)
-		if !isNews {
+		result, changed := m.resolve(entry)
+		if !changed {
 			continue
 		}
-		m.set(news)
-		accepted = append(accepted, news)
+		m.set(result)
+		accepted = append(accepted, result)
 	}
 	return accepted
 }
 
-// judge returns the entry to store and true: the entry itself or a newer forgotten one. It returns false if nothing changes.
-func (m *Map) judge(entry Entry) (news Entry, isNews bool) {
+// resolve returns the entry to store and true: the entry itself or a newer forgotten one. It returns false if nothing changes.
+func (m *Map) resolve(entry Entry) (result Entry, changed bool) {
 	if current, known := m.entries.Get(entry.Key); known {
 		return entry, entry.Supersedes(current)
 	}
@@ -112,10 +112,10 @@
 	if limit <= 0 || theirs == m.digest {
 		return nil
 	}
-	picker := missingPicker{mine: m.digest, theirs: theirs, left: limit}
+	picker := missingPicker{mine: m.digest, theirs: theirs, bytesLeft: limit}
 	m.pickFrom(&picker)
 	if len(picker.picked) > 0 {
-		m.sentUpTo = picker.picked[len(picker.picked)-1].Key
+		m.lastSent = picker.picked[len(picker.picked)-1].Key
 	}
 	return picker.picked
 }
@@ -123,10 +123,10 @@
 // pickFrom offers all entries to the picker once, in key order, starting after sentUpTo.
 func (m *Map) pickFrom(picker *missingPicker) {
 	iterator := m.entries.Iterator()
-	iterator.Seek(m.sentUpTo)
+	iterator.Seek(m.lastSent)
 	for !iterator.Done() {
 		key, entry, _ := iterator.Next()
-		if key == m.sentUpTo {
+		if key == m.lastSent {
 			continue
 		}
 		if full := picker.offer(entry); full {
@@ -136,7 +136,7 @@
 	iterator.First()
 	for !iterator.Done() {
 		key, entry, _ := iterator.Next()
-		if key > m.sentUpTo {
+		if key > m.lastSent {
 			return
 		}
 		if full := picker.offer(entry); full {
@@ -148,7 +148,7 @@
 // missingPicker collects the entries of differing buckets.
 type missingPicker struct {
 	mine, theirs Digest
-	left         int // bytes left of the limit
+	bytesLeft    int // bytes left of the limit
 	picked       []Entry
 }
 
@@ -158,10 +158,10 @@
 	if p.mine[bucket] == p.theirs[bucket] {
 		return false
 	}
-	if len(p.picked) > 0 && entry.Size() > p.left {
+	if len(p.picked) > 0 && entry.Size() > p.bytesLeft {
 		return true
 	}
 	p.picked = append(p.picked, entry)
-	p.left -= entry.Size()
-	return p.left <= 0
+	p.bytesLeft -= entry.Size()
+	return p.bytesLeft <= 0
 }
--- a/internal/mesh/replica/map_test.go
+++ b/internal/mesh/replica/map_test.go
@@ -16,17 +16,17 @@
 }
 
 func mapOf(entries ...replica.Entry) *replica.Map {
-	copied := replica.New()
-	copied.Merge(entries)
-	return copied
+	replicated := replica.New()
+	replicated.Merge(entries)
+	return replicated
 }
 
 // forgetOthers merges and forgets the given number of other keys.
-func forgetOthers(copied *replica.Map, count int) {
+func forgetOthers(replicated *replica.Map, count int) {
 	for number := range count {
 		key := fmt.Sprint("other", number)
-		copied.Merge([]replica.Entry{entry(key, 1, "")})
-		copied.Forget(key)
+		replicated.Merge([]replica.Entry{entry(key, 1, "")})
+		replicated.Forget(key)
 	}
 }
 
@@ -34,26 +34,26 @@
 	c := qt.New(t)
 
 	c.Run("given a key, when a larger version arrives, then it is accepted", func(c *qt.C) {
-		copied := mapOf(entry("a", 1, "old"))
+		replicated := mapOf(entry("a", 1, "old"))
 		newer := entry("a", 2, "new")
-		c.Assert(copied.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
-		found, known := copied.Get("a")
+		c.Assert(replicated.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
+		found, known := replicated.Get("a")
 		c.Assert(known, qt.IsTrue)
 		c.Assert(found, qt.DeepEquals, newer)
-		c.Assert(copied.Revision(), qt.Equals, uint64(2))
+		c.Assert(replicated.Revision(), qt.Equals, uint64(2))
 	})
 
 	c.Run("given a key, when a smaller version arrives, then nothing changes", func(c *qt.C) {
-		copied := mapOf(entry("a", 2, "new"))
-		before := copied.Digest()
-		c.Assert(copied.Merge([]replica.Entry{entry("a", 1, "old")}), qt.HasLen, 0)
-		c.Assert(copied.Revision(), qt.Equals, uint64(1))
-		c.Assert(copied.Digest(), qt.Equals, before)
+		replicated := mapOf(entry("a", 2, "new"))
+		before := replicated.Digest()
+		c.Assert(replicated.Merge([]replica.Entry{entry("a", 1, "old")}), qt.HasLen, 0)
+		c.Assert(replicated.Revision(), qt.Equals, uint64(1))
+		c.Assert(replicated.Digest(), qt.Equals, before)
 	})
 
 	c.Run("given equal versions, when values differ, then the larger value wins", func(c *qt.C) {
-		copied := mapOf(entry("a", 1, "x"), entry("a", 1, "z"), entry("a", 1, "y"))
-		found, _ := copied.Get("a")
+		replicated := mapOf(entry("a", 1, "x"), entry("a", 1, "z"), entry("a", 1, "y"))
+		found, _ := replicated.Get("a")
 		c.Assert(string(found.Value), qt.Equals, "z")
 	})
 
@@ -71,64 +71,64 @@
 	tombstone := entry("a", 2, "")
 
 	c.Run("given a tombstone, when it is not forgotten, then it is listed", func(c *qt.C) {
-		copied := mapOf(entry("a", 1, "x"), tombstone)
-		c.Assert(copied.Len(), qt.Equals, 1)
-		c.Assert(copied.Prefix(""), qt.DeepEquals, []replica.Entry{tombstone})
+		replicated := mapOf(entry("a", 1, "x"), tombstone)
+		c.Assert(replicated.Len(), qt.Equals, 1)
+		c.Assert(replicated.Prefix(""), qt.DeepEquals, []replica.Entry{tombstone})
 	})
 
 	c.Run("given a forgotten tombstone, when it arrives again, then it is not accepted", func(c *qt.C) {
-		copied := mapOf(tombstone)
-		copied.Forget("a", "never known")
-		c.Assert(copied.Len(), qt.Equals, 0)
-		c.Assert(copied.Digest(), qt.Equals, replica.Digest{})
-		c.Assert(copied.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
+		replicated := mapOf(tombstone)
+		replicated.Forget("a", "never known")
+		c.Assert(replicated.Len(), qt.Equals, 0)
+		c.Assert(replicated.Digest(), qt.Equals, replica.Digest{})
+		c.Assert(replicated.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
 	})
 
 	c.Run("given a forgotten tombstone, when the entry that it removed arrives, then the tombstone is restored", func(c *qt.C) {
-		copied := mapOf(tombstone)
-		copied.Forget("a")
-		accepted := copied.Merge([]replica.Entry{entry("a", 1, "x")})
+		replicated := mapOf(tombstone)
+		replicated.Forget("a")
+		accepted := replicated.Merge([]replica.Entry{entry("a", 1, "x")})
 		c.Assert(accepted, qt.DeepEquals, []replica.Entry{tombstone})
-		found, _ := copied.Get("a")
+		found, _ := replicated.Get("a")
 		c.Assert(found, qt.DeepEquals, tombstone)
 	})
 
 	c.Run("given a forgotten tombstone, when a newer version arrives, then it is accepted", func(c *qt.C) {
-		copied := mapOf(tombstone)
-		copied.Forget("a")
+		replicated := mapOf(tombstone)
+		replicated.Forget("a")
 		newer := entry("a", 3, "y")
-		c.Assert(copied.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
+		c.Assert(replicated.Merge([]replica.Entry{newer}), qt.DeepEquals, []replica.Entry{newer})
 	})
 
 	c.Run("given a key forgotten twice, when other keys fill the limit, then it is remembered once", func(c *qt.C) {
-		copied := mapOf(entry("a", 1, ""))
-		copied.Forget("a")
-		copied.Merge([]replica.Entry{tombstone})
-		copied.Forget("a")
-		forgetOthers(copied, replica.ForgottenLimit-1)
-		c.Assert(copied.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
+		replicated := mapOf(entry("a", 1, ""))
+		replicated.Forget("a")
+		replicated.Merge([]replica.Entry{tombstone})
+		replicated.Forget("a")
+		forgetOthers(replicated, replica.ForgottenLimit-1)
+		c.Assert(replicated.Merge([]replica.Entry{tombstone}), qt.HasLen, 0)
 	})
 
 	c.Run("given more forgotten keys than the limit, when the oldest arrives, then it is accepted as new", func(c *qt.C) {
-		copied := mapOf(tombstone)
-		copied.Forget("a")
-		forgetOthers(copied, replica.ForgottenLimit)
-		c.Assert(copied.Merge([]replica.Entry{tombstone}), qt.HasLen, 1)
+		replicated := mapOf(tombstone)
+		replicated.Forget("a")
+		forgetOthers(replicated, replica.ForgottenLimit)
+		c.Assert(replicated.Merge([]replica.Entry{tombstone}), qt.HasLen, 1)
 	})
 }
 
 func TestSnapshotsDoNotChange(t *testing.T) {
 	c := qt.New(t)
 	// Given a snapshot,
-	copied := mapOf(entry("a/1", 1, "x"), entry("b/1", 1, "y"))
-	snapshot := copied.Snapshot()
+	replicated := mapOf(entry("a/1", 1, "x"), entry("b/1", 1, "y"))
+	snapshot := replicated.Snapshot()
 	// when the map changes,
-	copied.Merge([]replica.Entry{entry("a/1", 2, "z"), entry("a/2", 1, "z")})
+	replicated.Merge([]replica.Entry{entry("a/1", 2, "z"), entry("a/2", 1, "z")})
 	// then the snapshot is unchanged.
 	c.Assert(snapshot.Prefix("a/"), qt.DeepEquals, []replica.Entry{entry("a/1", 1, "x")})
 	c.Assert(snapshot.Len(), qt.Equals, 2)
 	c.Assert(snapshot.Revision(), qt.Equals, uint64(2))
-	c.Assert(copied.Prefix("a/"), qt.HasLen, 2)
+	c.Assert(replicated.Prefix("a/"), qt.HasLen, 2)
 }
 
 func TestDigestOnTheWire(t *testing.T) {
@@ -156,7 +156,7 @@
 	})
 }
 
-func TestDigestSeesValuesAtEqualVersions(t *testing.T) {
+func TestDigestCoversValuesAtEqualVersions(t *testing.T) {
 	c := qt.New(t)
 	// Given two copies with different values at one version of a key,
 	one, other := mapOf(entry("a", 1, "x")), mapOf(entry("a", 1, "y"))
--- a/internal/mesh/replica/property_test.go
+++ b/internal/mesh/replica/property_test.go
@@ -27,9 +27,9 @@
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOf(drawnEntry).Draw(t, "entries")
-		again := rapid.SliceOf(rapid.SampledFrom(append(entries, replica.Entry{Key: "a/0", Value: []byte{}}))).Draw(t, "again")
-		shuffled := rapid.Permutation(append(slices.Clone(entries), again...)).Draw(t, "shuffled")
-		one := mapOf(append(slices.Clone(entries), again...)...)
+		repeated := rapid.SliceOf(rapid.SampledFrom(append(entries, replica.Entry{Key: "a/0", Value: []byte{}}))).Draw(t, "again")
+		shuffled := rapid.Permutation(append(slices.Clone(entries), repeated...)).Draw(t, "shuffled")
+		one := mapOf(append(slices.Clone(entries), repeated...)...)
 		other := replica.New()
 		for _, merged := range shuffled {
 			other.Merge([]replica.Entry{merged})
@@ -43,37 +43,37 @@
 // maintained digest equals that of a newly built map.
 func TestMapAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copied := replica.New()
+		replicated := replica.New()
 		model := make(map[string]replica.Entry)
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			changed := drawnEntry.Draw(t, "entry")
 			if rapid.IntRange(0, 4).Draw(t, "action") == 0 {
-				copied.Forget(changed.Key)
+				replicated.Forget(changed.Key)
 				delete(model, changed.Key)
 				continue
 			}
-			for _, accepted := range copied.Merge([]replica.Entry{changed}) {
+			for _, accepted := range replicated.Merge([]replica.Entry{changed}) {
 				model[accepted.Key] = accepted
 			}
 		}
-		checkModel(t, copied, model)
+		checkModel(t, replicated, model)
 	})
 }
 
-func checkModel(t *rapid.T, copied *replica.Map, model map[string]replica.Entry) {
+func checkModel(t *rapid.T, replicated *replica.Map, model map[string]replica.Entry) {
 	prefix := rapid.SampledFrom([]string{"", "a/", "a/1", "b/", "c/"}).Draw(t, "prefix")
 	var want []replica.Entry
-	anew := replica.New()
+	rebuilt := replica.New()
 	for key, modelled := range model {
-		anew.Merge([]replica.Entry{modelled})
+		rebuilt.Merge([]replica.Entry{modelled})
 		if strings.HasPrefix(key, prefix) {
 			want = append(want, modelled)
 		}
 	}
 	slices.SortFunc(want, func(a, b replica.Entry) int { return strings.Compare(a.Key, b.Key) })
-	assert(t, copied.Prefix(prefix), qt.DeepEquals, want)
-	assert(t, copied.Len(), qt.Equals, len(model))
-	assert(t, copied.Digest(), qt.Equals, anew.Digest())
+	assert(t, replicated.Prefix(prefix), qt.DeepEquals, want)
+	assert(t, replicated.Len(), qt.Equals, len(model))
+	assert(t, replicated.Digest(), qt.Equals, rebuilt.Digest())
 }
 
 // Given two copies that differ, when they repair each other in small batches, then they become equal.
@@ -94,23 +94,23 @@
 
 // Given a tombstone that some copies have already forgotten, when all copies continue to exchange entries, then a copy that
 // has received the tombstone never holds the removed entry again.
-func TestForgottenEntriesStayDead(t *testing.T) {
+func TestForgottenEntriesAreNotResurrected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive, tombstone := entry("a", 1, "x"), entry("a", 2, "")
 		copies := []*replica.Map{mapOf(alive), mapOf(alive), mapOf(tombstone)}
-		heard := []bool{false, false, true}
+		received := []bool{false, false, true}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			from := rapid.IntRange(0, 2).Draw(t, "from")
 			to := rapid.IntRange(0, 2).Draw(t, "to")
-			if from == to && heard[from] {
+			if from == to && received[from] {
 				copies[from].Forget("a")
 				continue
 			}
 			copies[to].Merge(copies[from].Missing(copies[to].Digest(), 1000))
 			found, known := copies[to].Get("a")
 			isTombstone := known && found.Version == tombstone.Version
-			assert(t, heard[to] && known && !isTombstone, qt.IsFalse)
-			heard[to] = heard[to] || isTombstone
+			assert(t, received[to] && known && !isTombstone, qt.IsFalse)
+			received[to] = received[to] || isTombstone
 		}
 	})
 }
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -35,14 +35,14 @@
 
 // Changes compares with an earlier snapshot of the same map. It lists the entries under a prefix that were added or changed
 // since, and the keys that were removed, both sorted by key.
-func (s Snapshot) Changes(since Snapshot, prefix string) (changed []Entry, gone []string) {
+func (s Snapshot) Changes(since Snapshot, prefix string) (changed []Entry, removed []string) {
 	if s.entries == since.entries {
 		return nil, nil
 	}
 	before := since.Prefix(prefix)
 	for _, entry := range s.Prefix(prefix) {
 		for len(before) > 0 && before[0].Key < entry.Key {
-			gone = append(gone, before[0].Key)
+			removed = append(removed, before[0].Key)
 			before = before[1:]
 		}
 		if len(before) > 0 && before[0].Key == entry.Key {
@@ -55,9 +55,9 @@
 		changed = append(changed, entry)
 	}
 	for _, entry := range before {
-		gone = append(gone, entry.Key)
+		removed = append(removed, entry.Key)
 	}
-	return changed, gone
+	return changed, removed
 }
 
 // Len is the number of entries, tombstones included.
--- a/internal/mesh/ring/ring.go
+++ b/internal/mesh/ring/ring.go
@@ -13,22 +13,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// spot is the position of one member on the ring.
-type spot struct {
+// position is the position of one member on the ring.
+type position struct {
 	hash uint64
 	id   string
 }
 
-func compareSpots(a, b spot) int {
+func comparePositions(a, b position) int {
 	if order := cmp.Compare(a.hash, b.hash); order != 0 {
 		return order
 	}
 	return cmp.Compare(a.id, b.id)
 }
 
-// place returns the position of an id on the ring.
-func place(id string) spot {
-	return spot{hash: xxhash.Sum64String(id), id: id}
+// positionOf returns the position of an id on the ring.
+func positionOf(id string) position {
+	return position{hash: xxhash.Sum64String(id), id: id}
 }
 
 // Watchers names the members to which self sends its heartbeats: the next count distinct members clockwise from
@@ -36,65 +36,65 @@
 // the list make no difference.
 func Watchers(self string, members []string, count int) []string {
 	others := clockwise(self, members)
-	return ids(others[:bounded(count, len(others))])
+	return ids(others[:clamp(count, len(others))])
 }
 
 // Watched names the members that self watches, nearest first. It is the inverse of Watchers for the same members.
 func Watched(self string, members []string, count int) []string {
 	others := clockwise(self, members)
-	nearest := others[len(others)-bounded(count, len(others)):]
+	nearest := others[len(others)-clamp(count, len(others)):]
 	slices.Reverse(nearest)
 	return ids(nearest)
 }
 
 // clockwise lists all members except self once each, in the order in which they follow self on the ring.
-func clockwise(self string, members []string) []spot {
-	spots := make([]spot, 0, len(members))
+func clockwise(self string, members []string) []position {
+	positions := make([]position, 0, len(members))
 	for _, id := range members {
 		if id != self {
-			spots = append(spots, place(id))
+			positions = append(positions, positionOf(id))
 		}
 	}
-	slices.SortFunc(spots, compareSpots)
-	spots = slices.Compact(spots)
-	next, _ := slices.BinarySearchFunc(spots, place(self), compareSpots)
-	return slices.Concat(spots[next:], spots[:next])
+	slices.SortFunc(positions, comparePositions)
+	positions = slices.Compact(positions)
+	next, _ := slices.BinarySearchFunc(positions, positionOf(self), comparePositions)
+	return slices.Concat(positions[next:], positions[:next])
 }
 
 // Spread chooses up to count members to push changes to, by a pseudo-random draw. Every member that is neither self
 // nor excluded is equally likely, and equal arguments lead to the same choice. Callers pass a new seed for each push.
 func Spread(seed uint64, self string, members []string, count int, exclude map[string]struct{}) []string {
-	spots := make([]spot, 0, len(members))
+	positions := make([]position, 0, len(members))
 	for _, id := range members {
 		if _, excluded := exclude[id]; excluded || id == self {
 			continue
 		}
-		spots = append(spots, draw(seed, id))
+		positions = append(positions, drawnPosition(seed, id))
 	}
-	slices.SortFunc(spots, compareSpots)
-	spots = slices.Compact(spots)
-	return ids(spots[:bounded(count, len(spots))])
+	slices.SortFunc(positions, comparePositions)
+	positions = slices.Compact(positions)
+	return ids(positions[:clamp(count, len(positions))])
 }
 
-// draw returns the position of an id in the draw with this seed.
-func draw(seed uint64, id string) spot {
+// drawnPosition returns the position of an id in the draw with this seed.
+func drawnPosition(seed uint64, id string) position {
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], seed)
 	hash := xxhash.New()
 	// Writing to this hash never fails.
 	_, _ = hash.Write(number[:])
 	_, _ = hash.WriteString(id)
-	return spot{hash: hash.Sum64(), id: id}
+	return position{hash: hash.Sum64(), id: id}
 }
 
-func bounded(count, most int) int {
+func clamp(count, most int) int {
 	return max(0, min(count, most))
 }
 
-func ids(spots []spot) []string {
-	names := make([]string, 0, len(spots))
-	for _, spot := range spots {
-		names = append(names, spot.id)
+func ids(positions []position) []string {
+	names := make([]string, 0, len(positions))
+	for _, position := range positions {
+		names = append(names, position.id)
 	}
 	return names
 }
--- a/internal/mesh/ring/ring_test.go
+++ b/internal/mesh/ring/ring_test.go
@@ -66,18 +66,18 @@
 
 // Given any members, when one joins or leaves, then watchers change only for the at most count members that it watches,
 // and each of these replaces a single watcher.
-func TestChangesTouchNeighboursOnly(t *testing.T) {
+func TestChangesAffectNeighboursOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with := drawnMembers.Draw(t, "members")
 		count := rapid.IntRange(1, 5).Draw(t, "count")
 		changed := rapid.SampledFrom(with).Draw(t, "changed")
 		without := slices.DeleteFunc(slices.Clone(with), func(id string) bool { return id == changed })
-		touched := ring.Watched(changed, with, count)
-		assert(t, len(touched) <= count, qt.IsTrue)
+		affected := ring.Watched(changed, with, count)
+		assert(t, len(affected) <= count, qt.IsTrue)
 		for _, self := range without {
 			before := ring.Watchers(self, with, count)
 			after := ring.Watchers(self, without, count)
-			if !slices.Contains(touched, self) {
+			if !slices.Contains(affected, self) {
 				assert(t, after, qt.DeepEquals, before)
 				continue
 			}
@@ -89,7 +89,7 @@
 
 // Given any members, when targets are drawn, then they are distinct, neither self nor excluded, as many as requested and
 // available, and the same for the same seed whatever the order of the members.
-func TestSpreadChoosesAmongTheRest(t *testing.T) {
+func TestSpreadExcludesSelfAndExcluded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawnMembers.Draw(t, "members")
 		self := rapid.SampledFrom(members).Draw(t, "self")
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -23,13 +23,13 @@
 
 const (
 	// dialLimit is the timeout for opening a connection; peers are on the same network.
-	dialLimit = 500 * time.Millisecond
+	dialTimeout = 500 * time.Millisecond
 	// silentLimit is how long written bytes may stay unacknowledged before the kernel closes the connection.
-	silentLimit = 2 * time.Second
+	unackedTimeout = 2 * time.Second
 	// idleLimit is how long an idle connection is kept.
-	idleLimit = 30 * time.Second
+	idleTimeout = 30 * time.Second
 	// headerLimit is the timeout for receiving the headers of a call.
-	headerLimit = 5 * time.Second
+	headerTimeout = 5 * time.Second
 )
 
 // Client makes calls. It reuses connections. Safe for concurrent use.
@@ -40,40 +40,40 @@
 
 // NewClient makes a client that dials over the network.
 func NewClient(over network.Network) *Client {
-	terms := network.Terms{Limit: dialLimit, Silence: silentLimit, NoKeepAlive: true}
+	options := network.DialOptions{Timeout: dialTimeout, UnackedTimeout: unackedTimeout, NoKeepAlive: true}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return over.Dial(ctx, address, terms)
+			return over.Dial(ctx, address, options)
 		},
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 2,
-		IdleConnTimeout:     idleLimit,
+		IdleConnTimeout:     idleTimeout,
 	}
 	meter := &traffic.Meter{}
-	return &Client{http: &http.Client{Transport: shortHeads{transport, meter}}, meter: meter}
+	return &Client{http: &http.Client{Transport: trimmedHeaders{transport, meter}}, meter: meter}
 }
 
 // Meter counts the client's calls by path.
 func (c *Client) Meter() *traffic.Meter { return c.meter }
 
-// headBytes is the size of the headers of a call, and also of those of its response.
-const headBytes = 93
+// headerBytes is the size of the headers of a call, and also of those of its response.
+const headerBytes = 93
 
-// shortHeads removes headers that no server here reads, because headers are most of a small call. It also counts the calls.
-type shortHeads struct {
+// trimmedHeaders removes headers that no server here reads, because headers are most of a small call. It also counts the calls.
+type trimmedHeaders struct {
 	http.RoundTripper
 	meter *traffic.Meter
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s shortHeads) RoundTrip(call *http.Request) (*http.Response, error) {
+func (s trimmedHeaders) RoundTrip(call *http.Request) (*http.Response, error) {
 	kind := traffic.Kind(call.URL.Path)
-	s.meter.Add(kind, call.URL.Host, headBytes+int(max(call.ContentLength, 0)), headBytes)
-	answer, err := s.roundTrip(call)
+	s.meter.Add(kind, call.URL.Host, headerBytes+int(max(call.ContentLength, 0)), headerBytes)
+	response, err := s.roundTrip(call)
 	if err == nil {
-		answer.Body = &countedBody{ReadCloser: answer.Body, count: func(n int) { s.meter.AddReceived(kind, call.URL.Host, n) }}
+		response.Body = &countedBody{ReadCloser: response.Body, count: func(n int) { s.meter.AddReceived(kind, call.URL.Host, n) }}
 	}
-	return answer, err
+	return response, err
 }
 
 // countedBody counts the bytes read from a body.
@@ -91,69 +91,69 @@
 	return n, err
 }
 
-func (s shortHeads) roundTrip(call *http.Request) (*http.Response, error) {
-	short := call.Clone(call.Context())
-	short.Header["User-Agent"] = nil // net/http adds a default if the key is absent
-	short.Header.Del("Accept-Encoding")
-	short.Header.Del("Connect-Protocol-Version")
-	return s.RoundTripper.RoundTrip(short)
+func (s trimmedHeaders) roundTrip(call *http.Request) (*http.Response, error) {
+	trimmed := call.Clone(call.Context())
+	trimmed.Header["User-Agent"] = nil // net/http adds a default if the key is absent
+	trimmed.Header.Del("Accept-Encoding")
+	trimmed.Header.Del("Connect-Protocol-Version")
+	return s.RoundTripper.RoundTrip(trimmed)
 }
 
-// noDate omits the Date header from responses, because nothing reads it.
-func noDate(handler http.Handler) http.Handler {
-	return http.HandlerFunc(func(answer http.ResponseWriter, call *http.Request) {
-		answer.Header()["Date"] = nil
-		handler.ServeHTTP(answer, call)
+// withoutDate omits the Date header from responses, because nothing reads it.
+func withoutDate(handler http.Handler) http.Handler {
+	return http.HandlerFunc(func(response http.ResponseWriter, call *http.Request) {
+		response.Header()["Date"] = nil
+		handler.ServeHTTP(response, call)
 	})
 }
 
 // Both ends disable compression: most messages are too small to benefit, and large ones are compressed already.
 var (
-	plainCalls   = connect.WithAcceptCompression("gzip", nil, nil)
-	plainAnswers = connect.WithCompression("gzip", nil, nil)
+	uncompressedRequests  = connect.WithAcceptCompression("gzip", nil, nil)
+	uncompressedResponses = connect.WithCompression("gzip", nil, nil)
 )
 
 // Procedure is the path of a call, with the types of its request and response.
-type Procedure[Question, Answer any] string
+type Procedure[Request, Response any] string
 
 // Call calls the procedure at the address and waits for the response until the context ends.
-func (p Procedure[Question, Answer]) Call(ctx context.Context, client *Client, address string, question *Question) (*Answer, error) {
-	caller := connect.NewClient[Question, Answer](client.http, "http://"+address+string(p), connect.WithCodec(codec{}), plainCalls)
-	answer, err := caller.CallUnary(ctx, connect.NewRequest(question))
+func (p Procedure[Request, Response]) Call(ctx context.Context, client *Client, address string, request *Request) (*Response, error) {
+	caller := connect.NewClient[Request, Response](client.http, "http://"+address+string(p), connect.WithCodec(codec{}), uncompressedRequests)
+	response, err := caller.CallUnary(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 // Handle registers the procedure's handler on the mux.
-func (p Procedure[Question, Answer]) Handle(mux *http.ServeMux, handler func(context.Context, *Question) (*Answer, error)) {
-	unary := func(ctx context.Context, request *connect.Request[Question]) (*connect.Response[Answer], error) {
-		answer, err := handler(ctx, request.Msg)
+func (p Procedure[Request, Response]) Handle(mux *http.ServeMux, handler func(context.Context, *Request) (*Response, error)) {
+	unary := func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
+		response, err := handler(ctx, request.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeUnavailable, err)
 		}
-		return connect.NewResponse(answer), nil
+		return connect.NewResponse(response), nil
 	}
-	mux.Handle(string(p), connect.NewUnaryHandler(string(p), unary, connect.WithCodec(codec{}), plainAnswers))
+	mux.Handle(string(p), connect.NewUnaryHandler(string(p), unary, connect.WithCodec(codec{}), uncompressedResponses))
 }
 
 // Server serves calls on listeners until it is closed.
 type Server struct {
-	over network.Network
-	http *http.Server
-	once sync.Once
+	network network.Network
+	http    *http.Server
+	once    sync.Once
 }
 
 // NewServer makes a server for the mux that listens on the network.
 func NewServer(over network.Network, mux *http.ServeMux) *Server {
-	server := &http.Server{Handler: noDate(mux), ReadHeaderTimeout: headerLimit, IdleTimeout: 2 * idleLimit}
-	return &Server{over: over, http: server}
+	server := &http.Server{Handler: withoutDate(mux), ReadHeaderTimeout: headerTimeout, IdleTimeout: 2 * idleTimeout}
+	return &Server{network: over, http: server}
 }
 
 // Serve handles calls on the address until Close.
 func (s *Server) Serve(address string) error {
-	listener, err := s.over.Listen(address)
+	listener, err := s.network.Listen(address)
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/mesh/tombstone/tombstone.go
+++ b/internal/mesh/tombstone/tombstone.go
@@ -23,45 +23,45 @@
 const (
 	// Grace is how long a tombstone is kept.
 	Grace = 60 * time.Second
-	// pause is the time between two calls of Expire above which this router is taken to have been halted. It exchanged
+	// maxGap is the time between two calls of Expire above which this router is taken to have been halted. It exchanged
 	// nothing in that time, so all grace periods start again.
-	pause = 5 * time.Second
+	maxGap = 5 * time.Second
 )
 
-// Keeper records when each tombstone was first seen. Use New.
-type Keeper struct {
-	marks  map[string]mark // by key
-	looked time.Duration   // time of the latest call of Expire
+// Tracker records when each tombstone was first seen. Use New.
+type Tracker struct {
+	sightings  map[string]sighting // by key
+	lastExpire time.Duration       // time of the latest call of Expire
 }
 
-// mark records when a tombstone was first seen.
-type mark struct {
-	finality uint64 // major version of the entry; a new one starts a new grace period
-	since    time.Duration
+// sighting records when a tombstone was first seen.
+type sighting struct {
+	major uint64 // major version of the entry; a new one starts a new grace period
+	since time.Duration
 }
 
 // New makes a tracker without tombstones.
-func New() *Keeper { return &Keeper{marks: map[string]mark{}} }
+func New() *Tracker { return &Tracker{sightings: map[string]sighting{}} }
 
 // Expire takes all tombstones that the copy holds and returns the keys of those that it may drop. Call it about once a
 // second; now is monotonic, from any origin.
-func (k *Keeper) Expire(now time.Duration, tombstones []replica.Entry) (keys []string) {
-	if now-k.looked > pause {
-		clear(k.marks)
+func (t *Tracker) Expire(now time.Duration, tombstones []replica.Entry) (keys []string) {
+	if now-t.lastExpire > maxGap {
+		clear(t.sightings)
 	}
-	k.looked = now
-	marks := make(map[string]mark, len(tombstones))
+	t.lastExpire = now
+	sightings := make(map[string]sighting, len(tombstones))
 	for _, entry := range tombstones {
-		marked, known := k.marks[entry.Key]
-		if !known || marked.finality != entry.Version.Major {
-			marked = mark{finality: entry.Version.Major, since: now}
+		first, known := t.sightings[entry.Key]
+		if !known || first.major != entry.Version.Major {
+			first = sighting{major: entry.Version.Major, since: now}
 		}
-		if now-marked.since > Grace {
+		if now-first.since > Grace {
 			keys = append(keys, entry.Key)
 			continue
 		}
-		marks[entry.Key] = marked
+		sightings[entry.Key] = first
 	}
-	k.marks = marks
+	t.sightings = sightings
 	return keys
 }
--- a/internal/mesh/tombstone/tombstone_test.go
+++ b/internal/mesh/tombstone/tombstone_test.go
@@ -15,55 +15,55 @@
 // interval is the time between two calls of Expire.
 const interval = time.Second
 
-// dead is the tombstone of a key, and live the entry that it supersedes.
-func dead(key string, finality uint64) replica.Entry {
-	return replica.Entry{Key: key, Version: replica.Version{Major: finality}}
+// tombstoneOf is the tombstone of a key, and liveEntry the entry that it supersedes.
+func tombstoneOf(key string, major uint64) replica.Entry {
+	return replica.Entry{Key: key, Version: replica.Version{Major: major}}
 }
 
-func live(key string) replica.Entry { return replica.Entry{Key: key, Value: []byte("live")} }
+func liveEntry(key string) replica.Entry { return replica.Entry{Key: key, Value: []byte("live")} }
 
-// looks calls Expire at regular intervals in (from, to] and collects the keys that it returns.
-func looks(keeper *tombstone.Keeper, from, to time.Duration, tombstones ...replica.Entry) (keys []string) {
+// expireRepeatedly calls Expire at regular intervals in (from, to] and collects the keys that it returns.
+func expireRepeatedly(tracker *tombstone.Tracker, from, to time.Duration, tombstones ...replica.Entry) (keys []string) {
 	for now := from + interval; now <= to; now += interval {
-		keys = append(keys, keeper.Expire(now, tombstones)...)
+		keys = append(keys, tracker.Expire(now, tombstones)...)
 	}
 	return keys
 }
 
-func TestTombstonesAreKeptForTheGrace(t *testing.T) {
+func TestTombstonesAreKeptForTheGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	grace, last := tombstone.Grace, tombstone.Grace+2*interval
 
 	c.Run("given a tombstone, when the grace period is over, then it may be dropped", func(c *qt.C) {
-		keeper := tombstone.New()
-		c.Assert(looks(keeper, 0, grace+interval, dead("a", 2)), qt.HasLen, 0)
-		c.Assert(looks(keeper, grace+interval, last, dead("a", 2)), qt.DeepEquals, []string{"a"})
+		tracker := tombstone.New()
+		c.Assert(expireRepeatedly(tracker, 0, grace+interval, tombstoneOf("a", 2)), qt.HasLen, 0)
+		c.Assert(expireRepeatedly(tracker, grace+interval, last, tombstoneOf("a", 2)), qt.DeepEquals, []string{"a"})
 	})
 
 	c.Run("given a tombstone whose major version grows, then its grace period starts again", func(c *qt.C) {
-		keeper := tombstone.New()
-		looks(keeper, 0, grace/2, dead("a", 0))
-		c.Assert(looks(keeper, grace/2, last, dead("a", 2)), qt.HasLen, 0)
+		tracker := tombstone.New()
+		expireRepeatedly(tracker, 0, grace/2, tombstoneOf("a", 0))
+		c.Assert(expireRepeatedly(tracker, grace/2, last, tombstoneOf("a", 2)), qt.HasLen, 0)
 	})
 
 	c.Run("given a superseded tombstone, when the key has one again, then its grace period starts again", func(c *qt.C) {
-		keeper := tombstone.New()
-		looks(keeper, 0, grace/2, dead("a", 0))
-		looks(keeper, grace/2, grace/2+interval)
-		c.Assert(looks(keeper, grace/2+interval, last, dead("a", 0)), qt.HasLen, 0)
+		tracker := tombstone.New()
+		expireRepeatedly(tracker, 0, grace/2, tombstoneOf("a", 0))
+		expireRepeatedly(tracker, grace/2, grace/2+interval)
+		c.Assert(expireRepeatedly(tracker, grace/2+interval, last, tombstoneOf("a", 0)), qt.HasLen, 0)
 	})
 
 	c.Run("given a router that was halted, then grace periods start again", func(c *qt.C) {
-		keeper := tombstone.New()
-		looks(keeper, 0, grace/2, dead("a", 2))
-		c.Assert(looks(keeper, 2*grace, 3*grace, dead("a", 2)), qt.HasLen, 0)
-		c.Assert(looks(keeper, 3*grace, 3*grace+2*interval, dead("a", 2)), qt.DeepEquals, []string{"a"})
+		tracker := tombstone.New()
+		expireRepeatedly(tracker, 0, grace/2, tombstoneOf("a", 2))
+		c.Assert(expireRepeatedly(tracker, 2*grace, 3*grace, tombstoneOf("a", 2)), qt.HasLen, 0)
+		c.Assert(expireRepeatedly(tracker, 3*grace, 3*grace+2*interval, tombstoneOf("a", 2)), qt.DeepEquals, []string{"a"})
 	})
 }
 
 // tombstones lists the tombstones of a copy.
-func tombstones(copied *replica.Map) (found []replica.Entry) {
-	for _, entry := range copied.Prefix("") {
+func tombstones(replicated *replica.Map) (found []replica.Entry) {
+	for _, entry := range replicated.Prefix("") {
 		if entry.Version.Major > 0 {
 			found = append(found, entry)
 		}
@@ -76,34 +76,34 @@
 func TestCopiesStayBoundedOverManyIncarnations(t *testing.T) {
 	c := qt.New(t)
 	const perSecond, seconds = 20, 1000
-	copied, keeper := replica.New(), tombstone.New()
-	most := 0
+	replicated, tracker := replica.New(), tombstone.New()
+	largest := 0
 	for second := range seconds {
 		for number := range perSecond {
-			copied.Merge([]replica.Entry{dead(fmt.Sprintf("%d/%d", second, number), 2)})
+			replicated.Merge([]replica.Entry{tombstoneOf(fmt.Sprintf("%d/%d", second, number), 2)})
 		}
-		copied.Forget(keeper.Expire(time.Duration(second)*interval, tombstones(copied))...)
-		most = max(most, copied.Len())
+		replicated.Forget(tracker.Expire(time.Duration(second)*interval, tombstones(replicated))...)
+		largest = max(largest, replicated.Len())
 	}
-	inGrace := perSecond * int(tombstone.Grace/interval+2)
-	c.Assert(most <= inGrace, qt.IsTrue, qt.Commentf("%d entries, of %d incarnations", most, perSecond*seconds))
+	bound := perSecond * int(tombstone.Grace/interval+2)
+	c.Assert(largest <= bound, qt.IsTrue, qt.Commentf("%d entries, of %d incarnations", largest, perSecond*seconds))
 }
 
 // Given copies that exchange entries and drop tombstones after the grace period, when one copy is partitioned for any time
 // and returns with its old entries, then no copy that has received a tombstone holds the superseded entry again.
-func TestLateNewsBringsNothingBack(t *testing.T) {
+func TestStaleEntriesAreNotResurrected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const copies = 3
-		maps, keepers := [copies]*replica.Map{}, [copies]*tombstone.Keeper{}
+		maps, trackers := [copies]*replica.Map{}, [copies]*tombstone.Tracker{}
 		for i := range copies {
-			maps[i], keepers[i] = replica.New(), tombstone.New()
-			maps[i].Merge([]replica.Entry{live("a")})
+			maps[i], trackers[i] = replica.New(), tombstone.New()
+			maps[i].Merge([]replica.Entry{liveEntry("a")})
 		}
-		maps[0].Merge([]replica.Entry{dead("a", 2)})
+		maps[0].Merge([]replica.Entry{tombstoneOf("a", 2)})
 		grace := int(tombstone.Grace / interval)
 		cutFrom := rapid.IntRange(0, 3).Draw(t, "cut from")
 		cutTo := cutFrom + rapid.IntRange(0, 3*grace).Draw(t, "cut for")
-		heard := [copies]bool{true}
+		received := [copies]bool{true}
 		for second := range cutTo + 3*grace {
 			one := rapid.IntRange(0, copies-1).Draw(t, "one")
 			other := (one + 1) % copies
@@ -114,11 +114,11 @@
 			}
 			for i := range copies {
 				entry, known := maps[i].Get("a")
-				if known && entry.Version.Major == 0 && heard[i] {
+				if known && entry.Version.Major == 0 && received[i] {
 					t.Fatalf("second %d: copy %d holds an entry again that a tombstone had superseded", second, i)
 				}
-				heard[i] = heard[i] || known && entry.Version.Major > 0
-				maps[i].Forget(keepers[i].Expire(time.Duration(second)*interval, tombstones(maps[i]))...)
+				received[i] = received[i] || known && entry.Version.Major > 0
+				maps[i].Forget(trackers[i].Expire(time.Duration(second)*interval, tombstones(maps[i]))...)
 			}
 		}
 	})
--- a/internal/mesh/topic/topic.go
+++ b/internal/mesh/topic/topic.go
@@ -40,8 +40,8 @@
 	return replica.Entry{Key: Orders + worker, Version: replica.Version{Major: fence, Minor: number}, Value: value}
 }
 
-// NoOrderEntry is the tombstone of an order: the worker has no pending order.
-func NoOrderEntry(worker string, fence, number uint64) replica.Entry {
+// OrderTombstone is the tombstone of an order: the worker has no pending order.
+func OrderTombstone(worker string, fence, number uint64) replica.Entry {
 	return replica.Entry{Key: Orders + worker, Version: replica.Version{Major: fence, Minor: number}}
 }
 
@@ -54,8 +54,8 @@
 	return order, true
 }
 
-// PastOrders lists the entries of orders to workers that are not in the snapshot.
-func PastOrders(snapshot replica.Snapshot) []replica.Entry {
+// OrphanedOrders lists the entries of orders to workers that are not in the snapshot.
+func OrphanedOrders(snapshot replica.Snapshot) []replica.Entry {
 	return slices.DeleteFunc(snapshot.Prefix(Orders), func(entry replica.Entry) bool {
 		_, known := snapshot.Get(Workers + Node(entry.Key))
 		return known
--- a/internal/mesh/traffic/traffic.go
+++ b/internal/mesh/traffic/traffic.go
@@ -15,7 +15,7 @@
 // The kinds of traffic other than calls between the system's own processes.
 const (
 	Hint    Kind = "hint"    // load hints to other proxies
-	Read    Kind = "read"    // prefill requests and their responses
+	Prefill Kind = "read"    // prefill requests and their responses
 	Run     Kind = "run"     // requests to run and their responses
 	Service Kind = "service" // probes, releases and reports at workers
 )
@@ -58,13 +58,13 @@
 	if m.counts == nil {
 		m.counts = map[key]*count{}
 	}
-	at := key{kind, host}
-	if m.counts[at] == nil {
-		m.counts[at] = &count{}
+	target := key{kind, host}
+	if m.counts[target] == nil {
+		m.counts[target] = &count{}
 	}
-	m.counts[at].messages += uint64(messages)
-	m.counts[at].sent += uint64(sent)
-	m.counts[at].received += uint64(received)
+	m.counts[target].messages += uint64(messages)
+	m.counts[target].sent += uint64(sent)
+	m.counts[target].received += uint64(received)
 }
 
 // Total is the sum of one kind over the peers in the own zone, or over those in other zones.
@@ -81,20 +81,20 @@
 	if m == nil {
 		return nil
 	}
-	type place struct {
+	type zoneKind struct {
 		kind Kind
 		near bool
 	}
-	sums := map[place]*Total{}
+	sums := map[zoneKind]*Total{}
 	m.mu.Lock()
-	for at, counted := range m.counts {
-		of := place{at.kind, near(at.host)}
-		if sums[of] == nil {
-			sums[of] = &Total{Kind: of.kind, Near: of.near}
+	for target, counted := range m.counts {
+		group := zoneKind{target.kind, near(target.host)}
+		if sums[group] == nil {
+			sums[group] = &Total{Kind: group.kind, Near: group.near}
 		}
-		sums[of].Messages += counted.messages
-		sums[of].Sent += counted.sent
-		sums[of].Received += counted.received
+		sums[group].Messages += counted.messages
+		sums[group].Sent += counted.sent
+		sums[group].Received += counted.received
 	}
 	m.mu.Unlock()
 	totals := make([]Total, 0, len(sums))
--- a/internal/mesh/traffic/traffic_test.go
+++ b/internal/mesh/traffic/traffic_test.go
@@ -25,7 +25,7 @@
 		{Kind: traffic.Run, Messages: 2, Sent: 100},
 	})
 	// A nil meter counts nothing.
-	var none *traffic.Meter
-	none.Add(traffic.Run, "10.0.0.1:80", 1, 1)
-	c.Assert(none.Totals(near), qt.HasLen, 0)
+	var nilMeter *traffic.Meter
+	nilMeter.Add(traffic.Run, "10.0.0.1:80", 1, 1)
+	c.Assert(nilMeter.Totals(near), qt.HasLen, 0)
 }
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -132,7 +132,7 @@
 // askToRead makes one call to have the prompt read.
 func (j *Job) askToRead(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	own := []string{headerStage, RoleReading, headerMeantServer, worker.Name}
-	answer, err := j.call(ctx, worker, traffic.Read, clear, own, func() {
+	answer, err := j.call(ctx, worker, traffic.Prefill, clear, own, func() {
 		j.reads++
 		if j.calls.OnRead != nil {
 			j.calls.OnRead()
--- a/internal/proxy/calls/pay_test.go
+++ b/internal/proxy/calls/pay_test.go
@@ -17,7 +17,7 @@
 // unreachable is a network on which nobody answers.
 type unreachable struct{ network.Network }
 
-func (unreachable) Dial(context.Context, string, network.Terms) (net.Conn, error) {
+func (unreachable) Dial(context.Context, string, network.DialOptions) (net.Conn, error) {
 	return nil, errors.New("refused")
 }
 
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -127,22 +127,22 @@
 		return err
 	}
 	f.link.Store(uint32(snapshot.Link))
-	if snapshot.Same {
+	if snapshot.Unchanged {
 		return nil
 	}
 	if err := f.take(snapshot); err != nil {
 		return err
 	}
-	f.known = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, Life: snapshot.Life}
+	f.known = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, AgentRun: snapshot.AgentRun}
 	return nil
 }
 
 // take puts a state of the fleet in force. A configuration older than the one in force, as an agent that has just
 // started may know it, changes nothing.
 func (f *Feed) take(snapshot *message.Snapshot) error {
-	if !snapshot.SameRouters {
+	if !snapshot.RoutersUnchanged {
 		f.routers = max(len(snapshot.Routers), 1)
-		f.nearRouters.Store(&snapshot.Near)
+		f.nearRouters.Store(&snapshot.SameZone)
 		if f.OnRouters != nil {
 			f.OnRouters(snapshot.Routers)
 		}
@@ -177,13 +177,13 @@
 	f.workers.Merge(now, snapshot.Workers)
 	f.workers.Expire(now)
 	f.view.Store(f.workers.View())
-	if !snapshot.Part || f.listed == nil {
+	if !snapshot.Delta || f.listed == nil {
 		f.listed = make(map[string]bool, len(snapshot.Workers))
 	}
 	for _, entry := range snapshot.Workers {
 		f.listed[topic.Node(entry.Key)] = true
 	}
-	for _, key := range snapshot.Gone {
+	for _, key := range snapshot.Removed {
 		delete(f.listed, topic.Node(key))
 	}
 }
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -61,7 +61,7 @@
 // BenchmarkStateTaken is what a proxy does with each answer of its agent, but for the decoding.
 func BenchmarkStateTaken(b *testing.B) {
 	entries := largeWorkers()
-	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
+	snapshot := &message.Snapshot{Revision: 1, AgentRun: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
 	followed := largeFeed()
 	defer followed.Stop()
 	before := heap()
@@ -78,7 +78,7 @@
 // BenchmarkOneWorkerChanged is the same when one worker has other news each time.
 func BenchmarkOneWorkerChanged(b *testing.B) {
 	entries := largeWorkers()
-	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
+	snapshot := &message.Snapshot{Revision: 1, AgentRun: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
 	followed := largeFeed()
 	defer followed.Stop()
 	qt.Assert(b, followed.take(snapshot), qt.IsNil)
--- a/internal/proxy/feed/orders_test.go
+++ b/internal/proxy/feed/orders_test.go
@@ -18,7 +18,7 @@
 	// Given an order for a worker.
 	c.Assert(known.take([]replica.Entry{order}, now), qt.DeepEquals, map[string]string{"i-1": "reading"})
 	// When its end is told, then the worker is free.
-	c.Assert(known.take([]replica.Entry{topic.NoOrderEntry("i-1", 5, 2)}, now), qt.HasLen, 0)
+	c.Assert(known.take([]replica.Entry{topic.OrderTombstone("i-1", 5, 2)}, now), qt.HasLen, 0)
 }
 
 func TestOrderOfALostOwnerIsGivenUp(t *testing.T) {
--- a/internal/proxy/front/pickup_bounds_test.go
+++ b/internal/proxy/front/pickup_bounds_test.go
@@ -230,7 +230,7 @@
 			workers := writtenAfter(after(slow, says(readPrompt)), 2, cut(2, late, ""), goesOn)
 			play(t, workers, func(c *qt.C, s *scene) {
 				// When its client leaves.
-				connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+				connection, err := s.client.Dial(c.Context(), frontAt, network.DialOptions{Timeout: time.Second})
 				c.Assert(err, qt.IsNil)
 				_, err = io.WriteString(connection, "POST "+pickedPath+" HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: 1\r\nX-Token-Count: 2000,20\r\nContent-Length: 0\r\n\r\n")
 				c.Assert(err, qt.IsNil)
--- a/internal/proxy/front/protocol_test.go
+++ b/internal/proxy/front/protocol_test.go
@@ -68,7 +68,7 @@
 	workers := wellServed()
 	play(t, workers, func(c *qt.C, s *scene) {
 		// When a client sends a body in chunks, with the system's headers behind it.
-		connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+		connection, err := s.client.Dial(c.Context(), frontAt, network.DialOptions{Timeout: time.Second})
 		c.Assert(err, qt.IsNil)
 		_, err = io.WriteString(connection, "POST "+riskyPath+" HTTP/1.1\r\nHost: h.example\r\nTrailer: Kv-From, X-Stage\r\n"+
 			"Transfer-Encoding: chunked\r\n\r\n6\r\nprompt\r\n0\r\nKv-From: "+forged+"\r\nX-Stage: "+forged+"\r\n\r\n")
--- a/internal/proxy/front/scene_test.go
+++ b/internal/proxy/front/scene_test.go
@@ -273,7 +273,7 @@
 
 // exchange sends a request as its bytes, on a connection of its own, and reads the answer.
 func (s *scene) exchange(c *qt.C, request string) answer {
-	connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+	connection, err := s.client.Dial(c.Context(), frontAt, network.DialOptions{Timeout: time.Second})
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = connection.Close() }() // the answer was read
 	c.Assert(connection.SetDeadline(time.Now().Add(patience)), qt.IsNil)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -126,7 +126,7 @@
 			return nil, core.ErrNoSocket
 		}
 	}
-	raw, err := p.network.Dial(ctx, addr, network.Terms{Limit: p.dialTimeout})
+	raw, err := p.network.Dial(ctx, addr, network.DialOptions{Timeout: p.dialTimeout})
 	if err != nil {
 		p.budget.give()
 		return nil, err
--- a/internal/upstream/shares_test.go
+++ b/internal/upstream/shares_test.go
@@ -49,7 +49,7 @@
 }
 
 // Dial serves network.Network.
-func (n *pipeNetwork) Dial(context.Context, string, network.Terms) (net.Conn, error) {
+func (n *pipeNetwork) Dial(context.Context, string, network.DialOptions) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refuse {
