--- a/internal/mesh/membership/contact_test.go
+++ b/internal/mesh/membership/contact_test.go
@@ -36,8 +36,8 @@
 			Client:   rpc.NewClient(process),
 			Log:      zerolog.Nop(),
 		})
-		own := serveLed(c, process, ownAddress)
-		other := serveLed(c, fabric.Machine("10.0.0.2").Process(), otherAddress)
+		own := serveWithLeader(c, process, ownAddress)
+		other := serveWithLeader(c, fabric.Machine("10.0.0.2").Process(), otherAddress)
 		run(c, fabric, member)
 		c.Assert(own.Close(), qt.IsNil)
 		c.Assert(other.Close(), qt.IsNil)
@@ -45,8 +45,8 @@
 	})
 }
 
-// serveLed answers heartbeats at an address as a member in contact with the leader of every partition.
-func serveLed(c *qt.C, process *memnet.Process, address string) *rpc.Server {
+// serveWithLeader answers heartbeats at an address as a member in contact with the leader of every partition.
+func serveWithLeader(c *qt.C, process *memnet.Process, address string) *rpc.Server {
 	mux := http.NewServeMux()
 	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
 		return &message.BeatAnswer{Authority: message.LeaderBacked}, nil
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -211,8 +211,8 @@
 	m.recordContact(sentAt, authority, err)
 }
 
-// chooseControl chooses the chooseControl member of this round: usually one of the own zone, if there is one. A starter is chosen while no
-// other member is known, and periodically in any case, because all members that this router knows may be gone. While no member
+// chooseControl chooses the control member of this round: usually one of the own zone, if there is one. A starter is chosen while
+// no other member is known, and periodically in any case, because all members that this router knows may be gone. While no member
 // with a known leader has answered, the choice is among all members, and a starter in every second round.
 func (m *Membership) chooseControl(members []topic.Peer, round int) string {
 	var near, others []topic.Peer
@@ -247,7 +247,7 @@
 		return
 	}
 	m.config.Log.Info().Str("peer", failed.ID).Int64("silent_ms", failed.Silent.Milliseconds()).Msg("a router is down")
-	peer, _ := topic.PeerOf(entry) // seek skips it if it has no address
+	peer, _ := topic.PeerOf(entry) // reconnect skips it if it has no address
 	peer.Node = failed.ID
 	m.node.Put(topic.DownEntry(m.config.Prefix, peer, entry.Version.Major))
 }
--- a/internal/mesh/membership/spread_test.go
+++ b/internal/mesh/membership/spread_test.go
@@ -85,7 +85,7 @@
 func TestSingleChangeIsForwardedAtOnce(t *testing.T) {
 	withNeighbour(t, func(c *qt.C, own *membership.Membership, other *neighbour) {
 		own.Node().Put(entry(1, 1))
-		time.Sleep(10 * time.Millisecond) // connecting and the push take three crossings of the link
+		time.Sleep(10 * time.Millisecond) // three crossings of the link, with a margin
 		pushes, entries := other.drain()
 		c.Assert(pushes, qt.Equals, 1)
 		c.Assert(entries, qt.Equals, 1)
