--- a/internal/control/member/duty.go
+++ b/internal/control/member/duty.go
@@ -144,7 +144,7 @@
 func (d *duty) clearOrder(worker string, fence uint64) {
 	d.sequence++
 	delete(d.pending, worker)
-	d.member.members.Node().Put(topic.NoOrderEntry(worker, fence, d.sequence))
+	d.member.members.Node().Put(topic.OrderTombstone(worker, fence, d.sequence))
 }
 
 // balance requests the reports of a service's workers and sends the resulting orders.
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -77,7 +77,7 @@
 	registry      *registry.Registry
 	savedRevision uint64                    // revision of the registry view saved on disk
 	confirmed     map[string]registry.State // states of leaving workers that a majority of the members has
-	pastOrders    *tombstone.Keeper         // tombstones of orders to unknown workers
+	pastOrders    *tombstone.Tracker        // tombstones of orders to unknown workers
 }
 
 // Disk is the storage of a member's partitions.
@@ -101,15 +101,15 @@
 			Steering: settings.ListenOn.Control,
 			Zone:     settings.Zone,
 		},
-		Starters: membership.StarterAddresses(settings),
-		Interval: beatInterval,
-		FanOut:   fanOut,
-		Client:   m.client,
-		Log:      log,
-		OnNews:   m.mergeUpdates,
-		Led:      func() bool { return m.standing() == message.Led },
+		Starters:  membership.StarterAddresses(settings),
+		Interval:  beatInterval,
+		FanOut:    fanOut,
+		Client:    m.client,
+		Log:       log,
+		OnChange:  m.mergeUpdates,
+		HasLeader: func() bool { return m.standing() == message.LeaderBacked },
 	})
-	m.members.Node().TellStanding(m.standing)
+	m.members.Node().SetAuthority(m.standing)
 	return m
 }
 
@@ -267,14 +267,14 @@
 }
 
 // standing returns how reliable this member's copy of the fleet state is.
-func (m *Member) standing() message.Standing {
+func (m *Member) standing() message.Authority {
 	switch {
 	case m.isLed(ledTimeout):
-		return message.Led
+		return message.LeaderBacked
 	case m.host.Voter():
 		return message.Durable
 	}
-	return message.Hearsay
+	return message.Gossiped
 }
 
 // mergeUpdates merges updates of workers from other members into the registry.
@@ -314,7 +314,7 @@
 	for _, key := range forgotten {
 		delete(m.confirmed, topic.Node(key))
 	}
-	forgotten = append(forgotten, m.pastOrders.Expire(now, topic.PastOrders(snapshot))...)
+	forgotten = append(forgotten, m.pastOrders.Expire(now, topic.OrphanedOrders(snapshot))...)
 	m.mu.Unlock()
 	for _, worker := range changed {
 		m.log.Info().Str("worker", worker.ID).Str("service", worker.Service).Msg("worker lapsed: no heartbeat")
--- a/internal/control/member/workers.go
+++ b/internal/control/member/workers.go
@@ -48,7 +48,7 @@
 func newWorkerHTTPClient(transport network.Network, keep bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return transport.Dial(ctx, address, network.Terms{})
+			return transport.Dial(ctx, address, network.DialOptions{})
 		},
 		DisableCompression:  true,
 		DisableKeepAlives:   !keep,
--- a/internal/mesh/message/message_size_test.go
+++ b/internal/mesh/message/message_size_test.go
@@ -19,32 +19,32 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// The fleet that docs/CAPACITY.md works its figures out for.
+// The fleet for which docs/CAPACITY.md gives figures.
 const (
 	fleetRouters  = 380
 	fleetControls = 4
 	fleetWorkers  = 600
 )
 
-// pipes is a network of one server in memory that counts the bytes of its connections, both ways together.
-type pipes struct {
+// pipeNetwork is an in-memory network with one server. It counts the bytes of its connections in both directions together.
+type pipeNetwork struct {
 	incoming chan net.Conn
 	bytes    atomic.Int64
 }
 
-func newPipes() *pipes { return &pipes{incoming: make(chan net.Conn)} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{incoming: make(chan net.Conn)} }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return p, nil }
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return p, nil }
 
-func (p *pipes) Dial(context.Context, string, network.Terms) (net.Conn, error) {
+func (p *pipeNetwork) Dial(context.Context, string, network.DialOptions) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.incoming <- far
-	return &counted{Conn: near, bytes: &p.bytes}, nil
+	return &countedConn{Conn: near, bytes: &p.bytes}, nil
 }
 
-func (p *pipes) ListenPacket(string) (net.PacketConn, error) { return nil, net.ErrClosed }
+func (p *pipeNetwork) ListenPacket(string) (net.PacketConn, error) { return nil, net.ErrClosed }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	conn, open := <-p.incoming
 	if !open {
 		return nil, net.ErrClosed
@@ -52,39 +52,39 @@
 	return conn, nil
 }
 
-func (p *pipes) Close() error { return nil }
+func (p *pipeNetwork) Close() error { return nil }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7700} }
+func (p *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7700} }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(into []byte) (int, error) {
+func (c *countedConn) Read(into []byte) (int, error) {
 	size, err := c.Conn.Read(into)
 	c.bytes.Add(int64(size))
 	return size, err
 }
 
-func (c *counted) Write(from []byte) (int, error) {
+func (c *countedConn) Write(from []byte) (int, error) {
 	size, err := c.Conn.Write(from)
 	c.bytes.Add(int64(size))
 	return size, err
 }
 
-// serving is a server of mesh calls in memory, and a client of it.
-type serving struct {
-	over   *pipes
+// meshServer is an in-memory server of mesh calls with a client.
+type meshServer struct {
+	pipes  *pipeNetwork
 	client *rpc.Client
-	digest *replica.Digest // given with each heartbeat's answer, if not nil
+	digest *replica.Digest // sent in each heartbeat response unless nil
 }
 
 const address = "10.0.0.1:7700"
 
-func serve(t testing.TB) *serving {
+func serve(t testing.TB) *meshServer {
 	t.Helper()
-	s := &serving{over: newPipes()}
+	s := &meshServer{pipes: newPipeNetwork()}
 	mux := http.NewServeMux()
 	message.CallBeat.Handle(mux, func(context.Context, *message.Beat) (*message.BeatAnswer, error) {
 		return &message.BeatAnswer{Digest: s.digest}, nil
@@ -92,32 +92,32 @@
 	message.CallSync.Handle(mux, func(context.Context, *message.Sync) (*message.SyncAnswer, error) {
 		return &message.SyncAnswer{}, nil
 	})
-	server := rpc.NewServer(s.over, mux)
+	server := rpc.NewServer(s.pipes, mux)
 	qt.Assert(t, server.Serve(address), qt.IsNil)
 	t.Cleanup(func() {
-		close(s.over.incoming)
+		close(s.pipes.incoming)
 		_ = server.Close() // the test is over
 	})
-	s.client = rpc.NewClient(s.over)
+	s.client = rpc.NewClient(s.pipes)
 	return s
 }
 
-func (s *serving) beat(t testing.TB) {
+func (s *meshServer) beat(t testing.TB) {
 	_, err := message.CallBeat.Call(t.Context(), s.client, address, beat())
 	qt.Assert(t, err, qt.IsNil)
 }
 
-func (s *serving) sync(t testing.TB, entries ...replica.Entry) {
+func (s *meshServer) sync(t testing.TB, entries ...replica.Entry) {
 	_, err := message.CallSync.Call(t.Context(), s.client, address, &message.Sync{From: "edge-zone-1-17", Entries: entries})
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// wire is how many bytes a call takes both ways on a connection that is open already.
-func (s *serving) wire(call func()) int64 {
+// wireBytes returns the bytes of one call in both directions on a connection that is already open.
+func (s *meshServer) wireBytes(call func()) int64 {
 	call()
-	before := s.over.bytes.Load()
+	before := s.pipes.bytes.Load()
 	call()
-	return s.over.bytes.Load() - before
+	return s.pipes.bytes.Load() - before
 }
 
 func beat() *message.Beat {
@@ -157,9 +157,9 @@
 	return entries
 }
 
-// snapshot is an agent's answer to its proxy in the large fleet, without a configuration.
+// snapshot is an agent's response to its proxy in the large fleet, without a configuration.
 func snapshot() *message.Snapshot {
-	answer := &message.Snapshot{Revision: 123456, Life: 1 << 60, Settings: 4321, Workers: workerEntries()}
+	answer := &message.Snapshot{Revision: 123456, AgentRun: 1 << 60, Settings: 4321, Workers: workerEntries()}
 	for number := range fleetRouters {
 		answer.Routers = append(answer.Routers, fmt.Sprintf("10.%d.%d.4", number%7, number/7))
 	}
@@ -172,35 +172,35 @@
 	return len(bytes)
 }
 
-// The sizes bound what docs/CAPACITY.md says. One that grows past its bound is to be looked at there.
-func TestMessagesKeepToTheirSizes(t *testing.T) {
+// The bounds back the figures in docs/CAPACITY.md. If a message outgrows its bound, review the figures there.
+func TestMessageSizesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	digest := replica.Digest{}
 	sizes := []struct {
-		name string
-		most int // bytes
-		size int
+		name  string
+		limit int // bytes
+		size  int
 	}{
 		{"heartbeat", 32, encoded(c, beat())},
-		{"heartbeat's answer, equal", 1, encoded(c, message.BeatAnswer{})},
-		{"heartbeat's answer with a digest", 520, encoded(c, message.BeatAnswer{Digest: &digest})},
+		{"heartbeat's response, equal", 1, encoded(c, message.BeatAnswer{})},
+		{"heartbeat's response with a digest", 520, encoded(c, message.BeatAnswer{Digest: &digest})},
 		{"one worker's entry", 170, encoded(c, workerEntry(599))},
 		{"one router's entry", 100, encoded(c, routerEntry(379))},
 		{"state of the large fleet", 100_000, encoded(c, snapshot())},
 	}
-	for _, one := range sizes {
-		c.Logf("%s: %d bytes", one.name, one.size)
-		c.Check(one.size <= one.most, qt.IsTrue, qt.Commentf("%s has %d bytes, %d at most", one.name, one.size, one.most))
+	for _, encoding := range sizes {
+		c.Logf("%s: %d bytes", encoding.name, encoding.size)
+		c.Check(encoding.size <= encoding.limit, qt.IsTrue, qt.Commentf("%s has %d bytes, bound is %d", encoding.name, encoding.size, encoding.limit))
 	}
 }
 
-func TestCallsKeepToTheirSizesOnTheWire(t *testing.T) {
+func TestCallSizesOnTheWireAreBounded(t *testing.T) {
 	c := qt.New(t)
 	s := serve(t)
-	check := func(name string, most int64, call func()) {
-		size := s.wire(call)
-		c.Logf("%s: %d bytes on the wire, both ways", name, size)
-		c.Check(size <= most, qt.IsTrue, qt.Commentf("%s takes %d bytes, %d at most", name, size, most))
+	check := func(name string, limit int64, call func()) {
+		size := s.wireBytes(call)
+		c.Logf("%s: %d bytes on the wire in both directions", name, size)
+		c.Check(size <= limit, qt.IsTrue, qt.Commentf("%s takes %d bytes, bound is %d", name, size, limit))
 	}
 	check("heartbeat", 260, func() { s.beat(t) })
 	check("push of one worker", 370, func() { s.sync(t, workerEntry(599)) })
@@ -243,7 +243,7 @@
 	}
 }
 
-// BenchmarkPeersOfTheLargeFleet is what a router does besides the calls for each piece of news: it reads all routers' entries.
+// BenchmarkPeersOfTheLargeFleet measures a router's local work for one change: decoding the entries of all routers.
 func BenchmarkPeersOfTheLargeFleet(b *testing.B) {
 	entries := make([]replica.Entry, 0, fleetRouters)
 	for number := range fleetRouters {
@@ -256,7 +256,7 @@
 	}
 }
 
-// BenchmarkRepair compares two copies of the large fleet's map that differ in one worker, as both sides do together.
+// BenchmarkRepair compares two copies of the large fleet's map that differ in one worker. It measures both sides together.
 func BenchmarkRepair(b *testing.B) {
 	near, far := replica.New(), replica.New()
 	entries := workerEntries()
@@ -275,7 +275,7 @@
 	b.ReportMetric(float64(bytes), "entry-bytes/op")
 }
 
-// BenchmarkSettingsEntry packs a configuration of 1,000 routes as it spreads.
+// BenchmarkSettingsEntry compresses a configuration of 1,000 routes for distribution.
 func BenchmarkSettingsEntry(b *testing.B) {
 	document := []byte(`{"version":1,"routes":[`)
 	for number := range 1000 {
--- a/internal/mesh/network/system_test.go
+++ b/internal/mesh/network/system_test.go
@@ -13,7 +13,7 @@
 
 func TestSystemConnects(t *testing.T) {
 	c := qt.New(t)
-	// Given a listener on loopback.
+	// Given a listener on loopback,
 	listener, err := System{}.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = listener.Close() }()
@@ -23,15 +23,15 @@
 			_ = conn.Close()
 		}
 	}()
-	// When it is dialed on terms, then the connection carries bytes.
-	terms := Terms{Limit: time.Second, Silence: time.Second, NoKeepAlive: true}
-	conn, err := System{}.Dial(context.Background(), listener.Addr().String(), terms)
+	// when it is dialed with options, then the connection carries bytes,
+	options := DialOptions{Timeout: time.Second, UnackedTimeout: time.Second, NoKeepAlive: true}
+	conn, err := System{}.Dial(context.Background(), listener.Addr().String(), options)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	text, err := io.ReadAll(conn)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(text), qt.Equals, "hello")
-	// And the port is not given away twice.
+	// and a second listener on the same port is refused.
 	_, err = System{}.Listen(listener.Addr().String())
 	c.Assert(Error.Has(err), qt.IsTrue)
 	c.Assert(errors.Is(err, syscall.EADDRINUSE), qt.IsTrue)
@@ -48,7 +48,7 @@
 	_, err = from.WriteTo([]byte("x"), to.LocalAddr())
 	c.Assert(err, qt.IsNil)
 	buffer := make([]byte, 8)
-	n, _, err := to.ReadFrom(buffer)
+	size, _, err := to.ReadFrom(buffer)
 	c.Assert(err, qt.IsNil)
-	c.Assert(string(buffer[:n]), qt.Equals, "x")
+	c.Assert(string(buffer[:size]), qt.Equals, "x")
 }
--- a/internal/proxy/calls/job.go
+++ b/internal/proxy/calls/job.go
@@ -133,7 +133,7 @@
 // sendPrefill makes one prefill call.
 func (j *Job) sendPrefill(ctx context.Context, worker core.Worker, clear func() error) (core.Reply, error) {
 	headers := []string{headerStage, RoleReading, headerMeantServer, worker.Name}
-	answer, err := j.call(ctx, worker, traffic.Read, clear, headers, func() {
+	answer, err := j.call(ctx, worker, traffic.Prefill, clear, headers, func() {
 		j.prefills++
 		if j.calls.OnPrefill != nil {
 			j.calls.OnPrefill()
--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -129,22 +129,22 @@
 		return err
 	}
 	f.link.Store(uint32(snapshot.Link))
-	if snapshot.Same {
+	if snapshot.Unchanged {
 		return nil
 	}
 	if err := f.apply(snapshot); err != nil {
 		return err
 	}
-	f.position = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, Life: snapshot.Life}
+	f.position = message.Watch{Revision: snapshot.Revision, Settings: snapshot.Settings, AgentRun: snapshot.AgentRun}
 	return nil
 }
 
 // apply puts a snapshot in force. A configuration older than the one in force is ignored: an agent that has just
 // started may still have one.
 func (f *Feed) apply(snapshot *message.Snapshot) error {
-	if !snapshot.SameRouters {
+	if !snapshot.RoutersUnchanged {
 		f.routers = max(len(snapshot.Routers), 1)
-		f.zoneRouters.Store(&snapshot.Near)
+		f.zoneRouters.Store(&snapshot.SameZone)
 		if f.OnRouters != nil {
 			f.OnRouters(snapshot.Routers)
 		}
@@ -179,13 +179,13 @@
 	f.workers.Merge(now, snapshot.Workers)
 	f.workers.Expire(now)
 	f.view.Store(f.workers.View())
-	if !snapshot.Part || f.agentWorkers == nil {
+	if !snapshot.Delta || f.agentWorkers == nil {
 		f.agentWorkers = make(map[string]bool, len(snapshot.Workers))
 	}
 	for _, entry := range snapshot.Workers {
 		f.agentWorkers[topic.Node(entry.Key)] = true
 	}
-	for _, key := range snapshot.Gone {
+	for _, key := range snapshot.Removed {
 		delete(f.agentWorkers, topic.Node(key))
 	}
 }
--- a/internal/proxy/feed/feed_bench_test.go
+++ b/internal/proxy/feed/feed_bench_test.go
@@ -61,7 +61,7 @@
 // BenchmarkApplySnapshot measures how a proxy applies an unchanged snapshot, without the decoding.
 func BenchmarkApplySnapshot(b *testing.B) {
 	entries := largeWorkers()
-	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
+	snapshot := &message.Snapshot{Revision: 1, AgentRun: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
 	benched := largeFeed()
 	defer benched.Stop()
 	before := heapBytes()
@@ -78,7 +78,7 @@
 // BenchmarkApplyOneChangedWorker measures how a proxy applies a snapshot in which one worker has changed.
 func BenchmarkApplyOneChangedWorker(b *testing.B) {
 	entries := largeWorkers()
-	snapshot := &message.Snapshot{Revision: 1, Life: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
+	snapshot := &message.Snapshot{Revision: 1, AgentRun: 1, Settings: 1, Document: []byte(largeDocument), Workers: entries}
 	benched := largeFeed()
 	defer benched.Stop()
 	qt.Assert(b, benched.apply(snapshot), qt.IsNil)
--- a/internal/proxy/feed/orders_test.go
+++ b/internal/proxy/feed/orders_test.go
@@ -18,7 +18,7 @@
 	// Given an order for a worker,
 	c.Assert(tracked.apply([]replica.Entry{order}, now), qt.DeepEquals, map[string]string{"i-1": "reading"})
 	// when the order ends, then the worker gets new work again.
-	c.Assert(tracked.apply([]replica.Entry{topic.NoOrderEntry("i-1", 5, 2)}, now), qt.HasLen, 0)
+	c.Assert(tracked.apply([]replica.Entry{topic.OrderTombstone("i-1", 5, 2)}, now), qt.HasLen, 0)
 }
 
 func TestOrderExpires(t *testing.T) {
