--- a/cmd/fleetd/ask.go
+++ b/cmd/fleetd/ask.go
@@ -27,7 +27,7 @@
 
 // Run asks and prints the answer.
 func (c *statusCommand) Run(to *streams) error {
-	report, err := ask(status.CallStatus, c.Address, &status.Question{})
+	report, err := ask(status.CallStatus, c.Address, &status.Request{})
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 
 // Run asks and prints the lines.
 func (c *logCommand) Run(to *streams) error {
-	answer, err := ask(status.CallLog, c.Address, &status.LogQuestion{})
+	answer, err := ask(status.CallLog, c.Address, &status.LogRequest{})
 	if err != nil {
 		return err
 	}
--- a/cmd/fleetd/ask_test.go
+++ b/cmd/fleetd/ask_test.go
@@ -20,10 +20,10 @@
 		Kind: status.KindControl, Node: "control-1", Zone: "north", UpMS: 61500,
 		Configuration: status.Configuration{Version: 7, Index: 5},
 		Controls: []status.Peer{
-			{Node: "control-1", Zone: "north", Address: "10.0.0.1:7700", Steering: "10.0.0.1:8002", Life: 1},
-			{Node: "control-2", Down: true, Life: 2},
+			{Node: "control-1", Zone: "north", Address: "10.0.0.1:7700", Steering: "10.0.0.1:8002", Incarnation: 1},
+			{Node: "control-2", Down: true, Incarnation: 2},
 		},
-		Routers: []status.Peer{{Node: "edge-1", Zone: "south", Address: "10.0.0.9:7701", Life: 1}},
+		Routers: []status.Peer{{Node: "edge-1", Zone: "south", Address: "10.0.0.9:7701", Incarnation: 1}},
 		Workers: []status.Workers{{Service: "chat", Phase: "reading", Up: 3, Lapsed: 1}},
 		Partitions: []status.Partition{{
 			Name: "configuration", Role: "leader", Term: 2, Leader: "10.0.0.1:7700", Commit: 5, Applied: 5, Last: 6, Stable: 6, Snapshot: 1,
@@ -63,7 +63,7 @@
 // serveStatus serves a report and a log as a process does, and gives its address.
 func serveStatus(c *qt.C, report *status.Report, log status.Log) string {
 	mux := http.NewServeMux()
-	status.CallStatus.Handle(mux, func(context.Context, *status.Question) (*status.Report, error) {
+	status.CallStatus.Handle(mux, func(context.Context, *status.Request) (*status.Report, error) {
 		if report == nil {
 			return nil, errors.New("this member is too busy")
 		}
--- a/cmd/fleetd/headlines.go
+++ b/cmd/fleetd/headlines.go
@@ -61,7 +61,7 @@
 	t := newTable("KIND", "ZONE", "MESSAGES", "SENT BYTES", "RECEIVED BYTES")
 	for _, total := range totals {
 		zone := "other"
-		if total.Near {
+		if total.OwnZone {
 			zone = "own"
 		}
 		t.row(total.Kind, zone, decimal(total.Messages), decimal(total.Sent), decimal(total.Received))
--- a/cmd/fleetd/main.go
+++ b/cmd/fleetd/main.go
@@ -120,7 +120,7 @@
 	}
 	defer p.stop()
 	beside := agent.New(p.settings, network.System{}, p.log)
-	beside.ShowLog(p.ring)
+	beside.ServeLog(p.ring)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go reload(p, hangups, beside.Reload)
--- a/examples/fleetd/demo.go
+++ b/examples/fleetd/demo.go
@@ -184,7 +184,7 @@
 			if err := expectOK(request); err != nil {
 				return err
 			}
-			report, err := status.CallStatus.Call(ctx, client, edge.inside(), &status.Question{})
+			report, err := status.CallStatus.Call(ctx, client, edge.inside(), &status.Request{})
 			if err != nil {
 				return err
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// beatInterval is how often an edge router sends heartbeats.
-	beatInterval = time.Second
+	// heartbeatInterval is how often an edge router sends heartbeats.
+	heartbeatInterval = time.Second
 	// joinInterval is how often joining is tried until it succeeds.
 	joinInterval = 50 * time.Millisecond
 	// fanOut is to how many other routers news is passed on.
@@ -31,16 +31,16 @@
 
 // Agent is the process beside a proxy.
 type Agent struct {
-	settings *boot.Settings
-	network  network.Network
-	log      zerolog.Logger
-	client   *rpc.Client
-	members  *membership.Membership
-	address  string
-	feed     *feed
-	servers  []*rpc.Server
-	began    time.Time
-	lines    status.Log // may be nil
+	settings  *boot.Settings
+	network   network.Network
+	log       zerolog.Logger
+	client    *rpc.Client
+	members   *membership.Membership
+	address   string
+	feed      *feed
+	servers   []*rpc.Server
+	startedAt time.Time
+	logLines  status.Log // may be nil
 
 	confirmation *confirmation
 	faults       Faults
@@ -52,8 +52,8 @@
 	TrustAnyMember bool
 }
 
-// Break puts faults into the agent; call it before Run.
-func (a *Agent) Break(faults Faults) {
+// InjectFaults puts faults into the agent; call it before Run.
+func (a *Agent) InjectFaults(faults Faults) {
 	a.faults = faults
 	if faults.TrustAnyMember {
 		a.members.IgnoreStanding()
@@ -61,20 +61,20 @@
 }
 
 // New makes an agent on a machine's network.
-func New(settings *boot.Settings, over network.Network, log zerolog.Logger) *Agent {
-	a := &Agent{settings: settings, network: over, log: log, client: rpc.NewClient(over), began: time.Now()}
+func New(settings *boot.Settings, transport network.Network, log zerolog.Logger) *Agent {
+	a := &Agent{settings: settings, network: transport, log: log, client: rpc.NewClient(transport), startedAt: time.Now()}
 	a.confirmation = newConfirmation(settings.Bear.Machines)
 	a.address = membership.InsideAddress(settings.IP, settings.InsidePorts, membership.PortAgent)
 	a.members = membership.New(membership.Config{
 		Prefix:   topic.Routers,
 		Self:     topic.Peer{Node: settings.Node, Address: a.address, Zone: settings.Zone},
 		Starters: membership.StarterAddresses(settings),
-		Interval: beatInterval,
+		Interval: heartbeatInterval,
 		FanOut:   fanOut,
 		Client:   a.client,
 		Log:      log,
 	})
-	a.feed = newFeed(a.members.Node(), settings.Zone, a.confirmation.open, a.link)
+	a.feed = newFeed(a.members.Node(), settings.Zone, a.confirmation.released, a.link)
 	return a
 }
 
@@ -91,9 +91,9 @@
 	if err := a.serve(loopback, FeedAddress(a.settings)); err != nil {
 		return err
 	}
-	go a.confirm(ctx)
+	go a.confirmConfiguration(ctx)
 	a.join(ctx)
-	go a.forget(ctx)
+	go a.expireTombstones(ctx)
 	a.members.Run(ctx)
 	return nil
 }
@@ -154,7 +154,7 @@
 func (a *Agent) State() (replica.Snapshot, <-chan struct{}) { return a.members.Node().Snapshot() }
 
 // Idle tells whether no proxy has asked for state for a time.
-func (a *Agent) Idle(limit time.Duration) bool { return a.feed.idle(limit) }
+func (a *Agent) Idle(timeout time.Duration) bool { return a.feed.idle(timeout) }
 
 // Close ends the agent's servers.
 func (a *Agent) Close() {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -15,50 +15,50 @@
 )
 
 const (
-	// watchLimit is how long a question of the proxy waits for a change.
-	watchLimit = 5 * time.Second
-	// gatherTime is how long a change waits for others that come with it, so that they reach the proxy as one.
-	gatherTime = 5 * time.Millisecond
-	// answerRest is the shortest time between two answers, and timeByWorker what is added to it for each worker that the one
+	// watchTimeout is how long a question of the proxy waits for a change.
+	watchTimeout = 5 * time.Second
+	// coalesceDelay is how long a change waits for others that come with it, so that they reach the proxy as one.
+	coalesceDelay = 5 * time.Millisecond
+	// minAnswerInterval is the shortest time between two answers, and timeByWorker what is added to it for each worker that the one
 	// before told of: a proxy's work for one grows with them, and while much changes it must not take the machine.
-	answerRest   = 20 * time.Millisecond
-	timeByWorker = 50 * time.Microsecond
+	minAnswerInterval = 20 * time.Millisecond
+	intervalPerWorker = 50 * time.Microsecond
 )
 
 // feed answers the proxy's questions for the state of the fleet.
 type feed struct {
-	node *node.Node
-	zone string          // of this machine
-	life uint64          // tells this agent's revisions from those of an earlier life
-	open <-chan struct{} // closed once the configuration is told
-	link func() message.Link
-
-	mu      sync.Mutex
-	waiting int
-	last    time.Time        // a question was last open
-	next    time.Time        // the next answer is given then at the earliest
-	given   replica.Snapshot // of the newest answer
+	node        *node.Node
+	zone        string          // of this machine
+	incarnation uint64          // tells this agent's revisions from those of an earlier life
+	released    <-chan struct{} // closed once the configuration is told
+	link        func() message.Link
+
+	mu           sync.Mutex
+	openWatches  int
+	lastWatchAt  time.Time        // a question was last open
+	nextAnswerAt time.Time        // the next answer is given then at the earliest
+	lastSnapshot replica.Snapshot // of the newest answer
 }
 
-func newFeed(of *node.Node, zone string, open <-chan struct{}, link func() message.Link) *feed {
-	given, _ := of.Snapshot()
-	return &feed{node: of, zone: zone, life: rand.Uint64() | 1, open: open, link: link, last: time.Now(), given: given}
+func newFeed(source *node.Node, zone string, released <-chan struct{}, link func() message.Link) *feed {
+	snapshot, _ := source.Snapshot()
+	return &feed{node: source, zone: zone, incarnation: rand.Uint64() | 1, released: released, link: link, lastWatchAt: time.Now(), lastSnapshot: snapshot}
 }
 
 // watch answers once the state differs from what the proxy knows, or after watchLimit.
-func (f *feed) watch(ctx context.Context, question *message.Watch) (*message.Snapshot, error) {
-	f.asked(1)
-	defer f.asked(-1)
-	limit := time.NewTimer(watchLimit)
+func (f *feed) watch(ctx context.Context, request *message.Watch) (*message.Snapshot, error) {
+	f.countWatch(1)
+	defer f.countWatch(-1)
+	limit := time.NewTimer(watchTimeout)
 	defer limit.Stop()
 	for {
 		snapshot, changed := f.node.Snapshot()
-		settings, opening := f.settings(snapshot)
-		differs := question.Revision != snapshot.Revision() || question.Settings != settings.Version.Major
-		if question.Life != f.life || differs && f.untilNext() <= 0 {
-			answer, err := f.answer(snapshot, question)
+		settings, releasing := f.releasedSettings(snapshot)
+		differs := request.Revision != snapshot.Revision() || request.Settings != settings.Version.Major
+		if request.Life != f.incarnation || differs && f.untilNextAnswer() <= 0 {
+			answer, err := f.answer(snapshot, request)
 			if err == nil {
-				f.answered(len(answer.Workers))
+				f.scheduleNextAnswer(len(answer.Workers))
 			}
 			return answer, err
 		}
@@ -68,61 +68,61 @@
 		case <-limit.C:
 			return &message.Snapshot{Same: true, Link: f.link()}, nil
 		case <-changed:
-			time.Sleep(max(gatherTime, f.untilNext()))
-		case <-opening:
-		case <-f.later(differs):
+			time.Sleep(max(coalesceDelay, f.untilNextAnswer()))
+		case <-releasing:
+		case <-f.nextAnswerTimer(differs):
 		}
 	}
 }
 
-// settings is the configuration's entry; a zero one while it is not told, with a channel that is closed once it is.
-func (f *feed) settings(snapshot replica.Snapshot) (entry replica.Entry, opening <-chan struct{}) {
+// releasedSettings is the configuration's entry; a zero one while it is not told, with a channel that is closed once it is.
+func (f *feed) releasedSettings(snapshot replica.Snapshot) (entry replica.Entry, releasing <-chan struct{}) {
 	select {
-	case <-f.open:
+	case <-f.released:
 		entry, _ = snapshot.Get(topic.Settings)
 		return entry, nil
 	default:
-		return replica.Entry{}, f.open
+		return replica.Entry{}, f.released
 	}
 }
 
-// later fires when the next answer may be given, if one is due.
-func (f *feed) later(due bool) <-chan time.Time {
+// nextAnswerTimer fires when the next answer may be given, if one is due.
+func (f *feed) nextAnswerTimer(due bool) <-chan time.Time {
 	if !due {
 		return nil
 	}
-	return time.After(f.untilNext())
+	return time.After(f.untilNextAnswer())
 }
 
-// untilNext is how long the next answer has to wait.
-func (f *feed) untilNext() time.Duration {
+// untilNextAnswer is how long the next answer has to wait.
+func (f *feed) untilNextAnswer() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Until(f.next)
+	return time.Until(f.nextAnswerAt)
 }
 
-// answered notes that an answer told of so many workers.
-func (f *feed) answered(workers int) {
+// scheduleNextAnswer notes that an answer told of so many workers.
+func (f *feed) scheduleNextAnswer(workers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = time.Now().Add(answerRest + time.Duration(workers)*timeByWorker)
+	f.nextAnswerAt = time.Now().Add(minAnswerInterval + time.Duration(workers)*intervalPerWorker)
 }
 
 // answer is the state as the proxy needs it.
-func (f *feed) answer(snapshot replica.Snapshot, question *message.Watch) (*message.Snapshot, error) {
+func (f *feed) answer(snapshot replica.Snapshot, request *message.Watch) (*message.Snapshot, error) {
 	answer := &message.Snapshot{
 		Revision: snapshot.Revision(),
-		Life:     f.life,
+		Life:     f.incarnation,
 		Orders:   snapshot.Prefix(topic.Orders),
 		Link:     f.link(),
 	}
-	f.fill(answer, snapshot, question)
-	entry, _ := f.settings(snapshot)
+	f.fillPeers(answer, snapshot, request)
+	entry, _ := f.releasedSettings(snapshot)
 	answer.Settings = entry.Version.Major
 	if len(entry.Value) == 0 {
 		return answer, nil
 	}
-	if question.Life == f.life && question.Settings == answer.Settings {
+	if request.Life == f.incarnation && request.Settings == answer.Settings {
 		return answer, nil
 	}
 	document, err := topic.Document(entry)
@@ -133,17 +133,17 @@
 	return answer, nil
 }
 
-// fill tells of workers and routers: all of them, or what has changed since the answer before if that is what the proxy
+// fillPeers tells of workers and routers: all of them, or what has changed since the answer before if that is what the proxy
 // knows.
-func (f *feed) fill(answer *message.Snapshot, snapshot replica.Snapshot, question *message.Watch) {
+func (f *feed) fillPeers(answer *message.Snapshot, snapshot replica.Snapshot, request *message.Watch) {
 	f.mu.Lock()
-	given := f.given
-	f.given = snapshot
+	previous := f.lastSnapshot
+	f.lastSnapshot = snapshot
 	f.mu.Unlock()
-	answer.Part = question.Life == f.life && question.Revision == given.Revision()
+	answer.Part = request.Life == f.incarnation && request.Revision == previous.Revision()
 	if answer.Part {
-		answer.Workers, answer.Gone = snapshot.Changes(given, topic.Workers)
-		changed, gone := snapshot.Changes(given, topic.Routers)
+		answer.Workers, answer.Gone = snapshot.Changes(previous, topic.Workers)
+		changed, gone := snapshot.Changes(previous, topic.Routers)
 		answer.SameRouters = len(changed)+len(gone) == 0
 	} else {
 		answer.Workers = snapshot.Prefix(topic.Workers)
@@ -167,15 +167,15 @@
 	return addresses
 }
 
-func (f *feed) asked(change int) {
+func (f *feed) countWatch(delta int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.waiting += change
-	f.last = time.Now()
+	f.openWatches += delta
+	f.lastWatchAt = time.Now()
 }
 
-func (f *feed) idle(limit time.Duration) bool {
+func (f *feed) idle(timeout time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.waiting == 0 && time.Since(f.last) > limit
+	return f.openWatches == 0 && time.Since(f.lastWatchAt) > timeout
 }
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -13,7 +13,7 @@
 	}
 	_, byMajority := a.confirmation.byMajority()
 	switch {
-	case a.confirmation.isConfirmed() && a.members.InContact(contactLimit):
+	case a.confirmation.isConfirmed() && a.members.InContact(contactTimeout):
 		return message.LinkConfirmed
 	case a.confirmation.isConfirmed():
 		return message.LinkLost
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -8,28 +8,28 @@
 	"sumacloft/internal/status"
 )
 
-// ShowLog has the agent give its log lines to operators who ask; call it before Run.
-func (a *Agent) ShowLog(lines status.Log) { a.lines = lines }
+// ServeLog has the agent give its log lines to operators who ask; call it before Run.
+func (a *Agent) ServeLog(lines status.Log) { a.logLines = lines }
 
 // handleStatus serves what operators ask.
 func (a *Agent) handleStatus(mux *http.ServeMux) {
 	status.CallStatus.Handle(mux, a.report)
-	status.HandleLog(mux, a.lines)
+	status.HandleLog(mux, a.logLines)
 }
 
 // report is what the agent knows.
-func (a *Agent) report(context.Context, *status.Question) (*status.Report, error) {
+func (a *Agent) report(context.Context, *status.Request) (*status.Report, error) {
 	report := &status.Report{
 		Kind: status.KindAgent,
 		Node: a.settings.Node,
 		Zone: a.settings.Zone,
-		UpMS: time.Since(a.began).Milliseconds(),
+		UpMS: time.Since(a.startedAt).Milliseconds(),
 	}
 	link := a.link()
 	voters, _ := a.confirmation.byMajority()
 	report.Link = &status.Link{State: link.String(), Advice: link.Advice(), DisksHeard: voters, DisksWanted: a.confirmation.majority}
 	snapshot, _ := a.members.Node().Snapshot()
 	status.Gather(report, snapshot)
-	report.Traffic = status.TrafficOf(a.client.Meter(), status.NearHosts(snapshot, a.settings.Zone))
+	report.Traffic = status.TrafficOf(a.client.Meter(), status.HostsInZone(snapshot, a.settings.Zone))
 	return report, nil
 }
--- a/internal/agent/status_test.go
+++ b/internal/agent/status_test.go
@@ -13,17 +13,17 @@
 	"sumacloft/internal/status"
 )
 
-func TestAnAgentReportsWhatItKnows(t *testing.T) {
+func TestAgentReportHoldsReplicatedState(t *testing.T) {
 	c := qt.New(t)
 	// Given an agent that has heard of a configuration and of another router
 	settings := &boot.Settings{Node: "edge-1", IP: "10.0.0.1", Zone: "north", InsidePorts: boot.PortRange{First: 7700, Last: 7709}}
-	beside := New(settings, network.System{}, zerolog.Nop())
+	agent := New(settings, network.System{}, zerolog.Nop())
 	configuration, err := topic.SettingsEntry(9, []byte(`{"version":4}`))
 	c.Assert(err, qt.IsNil)
 	other := topic.Peer{Node: "edge-2", Address: "10.0.0.2:7701"}
-	beside.members.Node().Put(configuration, topic.DownEntry(topic.Routers, other, 1))
+	agent.members.Node().Put(configuration, topic.DownEntry(topic.Routers, other, 1))
 	// when it is asked
-	report, err := beside.report(context.Background(), &status.Question{})
+	report, err := agent.report(context.Background(), &status.Request{})
 	// then it tells of both and of itself, and of no partitions.
 	c.Assert(err, qt.IsNil)
 	c.Assert(report.Kind, qt.Equals, status.KindAgent)
@@ -36,7 +36,7 @@
 	c.Assert(report.Disk, qt.IsNil)
 }
 
-func TestMachinesOfTheLoopbackNetworkFeedAtTheirOwnAddress(t *testing.T) {
+func TestFeedAddressOfLoopbackMachines(t *testing.T) {
 	c := qt.New(t)
 	ports := boot.PortRange{First: 7700, Last: 7709}
 	// Given a machine with an address of its own, then its agent feeds the proxy at the usual loopback address;
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -24,7 +24,7 @@
 }
 
 // report is what the member knows.
-func (m *Member) report(ctx context.Context, _ *status.Question) (*status.Report, error) {
+func (m *Member) report(ctx context.Context, _ *status.Request) (*status.Report, error) {
 	state, err := m.host.Status(ctx)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	}
 	snapshot, _ := m.members.Node().Snapshot()
 	status.Gather(report, snapshot)
-	report.Traffic = status.TrafficOf(m.client.Meter(), status.NearHosts(snapshot, m.settings.Zone))
+	report.Traffic = status.TrafficOf(m.client.Meter(), status.HostsInZone(snapshot, m.settings.Zone))
 	for _, group := range state.Groups {
 		report.Partitions = append(report.Partitions, partitionOf(group, state.Now))
 	}
--- a/internal/fleettest/control.go
+++ b/internal/fleettest/control.go
@@ -157,7 +157,7 @@
 func (c *Control) Report() *status.Report {
 	ctx, cancel := context.WithTimeout(context.Background(), reportLimit)
 	defer cancel()
-	report, err := status.CallStatus.Call(ctx, rpc.NewClient(c.fleet.Operator.process), c.Inside(), &status.Question{})
+	report, err := status.CallStatus.Call(ctx, rpc.NewClient(c.fleet.Operator.process), c.Inside(), &status.Request{})
 	if err != nil {
 		return nil
 	}
--- a/internal/fleettest/edge.go
+++ b/internal/fleettest/edge.go
@@ -83,7 +83,7 @@
 func (e *Edge) StartAgent() {
 	e.agent = e.begin(func(process *memnet.Process) func(context.Context) error {
 		beside := agent.New(e.settings(), process, e.fleet.log.logger(e.Node+"/agent"))
-		beside.Break(e.fleet.plan.Faults.Agent)
+		beside.InjectFaults(e.fleet.plan.Faults.Agent)
 		return func(ctx context.Context) error {
 			defer beside.Close()
 			err := beside.Run(ctx)
--- a/internal/proxy/bounds/bounds.go
+++ b/internal/proxy/bounds/bounds.go
@@ -15,77 +15,77 @@
 
 const (
 	// The limits while the configuration gives none.
-	defaultHeaderBytes = 64 << 10
-	defaultHeaderWait  = 10 * time.Second
-	defaultQuiet       = 60 * time.Second
-	// ceilingBytes is net/http's own bound for a head, which can't change; no configured one counts beyond it.
-	ceilingBytes = 1 << 20
+	defaultHeaderBytes   = 64 << 10
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
+	// maxHeaderBytes is net/http's own bound for a head, which can't change; no configured one counts beyond it.
+	maxHeaderBytes = 1 << 20
 )
 
-// Keeper holds connections to limits. Use New.
-type Keeper struct {
+// Limiter holds connections to limits. Use New.
+type Limiter struct {
 	mu     sync.Mutex
 	limits opconf.Limits
 	conns  map[*Conn]struct{}
 }
 
 // New makes a keeper with the limits that count while no configuration is known.
-func New() *Keeper {
-	return &Keeper{limits: filled(opconf.Limits{}), conns: map[*Conn]struct{}{}}
+func New() *Limiter {
+	return &Limiter{limits: withDefaults(opconf.Limits{}), conns: map[*Conn]struct{}{}}
 }
 
-// filled puts the defaults in the place of limits that were not given.
-func filled(limits opconf.Limits) opconf.Limits {
+// withDefaults puts the defaults in the place of limits that were not given.
+func withDefaults(limits opconf.Limits) opconf.Limits {
 	if limits.HeaderBytes <= 0 {
 		limits.HeaderBytes = defaultHeaderBytes
 	}
 	if limits.HeaderWait <= 0 {
-		limits.HeaderWait = defaultHeaderWait
+		limits.HeaderWait = defaultHeaderTimeout
 	}
 	if limits.Quiet <= 0 {
-		limits.Quiet = defaultQuiet
+		limits.Quiet = defaultIdleTimeout
 	}
 	return limits
 }
 
-// Use holds all connections to these limits from now on, open ones included.
-func (k *Keeper) Use(limits opconf.Limits) {
-	limits = filled(limits)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if limits == k.limits {
+// SetLimits holds all connections to these limits from now on, open ones included.
+func (l *Limiter) SetLimits(limits opconf.Limits) {
+	limits = withDefaults(limits)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if limits == l.limits {
 		return
 	}
-	k.limits = limits
-	for c := range k.conns {
-		c.limit(limits)
+	l.limits = limits
+	for conn := range l.conns {
+		conn.setLimits(limits)
 	}
 }
 
 // Server is net/http's, for connections of this keeper's listeners.
-func (k *Keeper) Server(handler http.Handler, complaints *log.Logger) *http.Server {
+func (l *Limiter) Server(handler http.Handler, errorLog *log.Logger) *http.Server {
 	return &http.Server{
 		Handler:        handler,
-		MaxHeaderBytes: ceilingBytes,
-		ErrorLog:       complaints,
-		ConnState: func(of net.Conn, state http.ConnState) {
-			c, own := of.(*Conn)
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       errorLog,
+		ConnState: func(conn net.Conn, state http.ConnState) {
+			c, tracked := conn.(*Conn)
 			switch {
-			case own && state == http.StateActive:
-				c.taken()
-			case own && state == http.StateIdle:
-				c.answered()
+			case tracked && state == http.StateActive:
+				c.requestStarted()
+			case tracked && state == http.StateIdle:
+				c.requestFinished()
 			}
 		},
 	}
 }
 
 // Listen wraps a listener.
-func (k *Keeper) Listen(l net.Listener) net.Listener { return &listener{Listener: l, keeper: k} }
+func (l *Limiter) Listen(ln net.Listener) net.Listener { return &listener{Listener: ln, limiter: l} }
 
 type listener struct {
 	net.Listener
-	keeper *Keeper
+	limiter *Limiter
 }
 
 // Accept serves net.Listener.
@@ -94,20 +94,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.keeper.keep(raw), nil
+	return l.limiter.track(raw), nil
 }
 
-func (k *Keeper) keep(raw net.Conn) *Conn {
-	c := &Conn{Conn: raw, keeper: k, since: time.Now()}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.conns[c] = struct{}{}
-	c.limit(k.limits)
-	return c
+func (l *Limiter) track(raw net.Conn) *Conn {
+	conn := &Conn{Conn: raw, limiter: l, phaseStart: time.Now()}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns[conn] = struct{}{}
+	conn.setLimits(l.limits)
+	return conn
 }
 
-func (k *Keeper) forget(c *Conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.conns, c)
+func (l *Limiter) untrack(conn *Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, conn)
 }
--- a/internal/proxy/bounds/conn.go
+++ b/internal/proxy/bounds/conn.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// readAhead is what net/http reads at a time: so much of a body may come with the end of a head.
-	readAhead = 4 << 10
-	// lastLook is what a connection gets on top once its time is over: bytes that came in time may lie there unread,
+	// readAheadBytes is what net/http reads at a time: so much of a body may come with the end of a head.
+	readAheadBytes = 4 << 10
+	// deadlineGrace is what a connection gets on top once its time is over: bytes that came in time may lie there unread,
 	// since this process stood still, and to close now would reset a client that did its part.
-	lastLook = 50 * time.Millisecond
-	// lingerTime is how long what a refused client goes on sending is read, so that it can read why: to close with
+	deadlineGrace = 50 * time.Millisecond
+	// lingerTimeout is how long what a refused client goes on sending is read, so that it can read why: to close with
 	// bytes unread resets the connection.
-	lingerTime = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 )
 
 // The answers to a head that breaks a limit; none of it has been taken for a request.
@@ -39,119 +39,119 @@
 type phase int
 
 const (
-	idle    phase = iota // no byte of a request has come
-	heading              // the head of a request has begun to come
-	serving              // net/http has the head; reads are its own
+	idle        phase = iota // no byte of a request has come
+	readingHead              // the head of a request has begun to come
+	serving                  // net/http has the head; reads are its own
 )
 
 // Conn is a client's connection. While it waits for a request, the deadline of its reads is the keeper's, not net/http's.
 type Conn struct {
 	net.Conn
-	keeper *Keeper
-
-	mu     sync.Mutex
-	limits opconf.Limits
-	phase  phase
-	since  time.Time // the phase began
-	head   int       // bytes that came while waiting
-	looked bool      // the last look has been granted
+	limiter *Limiter
+
+	mu         sync.Mutex
+	limits     opconf.Limits
+	phase      phase
+	phaseStart time.Time // the phase began
+	headBytes  int       // bytes that came while waiting
+	extended   bool      // the last look has been granted
 }
 
 // Read serves net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.at() == serving {
+	if c.currentPhase() == serving {
 		return c.Conn.Read(p)
 	}
 	n, err := c.Conn.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.lookAgain() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendDeadline() {
 		n, err = c.Conn.Read(p)
 	}
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.at() == heading {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.currentPhase() == readingHead {
 		return 0, c.refuse(answerTooSlow, errTooSlow)
 	}
-	if n > 0 && c.heard(n) {
+	if n > 0 && c.countHeadBytes(n) {
 		return 0, c.refuse(answerTooLarge, errTooLarge)
 	}
 	return n, err
 }
 
-func (c *Conn) at() phase {
+func (c *Conn) currentPhase() phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
-// lookAgain grants a little more time, once for each request.
-func (c *Conn) lookAgain() bool {
+// extendDeadline grants a little more time, once for each request.
+func (c *Conn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.looked {
+	if c.extended {
 		return false
 	}
-	c.looked = true
-	return c.Conn.SetReadDeadline(time.Now().Add(lastLook)) == nil
+	c.extended = true
+	return c.Conn.SetReadDeadline(time.Now().Add(deadlineGrace)) == nil
 }
 
-// heard counts bytes of a head and tells whether there are too many.
-func (c *Conn) heard(n int) (tooLarge bool) {
+// countHeadBytes counts bytes of a head and tells whether there are too many.
+func (c *Conn) countHeadBytes(n int) (tooLarge bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == idle {
-		c.phase, c.since, c.looked = heading, time.Now(), false
-		c.arm()
+		c.phase, c.phaseStart, c.extended = readingHead, time.Now(), false
+		c.setPhaseDeadline()
 	}
-	c.head += n
-	return c.head > c.limits.HeaderBytes+readAhead
+	c.headBytes += n
+	return c.headBytes > c.limits.HeaderBytes+readAheadBytes
 }
 
-// taken notes that net/http has a whole head, or what it takes for one.
-func (c *Conn) taken() {
+// requestStarted notes that net/http has a whole head, or what it takes for one.
+func (c *Conn) requestStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.head = serving, 0
+	c.phase, c.headBytes = serving, 0
 	_ = c.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, as the next read does
 }
 
-// answered notes that the connection waits for its next request.
-func (c *Conn) answered() {
+// requestFinished notes that the connection waits for its next request.
+func (c *Conn) requestFinished() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.since, c.looked = idle, time.Now(), false
-	c.arm()
+	c.phase, c.phaseStart, c.extended = idle, time.Now(), false
+	c.setPhaseDeadline()
 }
 
-// limit holds the connection to limits from now on.
-func (c *Conn) limit(limits opconf.Limits) {
+// setLimits holds the connection to limits from now on.
+func (c *Conn) setLimits(limits opconf.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limits = limits
 	if c.phase != serving {
-		c.arm()
+		c.setPhaseDeadline()
 	}
 }
 
-// arm sets the deadline of the phase. The lock is held.
-func (c *Conn) arm() {
-	wait := c.limits.Quiet
-	if c.phase == heading {
-		wait = c.limits.HeaderWait
+// setPhaseDeadline sets the deadline of the phase. The lock is held.
+func (c *Conn) setPhaseDeadline() {
+	timeout := c.limits.Quiet
+	if c.phase == readingHead {
+		timeout = c.limits.HeaderWait
 	}
-	_ = c.Conn.SetReadDeadline(c.since.Add(wait)) // fails on a closed connection, as the next read does
+	_ = c.Conn.SetReadDeadline(c.phaseStart.Add(timeout)) // fails on a closed connection, as the next read does
 }
 
 // SetReadDeadline serves net.Conn for the reads of a request's body; what net/http sets before that has no effect.
-func (c *Conn) SetReadDeadline(at time.Time) error {
+func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != serving {
 		return nil
 	}
-	return c.Conn.SetReadDeadline(at)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // refuse answers a head in net/http's place, and gives the error at which net/http closes the connection without a word.
 func (c *Conn) refuse(answer string, cause error) error {
-	_ = c.Conn.SetDeadline(time.Now().Add(lingerTime))
+	_ = c.Conn.SetDeadline(time.Now().Add(lingerTimeout))
 	if _, err := io.WriteString(c.Conn, answer); err == nil {
 		_ = c.CloseWrite()
 		_, _ = io.Copy(io.Discard, c.Conn) // ends with the client's close, or the time
@@ -161,14 +161,14 @@
 
 // CloseWrite lets net/http end an error's connection such that the client can still read the error.
 func (c *Conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
 // Close serves net.Conn.
 func (c *Conn) Close() error {
-	c.keeper.forget(c)
+	c.limiter.untrack(c)
 	return c.Conn.Close()
 }
--- a/internal/proxy/events/events.go
+++ b/internal/proxy/events/events.go
@@ -7,53 +7,53 @@
 	"strconv"
 )
 
-// maxEvent bounds an event that is still coming, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds an event that is still coming, in bytes.
+const maxEventBytes = 1 << 20
 
 // Event is one whole event, or a whole block of lines that is none, such as a comment.
 type Event struct {
-	Text     []byte // as it came, with the empty line at its end
-	ID       uint64
-	Numbered bool // it has an id, a whole number
-	Filler   bool // it holds neither data nor an id
+	Text   []byte // as it came, with the empty line at its end
+	ID     uint64
+	HasID  bool // it has an id, a whole number
+	Filler bool // it holds neither data nor an id
 }
 
 // Splitter cuts the pieces of a stream into events.
 type Splitter struct {
-	rest []byte // of an event that is still coming
-	line int    // where in it the last line begins
+	partial   []byte // of an event that is still coming
+	lineStart int    // where in it the last line begins
 }
 
 // Add takes the next bytes of the stream and gives the events that are whole with them. The bytes are copied.
 func (s *Splitter) Add(piece []byte) []Event {
-	s.rest = append(s.rest, piece...)
+	s.partial = append(s.partial, piece...)
 	var whole []Event
-	for end := s.end(); end > 0; end = s.end() {
-		whole = append(whole, parse(s.rest[:end]))
-		s.rest, s.line = s.rest[end:], 0
+	for end := s.nextEnd(); end > 0; end = s.nextEnd() {
+		whole = append(whole, parse(s.partial[:end]))
+		s.partial, s.lineStart = s.partial[end:], 0
 	}
 	return whole
 }
 
-// end is where the first event ends; 0 while it is still coming.
-func (s *Splitter) end() int {
+// nextEnd is where the first event ends; 0 while it is still coming.
+func (s *Splitter) nextEnd() int {
 	for {
-		line, _, ended := bytes.Cut(s.rest[s.line:], []byte("\n"))
+		line, _, ended := bytes.Cut(s.partial[s.lineStart:], []byte("\n"))
 		if !ended {
 			return 0
 		}
-		s.line += len(line) + 1
+		s.lineStart += len(line) + 1
 		if len(bytes.TrimSuffix(line, []byte("\r"))) == 0 {
-			return s.line
+			return s.lineStart
 		}
 	}
 }
 
-// Rest is what has come of an event that is not whole.
-func (s *Splitter) Rest() []byte { return s.rest }
+// Partial is what has come of an event that is not whole.
+func (s *Splitter) Partial() []byte { return s.partial }
 
-// Full tells that the event that is still coming is too large to be kept.
-func (s *Splitter) Full() bool { return len(s.rest) > maxEvent }
+// TooLarge tells that the event that is still coming is too large to be kept.
+func (s *Splitter) TooLarge() bool { return len(s.partial) > maxEventBytes }
 
 // parse reads the lines of an event. Of several ids the last one counts.
 func parse(text []byte) Event {
@@ -65,14 +65,14 @@
 			event.Filler = false
 		case "id":
 			event.Filler = false
-			event.ID, event.Numbered = number(bytes.TrimPrefix(value, []byte(" ")))
+			event.ID, event.HasID = parseID(bytes.TrimPrefix(value, []byte(" ")))
 		}
 	}
 	return event
 }
 
-// number reads an id; one that would be written otherwise is not taken for a number.
-func number(text []byte) (id uint64, ok bool) {
+// parseID reads an id; one that would be written otherwise is not taken for a parseID.
+func parseID(text []byte) (id uint64, ok bool) {
 	id, err := strconv.ParseUint(string(text), 10, 63)
 	if err != nil || strconv.FormatUint(id, 10) != string(text) {
 		return 0, false
--- a/internal/proxy/events/order.go
+++ b/internal/proxy/events/order.go
@@ -8,53 +8,53 @@
 	errGap  = errors.New("an event is missing")
 )
 
-// Order follows the ids of an answer's events, over the first run and those that go on with it. Its zero value is that of
+// Sequence follows the ids of an answer's events, over the first run and those that go on with it. Its zero value is that of
 // an answer that has not begun.
-type Order struct {
-	passed uint64 // id of the last event that was passed on
-	begun  bool
-	loose  bool // the ids of the first run are not consecutive numbers: no run can be joined to it
+type Sequence struct {
+	lastPassed uint64 // id of the last event that was passed on
+	started    bool
+	unordered  bool // the ids of the first run are not consecutive numbers: no run can be joined to it
 
-	seen  uint64 // id of the last event of the further run
-	again bool   // the further run has begun
+	resumedLast    uint64 // id of the last event of the further run
+	resumedStarted bool   // the further run has begun
 }
 
-// First notes an event of the first run, which is passed on whatever its id.
-func (o *Order) First(event Event) {
+// AddFirst notes an event of the first run, which is passed on whatever its id.
+func (s *Sequence) AddFirst(event Event) {
 	if event.Filler {
 		return
 	}
-	if !event.Numbered || (o.begun && event.ID != o.passed+1) {
-		o.loose = true
+	if !event.HasID || (s.started && event.ID != s.lastPassed+1) {
+		s.unordered = true
 	}
-	o.passed, o.begun = event.ID, true
+	s.lastPassed, s.started = event.ID, true
 }
 
 // Last is the id of the last event that was passed on; false where no run can go on behind it.
-func (o *Order) Last() (id uint64, ok bool) { return o.passed, o.begun && !o.loose }
+func (s *Sequence) Last() (id uint64, ok bool) { return s.lastPassed, s.started && !s.unordered }
 
-// Again begins a further run.
-func (o *Order) Again() { o.seen, o.again = 0, false }
+// Resume begins a further run.
+func (s *Sequence) Resume() { s.resumedLast, s.resumedStarted = 0, false }
 
-// Next tells whether an event of the further run is to be passed on: not if one with its id was. An error says that the
+// AddResumed tells whether an event of the further run is to be passed on: not if one with its id was. An error says that the
 // run can't be joined.
-func (o *Order) Next(event Event) (pass bool, err error) {
+func (s *Sequence) AddResumed(event Event) (pass bool, err error) {
 	if event.Filler {
 		return true, nil
 	}
-	if !event.Numbered {
+	if !event.HasID {
 		return false, errNoID
 	}
-	if o.again && event.ID != o.seen+1 || event.ID > o.passed+1 {
+	if s.resumedStarted && event.ID != s.resumedLast+1 || event.ID > s.lastPassed+1 {
 		return false, errGap
 	}
-	o.seen, o.again = event.ID, true
-	if event.ID <= o.passed {
+	s.resumedLast, s.resumedStarted = event.ID, true
+	if event.ID <= s.lastPassed {
 		return false, nil
 	}
-	o.passed = event.ID
+	s.lastPassed = event.ID
 	return true, nil
 }
 
 // CaughtUp tells whether the further run has come as far as what was passed on.
-func (o *Order) CaughtUp() bool { return o.again && o.seen == o.passed }
+func (s *Sequence) CaughtUp() bool { return s.resumedStarted && s.resumedLast == s.lastPassed }
--- a/internal/proxy/events/order_test.go
+++ b/internal/proxy/events/order_test.go
@@ -8,18 +8,18 @@
 	"sumacloft/internal/proxy/events"
 )
 
-// TestNoRunsJoinToAnythingButOneSequence: whatever the ids of further runs, what is passed on of them goes on behind the
+// TestResumedRunsContinueOneSequence: whatever the ids of further runs, what is passed on of them goes on behind the
 // first run without a gap, and nothing comes twice.
-func TestNoRunsJoinToAnythingButOneSequence(t *testing.T) {
+func TestResumedRunsContinueOneSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var order events.Order
+		var sequence events.Sequence
 		first := rapid.Uint64Range(0, 5).Draw(t, "first")
 		last := first + rapid.Uint64Range(0, 5).Draw(t, "more")
 		for id := first; id <= last; id++ {
-			order.First(events.Event{ID: id, Numbered: true})
+			sequence.AddFirst(events.Event{ID: id, HasID: true})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "runs") {
-			order.Again()
+			sequence.Resume()
 			ids := rapid.SliceOf(rapid.Uint64Range(0, 12)).Draw(t, "ids")
 			if rapid.Bool().Draw(t, "in order") {
 				for i := range ids {
@@ -27,7 +27,7 @@
 				}
 			}
 			for _, id := range ids {
-				pass, err := order.Next(events.Event{ID: id, Numbered: true})
+				pass, err := sequence.AddResumed(events.Event{ID: id, HasID: true})
 				if err != nil {
 					break
 				}
@@ -36,8 +36,8 @@
 				}
 				last = max(last, id)
 			}
-			if at, ok := order.Last(); !ok || at != last {
-				t.Fatalf("%d (%t) for the last of them, %d", at, ok, last)
+			if got, ok := sequence.Last(); !ok || got != last {
+				t.Fatalf("%d (%t) for the last of them, %d", got, ok, last)
 			}
 		}
 	})
--- a/internal/proxy/front/front.go
+++ b/internal/proxy/front/front.go
@@ -36,7 +36,7 @@
 // Front serves clients. Its zero value knows no configuration and refuses.
 type Front struct {
 	Calls  *calls.Calls
-	Bounds *bounds.Keeper // of clients' connections, told the limits in force; may be nil
+	Bounds *bounds.Limiter // of clients' connections, told the limits in force; may be nil
 
 	NoPickUp bool // streams that break stay broken: for trials
 
@@ -50,7 +50,7 @@
 func (f *Front) Use(routing *Routing) {
 	f.routing.Store(routing)
 	if f.Bounds != nil {
-		f.Bounds.Use(routing.Limits)
+		f.Bounds.SetLimits(routing.Limits)
 	}
 }
 
--- a/internal/proxy/front/furtherrun_test.go
+++ b/internal/proxy/front/furtherrun_test.go
@@ -31,7 +31,7 @@
 			c := qt.New(t)
 			request := &calls.Request{Header: http.Header{}, Deadline: time.Now().Add(time.Minute), Terms: calls.Terms{Tries: 2}}
 			out := &client{job: calls.NewJob(nil, request, nil), request: request, broken: true, joint: &joint{}}
-			out.joint.order.First(events.Event{ID: 1, Numbered: true})
+			out.joint.order.AddFirst(events.Event{ID: 1, HasID: true})
 			given.change(out)
 			c.Assert(out.furtherRun(given.ctx) != nil, qt.Equals, given.wanted)
 		})
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -21,14 +21,14 @@
 // joint is what is known of a stream that may be picked up at another worker: only whole events of it are passed on.
 type joint struct {
 	split  events.Splitter
-	order  events.Order
+	order  events.Sequence
 	worker string // whose run is passed on
 }
 
 // take takes bytes of the first run and gives those of them that are whole events.
 func (j *joint) take(piece []byte) (whole []byte) {
 	for _, event := range j.split.Add(piece) {
-		j.order.First(event)
+		j.order.AddFirst(event)
 		whole = append(whole, event.Text...)
 	}
 	return whole
@@ -37,7 +37,7 @@
 // join takes bytes of a further run and gives what goes on behind the events that were passed on, as far as it does.
 func (j *joint) join(piece []byte) (whole []byte, err error) {
 	for _, event := range j.split.Add(piece) {
-		pass, err := j.order.Next(event)
+		pass, err := j.order.AddResumed(event)
 		if err != nil {
 			return whole, err
 		}
@@ -45,7 +45,7 @@
 			whole = append(whole, event.Text...)
 		}
 	}
-	if j.split.Full() {
+	if j.split.TooLarge() {
 		return whole, errOther
 	}
 	return whole, nil
@@ -54,7 +54,7 @@
 // again drops what came of an event that is not whole, before a further run.
 func (j *joint) again() {
 	j.split = events.Splitter{}
-	j.order.Again()
+	j.order.Resume()
 }
 
 // whole gives what is to be passed on of a piece of the first run. Once an event is too large to be kept, everything is,
@@ -64,8 +64,8 @@
 		return piece
 	}
 	whole := c.joint.take(piece)
-	if c.joint.split.Full() {
-		whole = append(whole, c.joint.split.Rest()...)
+	if c.joint.split.TooLarge() {
+		whole = append(whole, c.joint.split.Partial()...)
 		c.joint = nil
 	}
 	return whole
@@ -74,10 +74,10 @@
 // endWhole takes the proper end of the first run; false: it is none, as it comes in the middle of an event and may be the
 // end of the worker as well.
 func (c *client) endWhole() bool {
-	if c.joint == nil || len(c.joint.split.Rest()) == 0 {
+	if c.joint == nil || len(c.joint.split.Partial()) == 0 {
 		return true
 	}
-	return c.head.Framed && c.write(c.joint.split.Rest()) == nil
+	return c.head.Framed && c.write(c.joint.split.Partial()) == nil
 }
 
 // pickUp goes on with a stream that broke at other workers, within the same answer.
@@ -160,7 +160,7 @@
 // Finish serves core.Client.
 func (r *furtherRun) Finish() {
 	joint := r.client.joint
-	if r.other || len(joint.split.Rest()) > 0 || !joint.order.CaughtUp() {
+	if r.other || len(joint.split.Partial()) > 0 || !joint.order.CaughtUp() {
 		return
 	}
 	r.client.broken = false
--- a/internal/proxy/run/status.go
+++ b/internal/proxy/run/status.go
@@ -16,7 +16,7 @@
 }
 
 // report is what the proxy has decided since it began.
-func (p *Proxy) report(context.Context, *status.Question) (*status.Report, error) {
+func (p *Proxy) report(context.Context, *status.Request) (*status.Report, error) {
 	report := &status.Report{
 		Kind: status.KindProxy,
 		Node: p.settings.Node,
--- a/internal/status/calls.go
+++ b/internal/status/calls.go
@@ -11,8 +11,8 @@
 
 // The calls that control members and agents serve on their inside ports. Proxies serve CallLog on the loopback address.
 const (
-	CallStatus rpc.Procedure[Question, Report]       = "/status/Read"
-	CallLog    rpc.Procedure[LogQuestion, LogAnswer] = "/status/Log"
+	CallStatus rpc.Procedure[Request, Report]         = "/status/Read"
+	CallLog    rpc.Procedure[LogRequest, LogResponse] = "/status/Log"
 )
 
 // Log is log lines held in memory; package logring has one.
@@ -25,11 +25,11 @@
 	if log == nil {
 		return
 	}
-	CallLog.Handle(mux, func(context.Context, *LogQuestion) (*LogAnswer, error) {
-		var held bytes.Buffer
-		if err := log.Copy(&held); err != nil {
+	CallLog.Handle(mux, func(context.Context, *LogRequest) (*LogResponse, error) {
+		var text bytes.Buffer
+		if err := log.Copy(&text); err != nil {
 			return nil, err
 		}
-		return &LogAnswer{Text: held.Bytes()}, nil
+		return &LogResponse{Text: text.Bytes()}, nil
 	})
 }
--- a/internal/status/gather.go
+++ b/internal/status/gather.go
@@ -36,7 +36,7 @@
 func peersOf(entries []replica.Entry) []Peer {
 	peers := make([]Peer, 0, len(entries))
 	for _, entry := range entries {
-		peer := Peer{Node: topic.Node(entry.Key), Life: entry.Version.Major, Down: topic.Down(entry)}
+		peer := Peer{Node: topic.Node(entry.Key), Incarnation: entry.Version.Major, Down: topic.Down(entry)}
 		for _, alive := range topic.Peers([]replica.Entry{entry}) {
 			peer.Zone, peer.Address, peer.Steering = alive.Zone, alive.Address, alive.Steering
 		}
@@ -48,18 +48,18 @@
 
 // workersOf counts workers by service and phase.
 func workersOf(entries []replica.Entry) []Workers {
-	type kind struct{ service, phase string }
-	counts := map[kind]*Workers{}
+	type group struct{ service, phase string }
+	counts := map[group]*Workers{}
 	for _, entry := range entries {
 		worker, err := registry.WorkerOf(entry)
 		if err != nil {
 			continue
 		}
-		of := kind{service: worker.Service, phase: worker.Phase}
-		if counts[of] == nil {
-			counts[of] = &Workers{Service: worker.Service, Phase: worker.Phase}
+		key := group{service: worker.Service, phase: worker.Phase}
+		if counts[key] == nil {
+			counts[key] = &Workers{Service: worker.Service, Phase: worker.Phase}
 		}
-		counts[of].count(worker.State)
+		counts[key].count(worker.State)
 	}
 	sorted := make([]Workers, 0, len(counts))
 	for _, counted := range counts {
--- a/internal/status/gather_test.go
+++ b/internal/status/gather_test.go
@@ -43,7 +43,7 @@
 	return append(entries, registry.EntryOf(registry.Worker{ID: "w6", Service: "auth", State: registry.Up, CallCount: 1}))
 }
 
-func TestAReportHoldsWhatTheMapHolds(t *testing.T) {
+func TestReportHoldsReplicatedState(t *testing.T) {
 	c := qt.New(t)
 	// Given a router's copy of the map
 	entries := replica.New()
@@ -54,10 +54,10 @@
 	// then it holds the configuration, the peers in the order of their names, and the workers counted.
 	c.Assert(report, qt.DeepEquals, &status.Report{
 		Configuration: status.Configuration{Version: 7, Index: 5},
-		Controls:      []status.Peer{{Node: "control-1", Zone: "north", Address: "10.0.0.1:7700", Steering: "10.0.0.1:8002", Life: 3}},
+		Controls:      []status.Peer{{Node: "control-1", Zone: "north", Address: "10.0.0.1:7700", Steering: "10.0.0.1:8002", Incarnation: 3}},
 		Routers: []status.Peer{
-			{Node: "edge-1", Zone: "south", Address: "10.0.0.2:7701", Life: 1},
-			{Node: "edge-2", Down: true, Life: 4},
+			{Node: "edge-1", Zone: "south", Address: "10.0.0.2:7701", Incarnation: 1},
+			{Node: "edge-2", Down: true, Incarnation: 4},
 		},
 		Workers: []status.Workers{
 			{Service: "auth", Up: 1},
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestAReportOfAnEmptyMapIsEmpty(t *testing.T) {
+func TestReportOfEmptyMapIsEmpty(t *testing.T) {
 	c := qt.New(t)
 	// Given a router that knows nothing yet, when a report is gathered, then it says that there is no configuration.
 	report := &status.Report{}
@@ -76,36 +76,36 @@
 	c.Assert(report.Workers, qt.HasLen, 0)
 }
 
-// held is a log of fixed text.
-type held struct {
+// fixedLog is a log of fixed text.
+type fixedLog struct {
 	text string
 	err  error
 }
 
-func (h held) Copy(to io.Writer) error {
+func (h fixedLog) Copy(to io.Writer) error {
 	_, err := io.WriteString(to, h.text)
 	return errors.Join(err, h.err)
 }
 
-// askLog asks a server of the log.
-func askLog(c *qt.C, log status.Log) (*status.LogAnswer, error) {
+// fetchLog asks a server of the log.
+func fetchLog(c *qt.C, log status.Log) (*status.LogResponse, error) {
 	mux := http.NewServeMux()
 	status.HandleLog(mux, log)
 	server := httptest.NewServer(mux)
 	c.Cleanup(server.Close)
 	client := rpc.NewClient(network.System{})
-	return status.CallLog.Call(context.Background(), client, server.Listener.Addr().String(), &status.LogQuestion{})
+	return status.CallLog.Call(context.Background(), client, server.Listener.Addr().String(), &status.LogRequest{})
 }
 
-func TestTheLogIsServed(t *testing.T) {
+func TestLogIsServed(t *testing.T) {
 	c := qt.New(t)
 	// Given a process with lines in its log, when it is asked, then it gives them;
-	answer, err := askLog(c, held{text: "one\ntwo\n"})
+	answer, err := fetchLog(c, fixedLog{text: "one\ntwo\n"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(bytes.Equal(answer.Text, []byte("one\ntwo\n")), qt.IsTrue)
 	// when they can't be read, or there is no log, then the call fails.
-	_, err = askLog(c, held{err: errors.New("no")})
+	_, err = fetchLog(c, fixedLog{err: errors.New("no")})
 	c.Assert(rpc.Error.Has(err), qt.IsTrue)
-	_, err = askLog(c, nil)
+	_, err = fetchLog(c, nil)
 	c.Assert(rpc.Error.Has(err), qt.IsTrue)
 }
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -9,8 +9,8 @@
 	KindProxy   = "proxy"
 )
 
-// Question asks a process for its Report.
-type Question struct{}
+// Request asks a process for its Report.
+type Request struct{}
 
 // Report is the fleet as one process knows it.
 type Report struct {
@@ -45,7 +45,7 @@
 // others. Bytes are without those of TCP, UDP and IP.
 type Traffic struct {
 	Kind     string `cbor:"1,keyasint" json:"kind"` // path of a call, or a kind of package traffic
-	Near     bool   `cbor:"2,keyasint,omitempty" json:"own_zone"`
+	OwnZone  bool   `cbor:"2,keyasint,omitempty" json:"own_zone"`
 	Messages uint64 `cbor:"3,keyasint" json:"messages"`
 	Sent     uint64 `cbor:"4,keyasint" json:"sent_bytes"`
 	Received uint64 `cbor:"5,keyasint" json:"received_bytes"`
@@ -113,12 +113,12 @@
 
 // Peer is a control member or an edge router.
 type Peer struct {
-	Node     string `cbor:"1,keyasint" json:"node"`
-	Zone     string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`        // not known of a peer that is down
-	Address  string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`     // of its inside port; likewise
-	Steering string `cbor:"4,keyasint,omitempty" json:"steering,omitempty"`    // where workers and the operator reach a control member
-	Down     bool   `cbor:"5,keyasint,omitempty" json:"down"`                  // it ended or fell silent
-	Life     uint64 `cbor:"6,keyasint,omitempty" json:"incarnation,omitempty"` // rises with each start
+	Node        string `cbor:"1,keyasint" json:"node"`
+	Zone        string `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`        // not known of a peer that is down
+	Address     string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`     // of its inside port; likewise
+	Steering    string `cbor:"4,keyasint,omitempty" json:"steering,omitempty"`    // where workers and the operator reach a control member
+	Down        bool   `cbor:"5,keyasint,omitempty" json:"down"`                  // it ended or fell silent
+	Incarnation uint64 `cbor:"6,keyasint,omitempty" json:"incarnation,omitempty"` // rises with each start
 }
 
 // Workers counts the workers of one service and phase by their states.
@@ -176,10 +176,10 @@
 	FreeBytes  int64  `cbor:"5,keyasint" json:"free_bytes"` // likewise
 }
 
-// LogQuestion asks a process for the log lines that it holds in memory.
-type LogQuestion struct{}
+// LogRequest asks a process for the log lines that it holds in memory.
+type LogRequest struct{}
 
-// LogAnswer holds the lines, oldest first.
-type LogAnswer struct {
+// LogResponse holds the lines, oldest first.
+type LogResponse struct {
 	Text []byte `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/status/traffic.go
+++ b/internal/status/traffic.go
@@ -9,23 +9,23 @@
 )
 
 // TrafficOf is what a meter counted, apart for the hosts of the own zone.
-func TrafficOf(meter *traffic.Meter, near func(host string) bool) []Traffic {
-	var told []Traffic
-	for _, total := range meter.Totals(near) {
-		told = append(told, Traffic{Kind: string(total.Kind), Near: total.Near, Messages: total.Messages, Sent: total.Sent, Received: total.Received})
+func TrafficOf(meter *traffic.Meter, inOwnZone func(host string) bool) []Traffic {
+	var totals []Traffic
+	for _, total := range meter.Totals(inOwnZone) {
+		totals = append(totals, Traffic{Kind: string(total.Kind), OwnZone: total.Near, Messages: total.Messages, Sent: total.Sent, Received: total.Received})
 	}
-	return told
+	return totals
 }
 
-// NearHosts tells which hosts are of routers and control members of a zone.
-func NearHosts(snapshot replica.Snapshot, zone string) func(host string) bool {
-	near := map[string]bool{}
+// HostsInZone tells which hosts are of routers and control members of a zone.
+func HostsInZone(snapshot replica.Snapshot, zone string) func(host string) bool {
+	hosts := map[string]bool{}
 	for _, prefix := range []string{topic.Routers, topic.Controls} {
 		for _, peer := range topic.Peers(snapshot.Prefix(prefix)) {
 			if host, _, err := net.SplitHostPort(peer.Address); err == nil && peer.Zone == zone {
-				near[host] = true
+				hosts[host] = true
 			}
 		}
 	}
-	return func(host string) bool { return near[host] }
+	return func(host string) bool { return hosts[host] }
 }
