--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs beside each proxy, on its machine. It keeps the machine's copy of the fleet's state and its link to
-// the control plane, and feeds the proxy over loopback.
+// Package agent implements the process that runs beside each proxy. It keeps the machine's replica of the fleet's
+// state, maintains the link to the control plane, and feeds the proxy over loopback.
 package agent
 
 import (
@@ -23,13 +23,13 @@
 const (
 	// heartbeatInterval is how often an edge router sends heartbeats.
 	heartbeatInterval = time.Second
-	// joinInterval is how often joining is tried until it succeeds.
+	// joinInterval is the delay between attempts to join.
 	joinInterval = 50 * time.Millisecond
-	// fanOut is to how many other routers news is passed on.
+	// fanOut is the number of other routers that an update is forwarded to.
 	fanOut = 2
 )
 
-// Agent is the process beside a proxy.
+// Agent is the process that runs beside a proxy.
 type Agent struct {
 	settings  *boot.Settings
 	network   network.Network
@@ -46,13 +46,13 @@
 	faults       Faults
 }
 
-// Faults are deliberate violations, for the tests of the tests. All are off outside tests.
+// Faults are deliberate violations that check the tests. All are off outside tests.
 type Faults struct {
-	// TrustAnyMember takes the first configuration that a member tells for the newest, and looks for no other member.
+	// TrustAnyMember accepts the first configuration from any member as the newest, and queries no other member.
 	TrustAnyMember bool
 }
 
-// InjectFaults puts faults into the agent; call it before Run.
+// InjectFaults enables faults. Call it before Run.
 func (a *Agent) InjectFaults(faults Faults) {
 	a.faults = faults
 	if faults.TrustAnyMember {
@@ -60,7 +60,7 @@
 	}
 }
 
-// New makes an agent on a machine's network.
+// New creates an agent on a machine's network.
 func New(settings *boot.Settings, transport network.Network, log zerolog.Logger) *Agent {
 	a := &Agent{settings: settings, network: transport, log: log, client: rpc.NewClient(transport), startedAt: time.Now()}
 	a.confirmation = newConfirmation(settings.Bear.Machines)
@@ -98,16 +98,16 @@
 	return nil
 }
 
-// FeedAddress is where a machine's agent feeds its proxy.
+// FeedAddress returns the address where a machine's agent serves the feed to its proxy.
 func FeedAddress(settings *boot.Settings) string {
 	return LoopbackAddress(settings, membership.PortFeed)
 }
 
-// loopbackIP is where the processes of a machine reach each other.
+// loopbackIP is the address for traffic between the processes of a machine.
 const loopbackIP = "127.0.0.1"
 
-// LoopbackAddress is the address of an inside port that only the machine's own processes reach. Machines that are
-// themselves addresses of the loopback network, as in a trial on one host, each use their own.
+// LoopbackAddress returns the address of an inside port that only the machine's own processes reach. Machines whose own
+// address is in the loopback network, as in a trial on one host, each use their own address.
 func LoopbackAddress(settings *boot.Settings, port int) string {
 	if ip, err := netip.ParseAddr(settings.IP); err == nil && ip.IsLoopback() {
 		return membership.InsideAddress(settings.IP, settings.InsidePorts, port)
@@ -121,7 +121,7 @@
 	return server.Serve(address)
 }
 
-// join asks the starters for the state of the fleet until a control member is known, then makes this router known.
+// join fetches the fleet's state from the starters until a control member is known, then announces this router.
 func (a *Agent) join(ctx context.Context) {
 	for ctx.Err() == nil {
 		reached := a.members.Join(ctx)
@@ -136,31 +136,31 @@
 	a.members.Announce()
 }
 
-// Reload takes a boot file that was read again.
+// Reload applies a boot file that was read again.
 func (a *Agent) Reload(settings *boot.Settings) {
 	a.members.SetStarters(membership.StarterAddresses(settings))
 }
 
-// leaveWait is how long the word that this router ends is given to get out.
+// leaveWait is how long Leave waits for its announcement to be sent.
 const leaveWait = 100 * time.Millisecond
 
-// Leave tells the fleet that this router ends.
+// Leave announces to the fleet that this router is shutting down.
 func (a *Agent) Leave() {
 	a.members.Leave()
 	time.Sleep(leaveWait)
 }
 
-// State is this machine's copy of the fleet's state, with a channel that is closed at its next change.
+// State returns this machine's replica of the fleet's state and a channel that is closed at its next change.
 func (a *Agent) State() (replica.Snapshot, <-chan struct{}) { return a.members.Node().Snapshot() }
 
-// Idle tells whether no proxy has asked for state for a time.
+// Idle reports whether no proxy has watched the state for the given time.
 func (a *Agent) Idle(timeout time.Duration) bool { return a.feed.idle(timeout) }
 
-// Close ends the agent's servers.
+// Close closes the agent's servers.
 func (a *Agent) Close() {
 	for _, server := range a.servers {
 		if err := server.Close(); err != nil {
-			a.log.Info().Err(err).Msg("server did not close in order")
+			a.log.Info().Err(err).Msg("could not close server")
 		}
 	}
 }
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// searchInterval is how often a control member is asked while none that hears of a leader has confirmed the
-	// configuration, or none answers any more. Right after the start, when the members may be starting too, one that has not
-	// answered is asked again after firstInterval. One that has is not: hundreds of agents may start at once, and what they
-	// ask must leave the members time for their own start.
+	// searchInterval is how often a control member is queried while no member with a leader has confirmed the
+	// configuration, or while no member answers. Right after the start, when the members may be starting too, a member
+	// that has not answered is queried again after initialSearchInterval. A member that has answered is not: hundreds
+	// of agents may start at once, and their queries must not slow down the members' own start.
 	searchInterval        = 250 * time.Millisecond
 	initialSearchInterval = 50 * time.Millisecond
-	// contactTimeout is how long ago a control member that hears of a leader may have answered.
+	// contactTimeout is the maximum age of the last answer from a control member that has a leader.
 	contactTimeout = 2500 * time.Millisecond
-	// confirmTimeout bounds one question for the newest configuration.
+	// confirmTimeout bounds one call for the newest configuration.
 	confirmTimeout = 600 * time.Millisecond
-	// unconfirmedHold is for how long after its start an agent holds back a configuration that nothing confirms. It is
-	// well below the time (in_touch_ms) after which a router that reaches a majority has to work by the newest one.
+	// unconfirmedHold is how long after its start an agent holds back an unconfirmed configuration. It is well below
+	// in_touch_ms, after which a router that reaches a majority must use the newest configuration.
 	unconfirmedHold = time.Second
 )
 
-// confirmation is what this agent knows of the worth of its configuration: a control member that was cut off gives out
-// what its disk knows, which may be old.
+// confirmation tracks whether the agent's configuration is known to be the newest. A control member that was cut off
+// serves what is on its disk, which may be outdated.
 type confirmation struct {
 	majority int           // of the voters
-	released chan struct{} // closed once the configuration is told to the proxy
+	released chan struct{} // closed once the configuration is released to the proxy
 
 	mu         sync.Mutex
-	confirmed  bool                // the leader has told of the newest one in this life
-	voters     map[string]struct{} // addresses of those that have told what their disks know
+	confirmed  bool                // the leader has confirmed the configuration since the start
+	voters     map[string]struct{} // addresses of voters that have reported their disk's state
 	inquiries  map[string]*inquiry // by address
-	isReleased bool                // open is closed
+	isReleased bool                // released is closed
 }
 
 func newConfirmation(tolerated int) *confirmation {
 	return &confirmation{majority: tolerated + 1, released: make(chan struct{}), voters: map[string]struct{}{}, inquiries: map[string]*inquiry{}}
 }
 
-// inquiry is how an address is asked.
+// inquiry is the state of the queries to one address.
 type inquiry struct {
-	pending bool          // it has not answered yet
-	nextAt  time.Duration // when it may be asked again
+	pending bool          // a query is in progress
+	nextAt  time.Duration // earliest time of the next query
 }
 
-// begin notes that an address is being asked; false if it is already, or was a moment ago.
+// begin records the start of a query. It returns false if a query is in progress or the next one is not due yet.
 func (c *confirmation) begin(address string, now time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	return true
 }
 
-// end notes that an address has answered, or has not.
+// end records the end of a query and schedules the next.
 func (c *confirmation) end(address string, now time.Duration, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// confirm notes that the agent holds the newest configuration there was when it asked.
+// confirm records that the agent holds the configuration that was the newest when it asked.
 func (c *confirmation) confirm() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,22 +85,22 @@
 	c.releaseLocked()
 }
 
-// isConfirmed tells whether the agent has held the newest configuration at some time in its life.
+// isConfirmed reports whether the agent has held the newest configuration at some time since its start.
 func (c *confirmation) isConfirmed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.confirmed
 }
 
-// byMajority tells whether a majority of the voters has told what its disks know.
+// byMajority reports how many voters have reported their disk's state, and whether they are a majority.
 func (c *confirmation) byMajority() (voters int, reached bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.voters), len(c.voters) >= c.majority
 }
 
-// countVoter notes that a voter has told what its disk knows. With a majority of them, the agent holds the newest configuration
-// that was known to be committed when the leader was lost.
+// countVoter records that a voter has reported its disk's state. Once a majority has, the agent holds the newest
+// configuration that was known to be committed when the leader was lost.
 func (c *confirmation) countVoter(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,14 +110,14 @@
 	}
 }
 
-// release has the proxy told of the configuration though nothing confirms it.
+// release releases the configuration to the proxy without confirmation.
 func (c *confirmation) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.releaseLocked()
 }
 
-// releaseLocked opens the way to the proxy, for good. The lock is held.
+// releaseLocked releases the configuration for good. The caller holds the lock.
 func (c *confirmation) releaseLocked() {
 	if !c.isReleased {
 		c.isReleased = true
@@ -125,8 +125,8 @@
 	}
 }
 
-// confirmConfiguration looks, until the context ends, for control members that a majority stands behind, whenever none has confirmed
-// the configuration yet or none has answered for a while.
+// confirmConfiguration queries the control members until the context ends, whenever none has confirmed the
+// configuration yet or none with a leader has answered within contactTimeout.
 func (a *Agent) confirmConfiguration(ctx context.Context) {
 	if a.faults.TrustAnyMember {
 		a.confirmation.release()
@@ -148,7 +148,7 @@
 	})
 }
 
-// queryMembers asks all control members that the agent has heard of.
+// queryMembers queries all known control members.
 func (a *Agent) queryMembers(ctx context.Context) {
 	for _, address := range a.members.ControlAddresses() {
 		if !a.confirmation.begin(address, time.Since(a.startedAt)) {
@@ -161,8 +161,8 @@
 	}
 }
 
-// queryMember brings the agent's copy and a control member's to one state, and has the member confirm the configuration if it
-// hears of a leader. It tells whether the member answered.
+// queryMember synchronizes the agent's replica with a control member's. If the member has a leader, it has the member
+// confirm the configuration. It reports whether the member answered.
 func (a *Agent) queryMember(ctx context.Context, address string) (answered bool) {
 	standing, err := a.members.Sound(ctx, address)
 	if err != nil {
@@ -175,14 +175,14 @@
 		return true
 	}
 	if err := a.fetchNewest(ctx, address); err != nil {
-		a.log.Info().Str("peer", address).Err(err).Msg("configuration not confirmed")
+		a.log.Info().Str("peer", address).Err(err).Msg("could not confirm the configuration with control member")
 		return true
 	}
 	a.confirmation.confirm()
 	return true
 }
 
-// fetchNewest takes the newest configuration there is, as the leader knows it.
+// fetchNewest fetches the newest configuration that the leader knows and adds it to the replica.
 func (a *Agent) fetchNewest(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// watchTimeout is how long a question of the proxy waits for a change.
+	// watchTimeout is how long a proxy's watch waits for a change.
 	watchTimeout = 5 * time.Second
-	// coalesceDelay is how long a change waits for others that come with it, so that they reach the proxy as one.
+	// coalesceDelay is how long a change waits for related changes, so that the proxy receives them in one answer.
 	coalesceDelay = 5 * time.Millisecond
-	// minAnswerInterval is the shortest time between two answers, and timeByWorker what is added to it for each worker that the one
-	// before told of: a proxy's work for one grows with them, and while much changes it must not take the machine.
+	// minAnswerInterval is the shortest time between two answers. intervalPerWorker is added for each worker in the
+	// previous answer: a proxy's work on an answer grows with its workers and must not saturate the machine during
+	// frequent changes.
 	minAnswerInterval = 20 * time.Millisecond
 	intervalPerWorker = 50 * time.Microsecond
 )
 
-// feed answers the proxy's questions for the state of the fleet.
+// feed answers the proxy's watches for the state of the fleet.
 type feed struct {
 	node        *node.Node
 	zone        string          // of this machine
-	incarnation uint64          // tells this agent's revisions from those of an earlier life
-	released    <-chan struct{} // closed once the configuration is told
+	incarnation uint64          // distinguishes this agent's revisions from those of an earlier run
+	released    <-chan struct{} // closed once the configuration is released
 	link        func() message.Link
 
 	mu           sync.Mutex
 	openWatches  int
-	lastWatchAt  time.Time        // a question was last open
-	nextAnswerAt time.Time        // the next answer is given then at the earliest
-	lastSnapshot replica.Snapshot // of the newest answer
+	lastWatchAt  time.Time        // last start or end of a watch
+	nextAnswerAt time.Time        // earliest time of the next answer
+	lastSnapshot replica.Snapshot // of the latest answer
 }
 
 func newFeed(source *node.Node, zone string, released <-chan struct{}, link func() message.Link) *feed {
@@ -45,7 +46,7 @@
 	return &feed{node: source, zone: zone, incarnation: rand.Uint64() | 1, released: released, link: link, lastWatchAt: time.Now(), lastSnapshot: snapshot}
 }
 
-// watch answers once the state differs from what the proxy knows, or after watchLimit.
+// watch answers once the state differs from what the proxy knows, or after watchTimeout.
 func (f *feed) watch(ctx context.Context, request *message.Watch) (*message.Snapshot, error) {
 	f.countWatch(1)
 	defer f.countWatch(-1)
@@ -75,7 +76,8 @@
 	}
 }
 
-// releasedSettings is the configuration's entry; a zero one while it is not told, with a channel that is closed once it is.
+// releasedSettings returns the configuration's entry. Before the release it returns an empty entry and a channel that
+// is closed at the release.
 func (f *feed) releasedSettings(snapshot replica.Snapshot) (entry replica.Entry, releasing <-chan struct{}) {
 	select {
 	case <-f.released:
@@ -86,7 +88,7 @@
 	}
 }
 
-// nextAnswerTimer fires when the next answer may be given, if one is due.
+// nextAnswerTimer fires when the next answer is allowed. It returns nil if no answer is due.
 func (f *feed) nextAnswerTimer(due bool) <-chan time.Time {
 	if !due {
 		return nil
@@ -94,21 +96,21 @@
 	return time.After(f.untilNextAnswer())
 }
 
-// untilNextAnswer is how long the next answer has to wait.
+// untilNextAnswer returns how long the next answer has to wait.
 func (f *feed) untilNextAnswer() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.nextAnswerAt)
 }
 
-// scheduleNextAnswer notes that an answer told of so many workers.
+// scheduleNextAnswer sets the earliest time of the next answer after one with the given number of workers.
 func (f *feed) scheduleNextAnswer(workers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextAnswerAt = time.Now().Add(minAnswerInterval + time.Duration(workers)*intervalPerWorker)
 }
 
-// answer is the state as the proxy needs it.
+// answer builds the proxy's view of the state.
 func (f *feed) answer(snapshot replica.Snapshot, request *message.Watch) (*message.Snapshot, error) {
 	answer := &message.Snapshot{
 		Revision: snapshot.Revision(),
@@ -133,8 +135,8 @@
 	return answer, nil
 }
 
-// fillPeers tells of workers and routers: all of them, or what has changed since the answer before if that is what the proxy
-// knows.
+// fillPeers adds workers and routers: only the changes since the previous answer if the proxy has that answer,
+// otherwise all.
 func (f *feed) fillPeers(answer *message.Snapshot, snapshot replica.Snapshot, request *message.Watch) {
 	f.mu.Lock()
 	previous := f.lastSnapshot
@@ -156,7 +158,7 @@
 	answer.Near = hosts(slices.DeleteFunc(peers, func(peer topic.Peer) bool { return peer.Zone != f.zone }))
 }
 
-// hosts are the IP addresses of peers.
+// hosts returns the IP addresses of peers.
 func hosts(peers []topic.Peer) []string {
 	addresses := make([]string, 0, len(peers))
 	for _, peer := range peers {
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -15,7 +15,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// newTestFeed is a feed with routers of two zones and workers.
+// newTestFeed returns a feed with routers in two zones and two workers.
 func newTestFeed() (*node.Node, *feed) {
 	replicaNode := node.New("edge-1", nil, zerolog.Nop(), nil, nil)
 	replicaNode.Put(
@@ -32,7 +32,7 @@
 	return replica.Entry{Key: topic.Workers + id, Version: replica.Version{Minor: version}, Value: []byte(id)}
 }
 
-// watchOnce asks the feed as a proxy does that knows an answer.
+// watchOnce watches the feed as a proxy that has the known answer.
 func watchOnce(c *qt.C, f *feed, known *message.Snapshot) *message.Snapshot {
 	request := &message.Watch{}
 	if known != nil {
@@ -53,14 +53,14 @@
 func TestWatchReturnsChangesSinceLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// Given a proxy that asks for the first time, then it is told all.
+		// Given a proxy's first watch, then it receives the full state.
 		replicaNode, f := newTestFeed()
 		first := watchOnce(c, f, nil)
 		c.Assert(first.Part, qt.IsFalse)
 		c.Assert(keysOf(first.Workers), qt.DeepEquals, []string{"worker/w1", "worker/w2"})
 		c.Assert(first.Routers, qt.DeepEquals, []string{"10.0.0.1", "10.0.0.2"})
 		c.Assert(first.Near, qt.DeepEquals, []string{"10.0.0.1"})
-		// When one worker changes and another is forgotten, then it is told of these two alone.
+		// When one worker changes and another is removed, then the answer holds only these two.
 		replicaNode.Put(workerEntry("w2", 2))
 		replicaNode.Forget(topic.Workers + "w1")
 		second := watchOnce(c, f, first)
@@ -68,18 +68,18 @@
 		c.Assert(keysOf(second.Workers), qt.DeepEquals, []string{"worker/w2"})
 		c.Assert(second.Gone, qt.DeepEquals, []string{"worker/w1"})
 		c.Assert(second.SameRouters, qt.IsTrue)
-		// When a router comes, then it is told of the routers.
+		// When a router joins, then the answer holds the routers.
 		replicaNode.Put(topic.PeerEntry(topic.Routers, topic.Peer{Node: "edge-3", Address: "10.0.0.3:7000", Zone: "north"}, 1))
 		third := watchOnce(c, f, second)
 		c.Assert(third.Part, qt.IsTrue)
 		c.Assert(third.Workers, qt.HasLen, 0)
 		c.Assert(third.Near, qt.DeepEquals, []string{"10.0.0.1", "10.0.0.3"})
-		// When an answer was lost, so that it asks with what it knew before, then it is told all.
+		// When an answer is lost, so that the proxy watches from an older revision, then it receives the full state.
 		replicaNode.Put(workerEntry("w3", 1))
 		afterLoss := watchOnce(c, f, second)
 		c.Assert(afterLoss.Part, qt.IsFalse)
 		c.Assert(keysOf(afterLoss.Workers), qt.DeepEquals, []string{"worker/w2", "worker/w3"})
-		// When nothing changes, then it is told so, with how the agent stands to the control plane.
+		// When nothing changes, then the answer says so and holds the state of the link to the control plane.
 		start := time.Now()
 		unchanged := watchOnce(c, f, afterLoss)
 		c.Assert(unchanged.Same, qt.IsTrue)
@@ -91,7 +91,8 @@
 func TestWatchRateIsLimitedUnderFrequentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// Given a worker with news every millisecond for a second, when a proxy follows, then it is told some fifty times.
+		// Given a worker that changes every millisecond for a second, when a proxy follows, then it receives about
+		// fifty answers.
 		replicaNode, f := newTestFeed()
 		known := watchOnce(c, f, nil)
 		go func() {
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -10,11 +10,11 @@
 	"sumacloft/internal/periodic"
 )
 
-// forgetInterval is how often tombstones are looked through.
+// forgetInterval is how often tombstones are checked for expiry.
 const forgetInterval = time.Second
 
-// expireTombstones drops, until the context ends, entries of workers that ended and of orders to them, once all routers have
-// had time to hear of them. Control members do so at the same age.
+// expireTombstones removes, until the context ends, the entries of ended workers and of their orders once all routers
+// have had time to receive them. Control members remove them at the same age.
 func (a *Agent) expireTombstones(ctx context.Context) {
 	workers, orders := tombstone.New(), tombstone.New()
 	periodic.Run(ctx, forgetInterval, func() {
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -5,7 +5,7 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// link is how this router stands to the control plane.
+// link returns the state of this router's link to the control plane.
 func (a *Agent) link() message.Link {
 	snapshot, _ := a.members.Node().Snapshot()
 	if settings, _ := snapshot.Get(topic.Settings); settings.Version.Major == 0 {
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -8,16 +8,16 @@
 	"sumacloft/internal/status"
 )
 
-// ServeLog has the agent give its log lines to operators who ask; call it before Run.
+// ServeLog makes the agent serve its log lines to operators. Call it before Run.
 func (a *Agent) ServeLog(lines status.Log) { a.logLines = lines }
 
-// handleStatus serves what operators ask.
+// handleStatus registers the operators' calls.
 func (a *Agent) handleStatus(mux *http.ServeMux) {
 	status.CallStatus.Handle(mux, a.report)
 	status.HandleLog(mux, a.logLines)
 }
 
-// report is what the agent knows.
+// report returns the state that the agent knows.
 func (a *Agent) report(context.Context, *status.Request) (*status.Report, error) {
 	report := &status.Report{
 		Kind: status.KindAgent,
--- a/internal/proxy/events/events.go
+++ b/internal/proxy/events/events.go
@@ -1,5 +1,5 @@
-// Package events splits a stream of events into whole events as it comes, and follows their ids over several runs of the
-// request.
+// Package events splits a stream of server-sent events into whole events as it arrives. It also tracks the event ids of
+// an answer that is resumed by further runs of the request.
 package events
 
 import (
@@ -7,24 +7,24 @@
 	"strconv"
 )
 
-// maxEventBytes bounds an event that is still coming, in bytes.
+// maxEventBytes bounds an event that is not complete yet.
 const maxEventBytes = 1 << 20
 
-// Event is one whole event, or a whole block of lines that is none, such as a comment.
+// Event is one complete event, or a complete block of lines that holds no event, such as a comment.
 type Event struct {
-	Text   []byte // as it came, with the empty line at its end
+	Text   []byte // unchanged, including the empty line at its end
 	ID     uint64
-	HasID  bool // it has an id, a whole number
-	Filler bool // it holds neither data nor an id
+	HasID  bool // it has an id that is a whole number
+	Filler bool // it holds neither data nor an id, as a keep-alive comment does
 }
 
-// Splitter cuts the pieces of a stream into events.
+// Splitter splits a stream that arrives in pieces into events.
 type Splitter struct {
-	partial   []byte // of an event that is still coming
-	lineStart int    // where in it the last line begins
+	partial   []byte // bytes of the incomplete event
+	lineStart int    // offset in partial where the last line begins
 }
 
-// Add takes the next bytes of the stream and gives the events that are whole with them. The bytes are copied.
+// Add appends the next bytes of the stream and returns the events that they complete. The bytes are copied.
 func (s *Splitter) Add(piece []byte) []Event {
 	s.partial = append(s.partial, piece...)
 	var whole []Event
@@ -35,7 +35,7 @@
 	return whole
 }
 
-// nextEnd is where the first event ends; 0 while it is still coming.
+// nextEnd returns the offset of the first event's end, or 0 if the event is incomplete.
 func (s *Splitter) nextEnd() int {
 	for {
 		line, _, ended := bytes.Cut(s.partial[s.lineStart:], []byte("\n"))
@@ -49,13 +49,13 @@
 	}
 }
 
-// Partial is what has come of an event that is not whole.
+// Partial returns the bytes of the incomplete event.
 func (s *Splitter) Partial() []byte { return s.partial }
 
-// TooLarge tells that the event that is still coming is too large to be kept.
+// TooLarge reports whether the incomplete event exceeds the size limit.
 func (s *Splitter) TooLarge() bool { return len(s.partial) > maxEventBytes }
 
-// parse reads the lines of an event. Of several ids the last one counts.
+// parse parses the lines of an event. If there are several ids, the last one counts.
 func parse(text []byte) Event {
 	event := Event{Text: text, Filler: true}
 	for line := range bytes.SplitSeq(text, []byte("\n")) {
@@ -71,7 +71,7 @@
 	return event
 }
 
-// parseID reads an id; one that would be written otherwise is not taken for a parseID.
+// parseID parses a numeric id. It accepts only the canonical decimal form.
 func parseID(text []byte) (id uint64, ok bool) {
 	id, err := strconv.ParseUint(string(text), 10, 63)
 	if err != nil || strconv.FormatUint(id, 10) != string(text) {
--- a/internal/proxy/events/events_test.go
+++ b/internal/proxy/events/events_test.go
@@ -11,8 +11,8 @@
 	"sumacloft/internal/proxy/events"
 )
 
-// TestSplitDoesNotDependOnPieces: however a stream comes in pieces, its events are the same, and no byte of it is
-// lost or comes twice.
+// TestSplitDoesNotDependOnPieces checks that the events of a stream do not depend on how it is split into pieces, and
+// that no byte is lost or duplicated.
 func TestSplitDoesNotDependOnPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"id: 1", "id:23", "id: x", "data: a", "data", ": note", "versions: 2", "", ""}))
@@ -28,21 +28,21 @@
 			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
 			piece := bytes.Clone(rest[:n])
 			got = append(got, inPieces.Add(piece)...)
-			clear(piece) // its owner uses it again
+			clear(piece) // the caller may reuse the slice
 			rest = rest[n:]
 		}
 		var rejoined []byte
 		if len(got) != len(want) {
-			t.Fatalf("%d events in pieces, %d at once", len(got), len(want))
+			t.Fatalf("got %d events in pieces, %d at once", len(got), len(want))
 		}
 		for i := range got {
 			if got[i].ID != want[i].ID || got[i].HasID != want[i].HasID || got[i].Filler != want[i].Filler {
-				t.Fatalf("%+v in pieces, %+v at once", got[i], want[i])
+				t.Fatalf("got %+v in pieces, %+v at once", got[i], want[i])
 			}
 			rejoined = append(rejoined, got[i].Text...)
 		}
 		if rejoined = append(rejoined, inPieces.Partial()...); !bytes.Equal(rejoined, text) {
-			t.Fatalf("%q came of %q", rejoined, text)
+			t.Fatalf("got %q from splitting %q", rejoined, text)
 		}
 	})
 }
--- a/internal/proxy/events/order.go
+++ b/internal/proxy/events/order.go
@@ -2,24 +2,24 @@
 
 import "errors"
 
-// Why a further run can't be joined to what was passed on.
+// Errors for which a resumed run can't continue the answer.
 var (
-	errNoID = errors.New("an event without an id that is a number")
-	errGap  = errors.New("an event is missing")
+	errNoID = errors.New("event has no numeric id")
+	errGap  = errors.New("gap in the sequence of event ids")
 )
 
-// Sequence follows the ids of an answer's events, over the first run and those that go on with it. Its zero value is that of
-// an answer that has not begun.
+// Sequence tracks the event ids of an answer over its first run and the runs that resume it. Its zero value is an
+// answer without events.
 type Sequence struct {
-	lastPassed uint64 // id of the last event that was passed on
+	lastPassed uint64 // id of the last event that was forwarded
 	started    bool
-	unordered  bool // the ids of the first run are not consecutive numbers: no run can be joined to it
+	unordered  bool // the first run's ids are not consecutive numbers, so no run can resume it
 
-	resumedLast    uint64 // id of the last event of the further run
-	resumedStarted bool   // the further run has begun
+	resumedLast    uint64 // id of the resumed run's last event
+	resumedStarted bool   // the resumed run has sent an event
 }
 
-// AddFirst notes an event of the first run, which is passed on whatever its id.
+// AddFirst records an event of the first run, which is forwarded whatever its id is.
 func (s *Sequence) AddFirst(event Event) {
 	if event.Filler {
 		return
@@ -30,14 +30,14 @@
 	s.lastPassed, s.started = event.ID, true
 }
 
-// Last is the id of the last event that was passed on; false where no run can go on behind it.
+// Last returns the id of the last forwarded event. It returns false if no run can resume after it.
 func (s *Sequence) Last() (id uint64, ok bool) { return s.lastPassed, s.started && !s.unordered }
 
-// Resume begins a further run.
+// Resume prepares for the events of another run.
 func (s *Sequence) Resume() { s.resumedLast, s.resumedStarted = 0, false }
 
-// AddResumed tells whether an event of the further run is to be passed on: not if one with its id was. An error says that the
-// run can't be joined.
+// AddResumed records an event of the resumed run and reports whether to forward it. An event whose id was already
+// forwarded is skipped. An error means that the run can't continue the answer.
 func (s *Sequence) AddResumed(event Event) (pass bool, err error) {
 	if event.Filler {
 		return true, nil
@@ -56,5 +56,5 @@
 	return true, nil
 }
 
-// CaughtUp tells whether the further run has come as far as what was passed on.
+// CaughtUp reports whether the resumed run has reached the last forwarded event.
 func (s *Sequence) CaughtUp() bool { return s.resumedStarted && s.resumedLast == s.lastPassed }
--- a/internal/proxy/events/order_test.go
+++ b/internal/proxy/events/order_test.go
@@ -8,8 +8,8 @@
 	"sumacloft/internal/proxy/events"
 )
 
-// TestResumedRunsContinueOneSequence: whatever the ids of further runs, what is passed on of them goes on behind the
-// first run without a gap, and nothing comes twice.
+// TestResumedRunsContinueOneSequence checks that, for any ids of resumed runs, the forwarded events continue the first
+// run without gaps or duplicates.
 func TestResumedRunsContinueOneSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sequence events.Sequence
@@ -32,12 +32,12 @@
 					break
 				}
 				if pass != (id > last) || id > last+1 {
-					t.Fatalf("%d behind %d: passed on: %t", id, last, pass)
+					t.Fatalf("event %d after %d: forwarded: %t", id, last, pass)
 				}
 				last = max(last, id)
 			}
 			if got, ok := sequence.Last(); !ok || got != last {
-				t.Fatalf("%d (%t) for the last of them, %d", got, ok, last)
+				t.Fatalf("got %d (%t) as the last event, want %d", got, ok, last)
 			}
 		}
 	})
--- a/internal/status/calls.go
+++ b/internal/status/calls.go
@@ -9,18 +9,18 @@
 	"sumacloft/internal/mesh/rpc"
 )
 
-// The calls that control members and agents serve on their inside ports. Proxies serve CallLog on the loopback address.
+// Calls that control members and agents serve on their inside ports. Proxies serve CallLog on the loopback address.
 const (
 	CallStatus rpc.Procedure[Request, Report]         = "/status/Read"
 	CallLog    rpc.Procedure[LogRequest, LogResponse] = "/status/Log"
 )
 
-// Log is log lines held in memory; package logring has one.
+// Log holds log lines in memory; package logring implements it.
 type Log interface {
 	Copy(to io.Writer) error
 }
 
-// HandleLog serves CallLog on the mux; where log is nil it does nothing.
+// HandleLog serves CallLog on the mux. It does nothing if log is nil.
 func HandleLog(mux *http.ServeMux, log Log) {
 	if log == nil {
 		return
--- a/internal/status/gather.go
+++ b/internal/status/gather.go
@@ -11,8 +11,8 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// Gather fills a report with what a router's copy of the replicated map holds. Entries of other releases that can't be
-// read are left out.
+// Gather fills a report from a router's copy of the replicated map. It skips entries of other releases that it can't
+// decode.
 func Gather(report *Report, snapshot replica.Snapshot) {
 	report.Configuration = configurationOf(snapshot)
 	report.Controls = peersOf(snapshot.Prefix(topic.Controls))
@@ -32,7 +32,7 @@
 	return configuration
 }
 
-// peersOf lists peers by name, those that are down included.
+// peersOf lists peers by name, including those that are down.
 func peersOf(entries []replica.Entry) []Peer {
 	peers := make([]Peer, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/status/gather_test.go
+++ b/internal/status/gather_test.go
@@ -19,7 +19,7 @@
 	"sumacloft/internal/status"
 )
 
-// entriesOf are a configuration, peers and workers as they are replicated.
+// entriesOf returns replicated entries: a configuration, peers, workers and an entry that can't be decoded.
 func entriesOf(c *qt.C) []replica.Entry {
 	settings, err := topic.SettingsEntry(5, []byte(`{"version":7,"routes":[],"services":[]}`))
 	c.Assert(err, qt.IsNil)
@@ -51,7 +51,7 @@
 	// when a report is gathered
 	report := &status.Report{}
 	status.Gather(report, entries.Snapshot())
-	// then it holds the configuration, the peers in the order of their names, and the workers counted.
+	// then it holds the configuration, the peers sorted by name, and the worker counts.
 	c.Assert(report, qt.DeepEquals, &status.Report{
 		Configuration: status.Configuration{Version: 7, Index: 5},
 		Controls:      []status.Peer{{Node: "control-1", Zone: "north", Address: "10.0.0.1:7700", Steering: "10.0.0.1:8002", Incarnation: 3}},
@@ -69,14 +69,14 @@
 
 func TestReportOfEmptyMapIsEmpty(t *testing.T) {
 	c := qt.New(t)
-	// Given a router that knows nothing yet, when a report is gathered, then it says that there is no configuration.
+	// Given an empty map, when a report is gathered, then its configuration and workers are empty.
 	report := &status.Report{}
 	status.Gather(report, replica.New().Snapshot())
 	c.Assert(report.Configuration, qt.Equals, status.Configuration{})
 	c.Assert(report.Workers, qt.HasLen, 0)
 }
 
-// fixedLog is a log of fixed text.
+// fixedLog is a log with a fixed text and error.
 type fixedLog struct {
 	text string
 	err  error
@@ -87,7 +87,7 @@
 	return errors.Join(err, h.err)
 }
 
-// fetchLog asks a server of the log.
+// fetchLog serves the log over HTTP and fetches it.
 func fetchLog(c *qt.C, log status.Log) (*status.LogResponse, error) {
 	mux := http.NewServeMux()
 	status.HandleLog(mux, log)
@@ -99,11 +99,11 @@
 
 func TestLogIsServed(t *testing.T) {
 	c := qt.New(t)
-	// Given a process with lines in its log, when it is asked, then it gives them;
+	// Given a process with log lines, when they are requested, then the call returns them.
 	answer, err := fetchLog(c, fixedLog{text: "one\ntwo\n"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(bytes.Equal(answer.Text, []byte("one\ntwo\n")), qt.IsTrue)
-	// when they can't be read, or there is no log, then the call fails.
+	// When the log can't be read, or there is none, then the call fails.
 	_, err = fetchLog(c, fixedLog{err: errors.New("no")})
 	c.Assert(rpc.Error.Has(err), qt.IsTrue)
 	_, err = fetchLog(c, nil)
--- a/internal/status/traffic.go
+++ b/internal/status/traffic.go
@@ -8,7 +8,7 @@
 	"sumacloft/internal/mesh/traffic"
 )
 
-// TrafficOf is what a meter counted, apart for the hosts of the own zone.
+// TrafficOf returns a meter's counts, split by whether the host is in the process's own zone.
 func TrafficOf(meter *traffic.Meter, inOwnZone func(host string) bool) []Traffic {
 	var totals []Traffic
 	for _, total := range meter.Totals(inOwnZone) {
@@ -17,7 +17,7 @@
 	return totals
 }
 
-// HostsInZone tells which hosts are of routers and control members of a zone.
+// HostsInZone returns a predicate that reports whether a host is a router or control member of the zone.
 func HostsInZone(snapshot replica.Snapshot, zone string) func(host string) bool {
 	hosts := map[string]bool{}
 	for _, prefix := range []string{topic.Routers, topic.Controls} {
