--- a/internal/proxy/bounds/bounds.go
+++ b/internal/proxy/bounds/bounds.go
@@ -1,6 +1,6 @@
-// Package bounds holds clients' connections to the limits of the configuration in force: how long the head of a request
-// may be and how long it may take, and how long a connection may be idle. net/http fixes these when a server is made;
-// here they change while connections are open. The rest of a request is bounded by the front, which reads it.
+// Package bounds applies the configured limits to clients' connections: the size and duration of a request's head, and
+// the idle time of a connection. net/http fixes these limits when a server is created; here they can change while
+// connections are open. Package front bounds the rest of a request, as it reads it.
 package bounds
 
 import (
@@ -14,27 +14,28 @@
 )
 
 const (
-	// The limits while the configuration gives none.
+	// Limits that apply if the configuration sets none.
 	defaultHeaderBytes   = 64 << 10
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// maxHeaderBytes is net/http's own bound for a head, which can't change; no configured one counts beyond it.
+	// maxHeaderBytes is net/http's own limit for a head. It can't change, so a larger configured limit has no effect
+	// beyond it.
 	maxHeaderBytes = 1 << 20
 )
 
-// Limiter holds connections to limits. Use New.
+// Limiter applies limits to connections. Create it with New.
 type Limiter struct {
 	mu     sync.Mutex
 	limits opconf.Limits
 	conns  map[*Conn]struct{}
 }
 
-// New makes a keeper with the limits that count while no configuration is known.
+// New creates a limiter with the default limits, which apply until a configuration is known.
 func New() *Limiter {
 	return &Limiter{limits: withDefaults(opconf.Limits{}), conns: map[*Conn]struct{}{}}
 }
 
-// withDefaults puts the defaults in the place of limits that were not given.
+// withDefaults replaces unset limits by their defaults.
 func withDefaults(limits opconf.Limits) opconf.Limits {
 	if limits.HeaderBytes <= 0 {
 		limits.HeaderBytes = defaultHeaderBytes
@@ -48,7 +49,7 @@
 	return limits
 }
 
-// SetLimits holds all connections to these limits from now on, open ones included.
+// SetLimits applies the limits to all connections, including open ones.
 func (l *Limiter) SetLimits(limits opconf.Limits) {
 	limits = withDefaults(limits)
 	l.mu.Lock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// Server is net/http's, for connections of this keeper's listeners.
+// Server returns an HTTP server for connections of this limiter's listeners.
 func (l *Limiter) Server(handler http.Handler, errorLog *log.Logger) *http.Server {
 	return &http.Server{
 		Handler:        handler,
@@ -80,7 +81,7 @@
 	}
 }
 
-// Listen wraps a listener.
+// Listen wraps a listener so that the limits apply to its connections.
 func (l *Limiter) Listen(ln net.Listener) net.Listener { return &listener{Listener: ln, limiter: l} }
 
 type listener struct {
@@ -88,7 +89,7 @@
 	limiter *Limiter
 }
 
-// Accept serves net.Listener.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/proxy/bounds/bounds_test.go
+++ b/internal/proxy/bounds/bounds_test.go
@@ -18,7 +18,7 @@
 	"sumacloft/internal/proxy/bounds"
 )
 
-// pipeListener is a listener whose connections are pipeListener in memory.
+// pipeListener is a listener whose connections are in-memory pipes.
 type pipeListener struct {
 	incoming chan net.Conn
 	closed   chan struct{}
@@ -36,10 +36,10 @@
 func (p *pipeListener) Close() error   { close(p.closed); return nil }
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// limits are those that the tests begin with.
+// limits are the initial limits of the tests.
 var limits = opconf.Limits{HeaderBytes: 8 << 10, HeaderWait: 3 * time.Second, Quiet: 15 * time.Second}
 
-// withServer runs a test with a server whose keeper uses the limits; dial opens a connection to it.
+// withServer runs a test with a server whose limiter has the initial limits. dial opens a connection to it.
 func withServer(t *testing.T, test func(c *qt.C, limiter *bounds.Limiter, dial func() net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	})
 }
 
-// postAndCheck sends a request and checks that it is answered whole.
+// postAndCheck sends a request and checks its complete answer.
 func postAndCheck(c *qt.C, conn net.Conn, body string) {
 	c.Helper()
 	_, err := io.WriteString(conn, "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
@@ -74,25 +74,27 @@
 	c.Assert(string(text), qt.Equals, "read "+body)
 }
 
-// readUntilClosed is what a connection says until its end, and how long that takes.
+// readUntilClosed reads a connection to its end and measures how long that takes.
 func readUntilClosed(conn net.Conn) (text string, took time.Duration) {
 	start := time.Now()
-	all, _ := io.ReadAll(conn) // its error is an end as well
+	all, _ := io.ReadAll(conn) // an error ends the connection, too
 	return string(all), time.Since(start)
 }
 
-// isNear tells whether a time is what it should be, but for the last look and the time in which a refused client may read.
+// isNear reports whether a duration exceeds the wanted one by at most a second, which covers the deadline's grace and
+// the linger timeout.
 func isNear(got, want time.Duration) bool { return got >= want && got <= want+time.Second }
 
 func TestIdleConnectionsCloseAfterTimeout(t *testing.T) {
 	withServer(t, func(c *qt.C, _ *bounds.Limiter, dial func() net.Conn) {
-		// Given a client that connects and says nothing, then its connection ends without a word.
+		// Given a client that sends nothing, then its connection is closed without an answer.
 		text, took := readUntilClosed(dial())
 		c.Assert(text, qt.Equals, "")
 		c.Assert(isNear(took, limits.Quiet), qt.IsTrue, qt.Commentf("took %v", took))
 	})
 	withServer(t, func(c *qt.C, _ *bounds.Limiter, dial func() net.Conn) {
-		// Given a connection that is used again just in time, then its idle time counts from the last answer.
+		// Given a connection that is used again just before its idle timeout, then the timeout starts again at the last
+		// answer.
 		conn := dial()
 		postAndCheck(c, conn, "abc")
 		time.Sleep(limits.Quiet - time.Second)
@@ -105,9 +107,9 @@
 
 func TestIncompleteHeadIsRefusedAfterTimeout(t *testing.T) {
 	withServer(t, func(c *qt.C, _ *bounds.Limiter, dial func() net.Conn) {
-		// Given a client that sends a byte of its head now and then.
+		// Given a client that sends its head slowly, a byte at a time.
 		conn := dial()
-		time.Sleep(5 * time.Second) // it was idle before, which does not count
+		time.Sleep(5 * time.Second) // idle time does not count towards the head's timeout
 		stop := make(chan struct{})
 		go func() {
 			for {
@@ -121,7 +123,8 @@
 				}
 			}
 		}()
-		// Then it is refused once the time for a head is over, with a promise.
+		// Then it is answered with 408, which promises that the request has not run, once the timeout for a head has
+		// passed.
 		text, took := readUntilClosed(conn)
 		close(stop)
 		c.Assert(strings.HasPrefix(text, "HTTP/1.1 408 "), qt.IsTrue, qt.Commentf("%q", text))
@@ -129,12 +132,12 @@
 	})
 }
 
-// sendHead writes a head of so many bytes and gives the status line of the answer.
+// sendHead sends a head of the given size and returns the answer's status line.
 func sendHead(c *qt.C, conn net.Conn, size int) string {
 	c.Helper()
 	head := "GET /a HTTP/1.1\r\nHost: x\r\nX-Pad: "
 	head += strings.Repeat("x", size-len(head)-len("\r\n\r\n")) + "\r\n\r\n"
-	go func() { _, _ = io.WriteString(conn, head) }() // what is refused may not be read whole
+	go func() { _, _ = io.WriteString(conn, head) }() // a refused head may not be read to its end
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	c.Assert(err, qt.IsNil)
 	return strings.TrimSpace(line)
@@ -147,7 +150,7 @@
 		tooLarge := "HTTP/1.1 431 Request Header Fields Too Large"
 		c.Assert(sendHead(c, dial(), limits.HeaderBytes+2*readAhead), qt.Equals, tooLarge)
 		c.Assert(sendHead(c, dial(), 100*limits.HeaderBytes), qt.Equals, tooLarge)
-		// When the configuration allows more, then more is taken.
+		// When the limit is raised, then a larger head is accepted.
 		more := limits
 		more.HeaderBytes *= 4
 		limiter.SetLimits(more)
@@ -163,11 +166,11 @@
 		conn := dial()
 		postAndCheck(c, conn, "abc")
 		time.Sleep(time.Second)
-		// When a new configuration lets them be idle for longer, then they go on past the old time.
+		// When the idle timeout is raised, then the connections stay open past the old timeout.
 		limiter.SetLimits(longer)
 		time.Sleep(limits.Quiet + time.Second)
 		postAndCheck(c, conn, "abc")
-		// When the next one lets them be idle for less, then they end after that.
+		// When the idle timeout is lowered, then they are closed after the new timeout.
 		limiter.SetLimits(shorter)
 		text, took := readUntilClosed(conn)
 		c.Assert(text, qt.Equals, "")
@@ -175,7 +178,7 @@
 	})
 }
 
-// A request that takes long to be served, and one whose body comes slowly, are nobody's idle connection.
+// A connection whose request is served slowly or whose body arrives slowly must not be closed as idle.
 func TestRequestsInProgressAreNotIdle(t *testing.T) {
 	withServer(t, func(c *qt.C, _ *bounds.Limiter, dial func() net.Conn) {
 		conn := dial()
@@ -190,8 +193,8 @@
 	})
 }
 
-// stalledConn is a connection whose reads find nothing at their deadline, as after a pause of this process, and then find
-// what has lain there.
+// stalledConn is a connection whose first read times out, as after a pause of this process. Later reads return the
+// bytes that had arrived.
 type stalledConn struct {
 	net.Conn
 	buffered string
@@ -211,14 +214,14 @@
 func TestBytesUnreadAtDeadlineAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// Given a process that stood still while a request came on an idle connection.
+		// Given a process that was paused while a request arrived on an idle connection.
 		clientEnd, serverEnd := net.Pipe()
 		defer func() { _ = clientEnd.Close() }()
 		listener := &pipeListener{incoming: make(chan net.Conn, 1), closed: make(chan struct{})}
 		listener.incoming <- &stalledConn{Conn: serverEnd, buffered: "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"}
 		conn, err := bounds.New().Listen(listener).Accept()
 		c.Assert(err, qt.IsNil)
-		// When it reads on, past the deadline, then it reads the request.
+		// When it reads after the deadline, then it reads the request.
 		n, err := conn.Read(make([]byte, 100))
 		c.Assert(err, qt.IsNil)
 		c.Assert(n, qt.Equals, 28)
--- a/internal/proxy/bounds/conn.go
+++ b/internal/proxy/bounds/conn.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// readAheadBytes is what net/http reads at a time: so much of a body may come with the end of a head.
+	// readAheadBytes is the size of net/http's reads. Up to this many bytes of a body may arrive with the end of a
+	// head.
 	readAheadBytes = 4 << 10
-	// deadlineGrace is what a connection gets on top once its time is over: bytes that came in time may lie there unread,
-	// since this process stood still, and to close now would reset a client that did its part.
+	// deadlineGrace extends a connection's deadline once it has passed. If this process was paused, bytes that arrived
+	// in time may still be unread, and closing the connection then would reset a client that met the limit.
 	deadlineGrace = 50 * time.Millisecond
-	// lingerTimeout is how long what a refused client goes on sending is read, so that it can read why: to close with
-	// bytes unread resets the connection.
+	// lingerTimeout is how long the input of a refused client is still read, so that the client can read the answer.
+	// Closing a connection with unread bytes resets it.
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// The answers to a head that breaks a limit; none of it has been taken for a request.
+// Answers to a head that exceeds a limit. No request has been taken from it.
 const (
 	answerTooLarge = "HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Type: text/plain; charset=utf-8\r\n" +
 		"Connection: close\r\n\r\n431 Request Header Fields Too Large"
@@ -31,20 +32,21 @@
 )
 
 var (
-	errTooLarge = errors.New("the head is larger than the configured header_bytes")
-	errTooSlow  = errors.New("the head took longer than the configured header_wait_ms")
+	errTooLarge = errors.New("request head exceeds header_bytes")
+	errTooSlow  = errors.New("request head not complete within header_wait_ms")
 )
 
-// phase is what a connection is at.
+// phase is the state of a connection between and during requests.
 type phase int
 
 const (
-	idle        phase = iota // no byte of a request has come
-	readingHead              // the head of a request has begun to come
-	serving                  // net/http has the head; reads are its own
+	idle        phase = iota // no byte of a request has arrived
+	readingHead              // part of a request's head has arrived
+	serving                  // net/http has the head and sets the read deadline
 )
 
-// Conn is a client's connection. While it waits for a request, the deadline of its reads is the keeper's, not net/http's.
+// Conn is a client's connection. While it waits for a request's head, the limiter sets its read deadline instead of
+// net/http.
 type Conn struct {
 	net.Conn
 	limiter *Limiter
@@ -52,12 +54,12 @@
 	mu         sync.Mutex
 	limits     opconf.Limits
 	phase      phase
-	phaseStart time.Time // the phase began
-	headBytes  int       // bytes that came while waiting
-	extended   bool      // the last look has been granted
+	phaseStart time.Time // start of the phase
+	headBytes  int       // bytes received since the last request
+	extended   bool      // deadlineGrace has been granted
 }
 
-// Read serves net.Conn.
+// Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.currentPhase() == serving {
 		return c.Conn.Read(p)
@@ -81,7 +83,7 @@
 	return c.phase
 }
 
-// extendDeadline grants a little more time, once for each request.
+// extendDeadline extends the read deadline by deadlineGrace, once per phase. It reports whether it did.
 func (c *Conn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 	return c.Conn.SetReadDeadline(time.Now().Add(deadlineGrace)) == nil
 }
 
-// countHeadBytes counts bytes of a head and tells whether there are too many.
+// countHeadBytes adds n bytes to the head's size and reports whether it exceeds the limit.
 func (c *Conn) countHeadBytes(n int) (tooLarge bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +106,7 @@
 	return c.headBytes > c.limits.HeaderBytes+readAheadBytes
 }
 
-// requestStarted notes that net/http has a whole head, or what it takes for one.
+// requestStarted records that net/http has read a complete head or has rejected it.
 func (c *Conn) requestStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +114,7 @@
 	_ = c.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, as the next read does
 }
 
-// requestFinished notes that the connection waits for its next request.
+// requestFinished records that the connection waits for its next request.
 func (c *Conn) requestFinished() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +122,7 @@
 	c.setPhaseDeadline()
 }
 
-// setLimits holds the connection to limits from now on.
+// setLimits applies new limits to the connection.
 func (c *Conn) setLimits(limits opconf.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +132,7 @@
 	}
 }
 
-// setPhaseDeadline sets the deadline of the phase. The lock is held.
+// setPhaseDeadline sets the read deadline of the current phase. The caller holds the lock.
 func (c *Conn) setPhaseDeadline() {
 	timeout := c.limits.Quiet
 	if c.phase == readingHead {
@@ -139,7 +141,8 @@
 	_ = c.Conn.SetReadDeadline(c.phaseStart.Add(timeout)) // fails on a closed connection, as the next read does
 }
 
-// SetReadDeadline serves net.Conn for the reads of a request's body; what net/http sets before that has no effect.
+// SetReadDeadline implements net.Conn for reads of a request's body. Deadlines that net/http sets before that are
+// ignored.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,17 +152,18 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// refuse answers a head in net/http's place, and gives the error at which net/http closes the connection without a word.
+// refuse answers a head instead of net/http. It returns an error on which net/http closes the connection without an
+// answer of its own.
 func (c *Conn) refuse(answer string, cause error) error {
 	_ = c.Conn.SetDeadline(time.Now().Add(lingerTimeout))
 	if _, err := io.WriteString(c.Conn, answer); err == nil {
 		_ = c.CloseWrite()
-		_, _ = io.Copy(io.Discard, c.Conn) // ends with the client's close, or the time
+		_, _ = io.Copy(io.Discard, c.Conn) // ends when the client closes or at the deadline
 	}
 	return &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: cause}
 }
 
-// CloseWrite lets net/http end an error's connection such that the client can still read the error.
+// CloseWrite closes the sending side. net/http uses it so that the client can still read an error answer.
 func (c *Conn) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// Close serves net.Conn.
+// Close implements net.Conn.
 func (c *Conn) Close() error {
 	c.limiter.untrack(c)
 	return c.Conn.Close()
