--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -224,7 +224,7 @@
 	for name, served := range f.lanes {
 		lanes[name] = served
 	}
-	f.front.Use(&front.Routing{Table: f.table, Limits: f.configuration.Limits, Lanes: lanes})
+	f.front.SetRouting(&front.Routing{Table: f.table, Limits: f.configuration.Limits, Lanes: lanes})
 	f.ready.Store(true)
 }
 
--- a/internal/proxy/front/answers_test.go
+++ b/internal/proxy/front/answers_test.go
@@ -12,11 +12,11 @@
 	"sumacloft/internal/fleettest/memnet"
 )
 
-// rest is longer than a connection rests after an exchange.
-const rest = 50 * time.Millisecond
+// idleGap is longer than a connection rests after an exchange.
+const idleGap = 50 * time.Millisecond
 
-// piecewise answers with pieces, one after the other, and then closes the connection.
-func piecewise(pieces ...string) reply {
+// respondInPieces answers with pieces, one after the other, and then closes the connection.
+func respondInPieces(pieces ...string) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		for _, piece := range pieces {
@@ -27,11 +27,11 @@
 	}
 }
 
-// early answers before it reads a request's body.
-func early(text string, goOn bool) reply {
+// respondEarly answers before it reads a request's body.
+func respondEarly(text string, goOn bool) reply {
 	return func(connection *memnet.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(connection, text)
-		time.Sleep(rest)
+		time.Sleep(idleGap)
 		return goOn
 	}
 }
@@ -39,20 +39,20 @@
 // connectionsOf are the numbers of the connections on which requests reached a worker.
 func connectionsOf(w *worker) []int {
 	var all []int
-	for _, request := range w.seen() {
+	for _, request := range w.received() {
 		all = append(all, request.connection)
 	}
 	return all
 }
 
-// asksTwice sends two requests one after the other.
-func asksTwice(c *qt.C, s *scene, path string, body string) [2]answer {
-	first := s.ask(c, path, body)
-	time.Sleep(rest)
-	return [2]answer{first, s.ask(c, path, body)}
+// sendTwice sends two requests one after the other.
+func sendTwice(c *qt.C, s *scene, path string, body string) [2]answer {
+	first := s.send(c, path, body)
+	time.Sleep(idleGap)
+	return [2]answer{first, s.send(c, path, body)}
 }
 
-func TestLengthlessAnswersArePassedOnWhole(t *testing.T) {
+func TestAnswersWithoutLengthAreForwardedWhole(t *testing.T) {
 	const (
 		plainHead  = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/plain\r\n\r\n"
 		oldHead    = "HTTP/1.0 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/plain\r\n\r\n"
@@ -64,31 +64,31 @@
 		status int
 		body   string
 	}{
-		"to a risky request":    {riskyPath, piecewise(plainHead, "ser", "ved"), 200, "served"},
-		"to a harmless request": {harmlessPath, piecewise(plainHead+"ser", "ved"), 200, "served"},
-		"of the older protocol": {riskyPath, piecewise(oldHead, "ser", "ved"), 200, "served"},
-		"without a body":        {riskyPath, piecewise(plainHead), 200, ""},
-		"that are failures":     {riskyPath, piecewise(failedHead, "oo", "ps"), 500, "oops"},
-		"that are streams":      {streamPath, piecewise(flowing+"\r\n", event, event, event), 200, event + event + event},
+		"to a risky request":    {riskyPath, respondInPieces(plainHead, "ser", "ved"), 200, "served"},
+		"to a harmless request": {harmlessPath, respondInPieces(plainHead+"ser", "ved"), 200, "served"},
+		"of the older protocol": {riskyPath, respondInPieces(oldHead, "ser", "ved"), 200, "served"},
+		"without a body":        {riskyPath, respondInPieces(plainHead), 200, ""},
+		"that are failures":     {riskyPath, respondInPieces(failedHead, "oo", "ps"), 500, "oops"},
+		"that are streams":      {streamPath, respondInPieces(flowing+"\r\n", event, event, event), 200, event + event + event},
 	} {
 		t.Run(name, func(t *testing.T) {
 			workers := []*worker{
 				{name: "whole", answer: given.answer},
-				{name: "reader", phase: "reading", answer: says(readPrompt)},
+				{name: "reader", phase: "reading", answer: respond(readPrompt)},
 				{name: "writer", phase: "writing", answer: given.answer},
 			}
-			play(t, workers, func(c *qt.C, s *scene) {
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// Given a worker whose answers end with their connection, when a client asks twice.
-				for _, got := range asksTwice(c, s, given.path, "prompt") {
+				for _, got := range sendTwice(c, s, given.path, "prompt") {
 					// Then it gets them whole, and their end can be told from a break.
 					c.Assert(got.status, qt.Equals, given.status)
 					c.Assert(got.body, qt.Equals, given.body)
-					c.Assert(got.whole, qt.IsTrue)
+					c.Assert(got.complete, qt.IsTrue)
 					c.Assert(got.chunked || got.header.Get("Content-Length") != "", qt.IsTrue)
 				}
 				// And each came on a connection of its own.
 				for _, w := range []*worker{workers[0], workers[2]} {
-					if len(w.seen()) > 0 {
+					if len(w.received()) > 0 {
 						c.Assert(connectionsOf(w), qt.DeepEquals, []int{1, 2})
 					}
 				}
@@ -97,57 +97,57 @@
 	}
 }
 
-// brokenLengthless begins an answer without a length and resets its connection.
-func brokenLengthless(head, text string) reply {
+// respondThenReset begins an answer without a length and resets its connection.
+func respondThenReset(head, text string) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(connection, head+"\r\n"+text)
-		time.Sleep(rest)
-		return resets(connection, request)
+		time.Sleep(idleGap)
+		return resetConnection(connection, request)
 	}
 }
 
-func TestBrokenLengthlessAnswerIsNotPassedOnAsWhole(t *testing.T) {
+func TestBrokenAnswerWithoutLengthIsNotForwardedAsComplete(t *testing.T) {
 	const plainHead = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/plain\r\n"
 	workers := []*worker{
-		{name: "whole", answer: brokenLengthless(plainHead, "ser")},
-		{name: "reader", phase: "reading", answer: says(readPrompt)},
-		{name: "writer", phase: "writing", answer: brokenLengthless(flowing, event)},
+		{name: "whole", answer: respondThenReset(plainHead, "ser")},
+		{name: "reader", phase: "reading", answer: respond(readPrompt)},
+		{name: "writer", phase: "writing", answer: respondThenReset(flowing, event)},
 	}
-	play(t, workers, func(c *qt.C, s *scene) {
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When the connection of an answer without a length is reset, then none of it is passed on,
-		got := s.ask(c, riskyPath, "prompt")
+		got := s.send(c, riskyPath, "prompt")
 		c.Assert(got.status, qt.Equals, http.StatusBadGateway)
 		c.Assert(strings.Contains(got.body, "ser"), qt.IsFalse)
 		// and of a stream all that came, without the end of a whole one.
-		got = s.ask(c, streamPath, "prompt")
+		got = s.send(c, streamPath, "prompt")
 		c.Assert(got.status, qt.Equals, http.StatusOK)
 		c.Assert(got.body, qt.Equals, event)
-		c.Assert(got.whole, qt.IsFalse)
+		c.Assert(got.complete, qt.IsFalse)
 	})
 }
 
-func TestAnswerBeforeTheBodyIsReadIsPassedOnWhole(t *testing.T) {
+func TestAnswerBeforeBodyIsReadIsForwardedWhole(t *testing.T) {
 	named := strings.Replace(served, "\r\n", "\r\nX-Request-Id: 1\r\n", 1)
 	const closing = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved"
 	for name, given := range map[string]struct {
 		answer      reply
 		connections []int
 	}{
-		"and the worker ends the connection": {early(served, false), []int{1, 2}},
-		"and the worker announces its end":   {early(closing, true), []int{1, 2}},
-		"and the worker reads it later":      {early(named, true), []int{1, 1}},
-		"and does not name the request":      {early(served, true), []int{1, 2}},
+		"and the worker ends the connection": {respondEarly(served, false), []int{1, 2}},
+		"and the worker announces its end":   {respondEarly(closing, true), []int{1, 2}},
+		"and the worker reads it later":      {respondEarly(named, true), []int{1, 1}},
+		"and does not name the request":      {respondEarly(served, true), []int{1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			workers := plainWorkers(1, given.answer)
-			play(t, workers, func(c *qt.C, s *scene) {
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// Given a worker that answers before it has read a request's body, when a client asks twice.
-				for _, got := range asksTwice(c, s, riskyPath, strings.Repeat("p", 100_000)) {
+				for _, got := range sendTwice(c, s, riskyPath, strings.Repeat("p", 100_000)) {
 					// Then it gets the answers whole and at once.
 					c.Assert(got.status, qt.Equals, 200)
 					c.Assert(got.body, qt.Equals, "served")
-					c.Assert(got.took < rest/2, qt.IsTrue, qt.Commentf("after %v", got.took))
+					c.Assert(got.took < idleGap/2, qt.IsTrue, qt.Commentf("after %v", got.took))
 				}
 				// And a connection that ends with a body unread carries nothing further.
 				c.Assert(connectionsOf(workers[0]), qt.DeepEquals, given.connections)
--- a/internal/proxy/front/arrivals_test.go
+++ b/internal/proxy/front/arrivals_test.go
@@ -14,19 +14,19 @@
 	"sumacloft/internal/fleettest/memnet"
 )
 
-// firstOf answers the first call of each request that any worker with it gets in its own way, and the others as well.
-type firstOf struct {
+// firstCallReply answers the first call of each request that any worker with it gets in its own way, and the others as well.
+type firstCallReply struct {
 	first, others reply
 
-	mu    sync.Mutex
-	known map[string]bool
+	mu   sync.Mutex
+	seen map[string]bool
 }
 
-func (f *firstOf) answer(connection *memnet.Conn, request *http.Request) bool {
+func (f *firstCallReply) answer(connection *memnet.Conn, request *http.Request) bool {
 	id := request.Header.Get("X-Request-Id")
 	f.mu.Lock()
-	again := f.known[id]
-	f.known[id] = true
+	again := f.seen[id]
+	f.seen[id] = true
 	f.mu.Unlock()
 	if again || id == "" {
 		return f.others(connection, request)
@@ -34,13 +34,13 @@
 	return f.first(connection, request)
 }
 
-func onlyFirst(first, others reply) reply {
-	all := &firstOf{first: first, others: others, known: map[string]bool{}}
+func onFirstCall(first, others reply) reply {
+	all := &firstCallReply{first: first, others: others, seen: map[string]bool{}}
 	return all.answer
 }
 
-// call is one arrival of a request at a worker.
-type call struct {
+// arrival is one arrival of a request at a worker.
+type arrival struct {
 	at     time.Time
 	reader bool
 }
@@ -48,16 +48,16 @@
 // furtherArrivals counts arrivals past the first of each request as the operators do: the read is none if it is the first
 // call, succeeds, and the request runs in the end.
 func furtherArrivals(workers []*worker, readsSucceed bool, ran map[string]bool) (further int) {
-	calls := map[string][]call{}
+	calls := map[string][]arrival{}
 	for _, w := range workers {
-		for _, request := range w.seen() {
+		for _, request := range w.received() {
 			if id := request.Header.Get("X-Request-Id"); id != "" {
-				calls[id] = append(calls[id], call{request.at, w.phase == "reading"})
+				calls[id] = append(calls[id], arrival{request.at, w.phase == "reading"})
 			}
 		}
 	}
 	for id, all := range calls {
-		slices.SortFunc(all, func(a, b call) int { return a.at.Compare(b.at) })
+		slices.SortFunc(all, func(a, b arrival) int { return a.at.Compare(b.at) })
 		further += len(all) - 1
 		if all[0].reader && len(all) > 1 && readsSucceed && ran[id] {
 			further--
@@ -68,40 +68,40 @@
 
 // Whatever goes wrong at the workers, and wherever in the life of a request, the arrivals past the first of each request keep
 // to the operators' bound.
-func TestFurtherArrivalsKeepTheBoundWhateverFails(t *testing.T) {
+func TestRepeatedArrivalsStayWithinBound(t *testing.T) {
 	const (
 		asked = 120
 		extra = 10
 	)
-	whole := streams("seal", properly, eventsOf(1, lastOf))
+	whole := respondStream("seal", endProperly, eventsOf(1, lastEventID))
 	for name, given := range map[string]struct {
 		reader, writer reply
 		readsSucceed   bool
 	}{
-		"readers reset the first call":              {onlyFirst(resets, says(readPrompt)), whole, false},
-		"readers turn the first call away":          {onlyFirst(says(turnedAway), says(readPrompt)), whole, false},
-		"writers reset":                             {says(readPrompt), resets, true},
-		"writers turn the first run away":           {says(readPrompt), onlyFirst(says(turnedAway), whole), true},
-		"writers turn all away":                     {says(readPrompt), says(turnedAway), true},
-		"both reset":                                {resets, resets, false},
-		"readers reset and writers turn away":       {onlyFirst(resets, says(readPrompt)), says(turnedAway), false},
-		"readers reset and writers reset the first": {onlyFirst(resets, says(readPrompt)), onlyFirst(resets, whole), false},
+		"readers reset the first call":              {onFirstCall(resetConnection, respond(readPrompt)), whole, false},
+		"readers turn the first call away":          {onFirstCall(respond(notRun), respond(readPrompt)), whole, false},
+		"writers reset":                             {respond(readPrompt), resetConnection, true},
+		"writers turn the first run away":           {respond(readPrompt), onFirstCall(respond(notRun), whole), true},
+		"writers turn all away":                     {respond(readPrompt), respond(notRun), true},
+		"both reset":                                {resetConnection, resetConnection, false},
+		"readers reset and writers turn away":       {onFirstCall(resetConnection, respond(readPrompt)), respond(notRun), false},
+		"readers reset and writers reset the first": {onFirstCall(resetConnection, respond(readPrompt)), onFirstCall(resetConnection, whole), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given two readers and four writers that fail in one way.
-			workers := writtenAfter(given.reader, 4, given.writer)
+			workers := stagedWritersAfter(given.reader, 4, given.writer)
 			for _, w := range workers[2:] {
 				w.answer = given.writer
 			}
-			playWithin(t, extra, workers, func(c *qt.C, s *scene) {
+			runSceneWithExtra(t, extra, workers, func(c *qt.C, s *scene) {
 				// When more requests come within a window than the fixed part of the bound allows repeats for.
 				ran := map[string]bool{}
 				for i := range asked {
 					id := fmt.Sprintf("request-%d", i)
-					got := s.askAs(c, id, streamPath, "")
+					got := s.sendAs(c, id, streamPath, "")
 					ran[id] = got.status == http.StatusOK
 				}
-				time.Sleep(windUp)
+				time.Sleep(settleTime)
 				// Then what arrived past the first of each keeps to the operators' bound.
 				further := furtherArrivals(workers, given.readsSucceed, ran)
 				c.Assert(further <= extra+asked/5, qt.IsTrue, qt.Commentf("%d further arrivals for %d requests", further, asked))
@@ -112,7 +112,7 @@
 
 // A request whose prompt is short goes to its writer as it is, and so does one that says nothing of its prompt: a reader would
 // run it.
-func TestShortPromptIsReadByItsWriter(t *testing.T) {
+func TestShortPromptSkipsPrefillStage(t *testing.T) {
 	for name, given := range map[string]struct {
 		tokens string
 		reads  int
@@ -122,19 +122,19 @@
 		"no word of it":  {"", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			workers := written(2, streams("seal", properly, eventsOf(1, lastOf)))
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(2, respondStream("seal", endProperly, eventsOf(1, lastEventID)))
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				got := s.exchange(c, "POST "+streamPath+" HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: 1\r\n"+given.tokens+"Content-Length: 0\r\n\r\n")
 				c.Assert(got.status, qt.Equals, http.StatusOK)
 				reads := 0
 				for _, w := range workers[:2] {
-					for _, request := range w.seen() {
+					for _, request := range w.received() {
 						if request.Method != http.MethodDelete {
 							reads++
 						}
 					}
 				}
-				_, runs := ranAt(workers)
+				_, runs := runsOf(workers)
 				c.Assert(reads, qt.Equals, given.reads)
 				c.Assert(runs, qt.HasLen, 1)
 				c.Assert(strings.Contains(runs[0].raw, "Kv-From"), qt.Equals, given.reads > 0)
--- a/internal/proxy/front/body.go
+++ b/internal/proxy/front/body.go
@@ -10,8 +10,8 @@
 	"sumacloft/internal/opconf"
 )
 
-// lingerTime is how long what a refused client goes on sending is read, so that it can read why.
-const lingerTime = 500 * time.Millisecond
+// lingerTimeout is how long what a refused client goes on sending is read, so that it can read why.
+const lingerTimeout = 500 * time.Millisecond
 
 // readBody reads a request's body whole, within the limits and until a deadline.
 func readBody(w http.ResponseWriter, request *http.Request, limits opconf.Limits, deadline time.Time) ([]byte, error) {
@@ -22,10 +22,10 @@
 	if limit > 0 && request.ContentLength > limit {
 		return nil, &http.MaxBytesError{Limit: limit}
 	}
-	reader := io.Reader(&steadyReader{
+	reader := io.Reader(&pacedReader{
 		body:     request.Body,
 		control:  http.NewResponseController(w),
-		quiet:    limits.Quiet,
+		maxPause: limits.Quiet,
 		deadline: deadline,
 	})
 	if limit > 0 {
@@ -39,19 +39,19 @@
 	return io.ReadAll(reader)
 }
 
-// steadyReader reads a body that may neither pause for longer than quiet (0: for as long as it likes) nor go on past the
+// pacedReader reads a body that may neither pause for longer than quiet (0: for as long as it likes) nor go on past the
 // deadline.
-type steadyReader struct {
+type pacedReader struct {
 	body     io.Reader
 	control  *http.ResponseController
-	quiet    time.Duration
+	maxPause time.Duration
 	deadline time.Time
 }
 
 // Read serves io.Reader.
-func (s *steadyReader) Read(p []byte) (int, error) {
+func (s *pacedReader) Read(p []byte) (int, error) {
 	until := s.deadline
-	if pause := time.Now().Add(s.quiet); s.quiet > 0 && pause.Before(until) {
+	if pause := time.Now().Add(s.maxPause); s.maxPause > 0 && pause.Before(until) {
 		until = pause
 	}
 	_ = s.control.SetReadDeadline(until) // fails on a closed connection, as the read does
@@ -61,17 +61,17 @@
 	return n, err
 }
 
-// unreadable answers a request whose body did not come whole: it has not run.
-func (f *Front) unreadable(w http.ResponseWriter, err error) {
+// refuseBody answers a request whose body did not come whole: it has not run.
+func (f *Front) refuseBody(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTime)) // fails on a closed connection
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout)) // fails on a closed connection
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		f.end(w, http.StatusRequestEntityTooLarge, "the body is larger than the configured body_bytes")
+		f.writeAnswer(w, http.StatusRequestEntityTooLarge, "the body is larger than the configured body_bytes")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.end(w, http.StatusRequestTimeout, "the body did not come in time")
+		f.writeAnswer(w, http.StatusRequestTimeout, "the body did not come in time")
 	default:
-		f.end(w, http.StatusBadRequest, "the body can't be read")
+		f.writeAnswer(w, http.StatusBadRequest, "the body can't be read")
 	}
 }
--- a/internal/proxy/front/client.go
+++ b/internal/proxy/front/client.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// writeTime is how long a client may take to accept some of its answer.
-	writeTime = 15 * time.Second
-	// shortestRetry is the least advice on when to come back; longer ones are drawn up to twice it, so that clients
+	// writeTimeout is how long a client may take to accept some of its answer.
+	writeTimeout = 15 * time.Second
+	// minRetryAfter is the least advice on when to come back; longer ones are drawn up to twice it, so that clients
 	// refused together do not return together.
-	shortestRetry = 100 * time.Millisecond
-	// nearDeadline is how close to its deadline a request counts as having reached it.
-	nearDeadline = 50 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
+	// deadlineMargin is how close to its deadline a request counts as having reached it.
+	deadlineMargin = 50 * time.Millisecond
 )
 
 // client is the answering side of one request; it serves core.Client and core.Opener.
 type client struct {
-	front   *Front
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	job     *calls.Job
-	request *calls.Request
-	head    calls.Head
-	began   bool
-	broken  bool
-	gone    bool   // nothing can be written to it any more
-	joint   *joint // of a stream that may be picked up at another worker, else nil
+	front       *Front
+	writer      http.ResponseWriter
+	control     *http.ResponseController
+	job         *calls.Job
+	request     *calls.Request
+	head        calls.Head
+	headWritten bool
+	broken      bool
+	unwritable  bool        // nothing can be written to it any more
+	resumption  *resumption // of a stream that may be picked up at another worker, else nil
 }
 
 // connectionHeaders concern one connection and are not passed on.
@@ -43,12 +43,12 @@
 	if headed, ok := stream.(calls.Headed); ok {
 		c.head = headed.Head()
 	}
-	if c.joint == nil {
+	if c.resumption == nil {
 		return
 	}
-	c.joint.worker = c.head.Worker
+	c.resumption.worker = c.head.Worker
 	if c.head.Length >= 0 {
-		c.joint = nil // the length that the client is told is that of this worker's answer
+		c.resumption = nil // the length that the client is told is that of this worker's answer
 	}
 }
 
@@ -56,50 +56,50 @@
 func (c *client) Refuse(holdOff time.Duration) {
 	mayHaveRun, failure := c.job.Close()
 	if mayHaveRun && !c.request.Terms.Repeatable {
-		c.unclear(mayHaveRun, failure)
+		c.answerUnclear(mayHaveRun, failure)
 		return
 	}
-	c.front.refuse(c.writer, max(holdOff, shortestRetry+rand.N(shortestRetry)))
+	c.front.refuse(c.writer, max(holdOff, minRetryAfter+rand.N(minRetryAfter)))
 }
 
 // Fail ends a request that may have run: a worker's own failure is passed on as it came.
 func (c *client) Fail() {
 	mayHaveRun, failure := c.job.Close()
 	if !mayHaveRun && failure == nil {
-		c.front.refuse(c.writer, shortestRetry+rand.N(shortestRetry))
+		c.front.refuse(c.writer, minRetryAfter+rand.N(minRetryAfter))
 		return
 	}
-	c.unclear(mayHaveRun, failure)
+	c.answerUnclear(mayHaveRun, failure)
 }
 
-// promises are the statuses that tell a client that its request has not run and never will.
-var promises = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
+// notRunStatuses are the statuses that tell a client that its request has not run and never will.
+var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
 
-// promised tells whether a worker's failure would promise a client what is not known: that its request did not run.
-func (c *client) promised(mayHaveRun bool, failure *calls.Failure) bool {
-	return mayHaveRun && !c.request.Terms.Repeatable && slices.Contains(promises, failure.Status)
+// wouldPromise tells whether a worker's failure would promise a client what is not known: that its request did not run.
+func (c *client) wouldPromise(mayHaveRun bool, failure *calls.Failure) bool {
+	return mayHaveRun && !c.request.Terms.Repeatable && slices.Contains(notRunStatuses, failure.Status)
 }
 
-// unclear answers without a promise.
-func (c *client) unclear(mayHaveRun bool, failure *calls.Failure) {
-	if failure != nil && !c.promised(mayHaveRun, failure) {
+// answerUnclear answers without a promise.
+func (c *client) answerUnclear(mayHaveRun bool, failure *calls.Failure) {
+	if failure != nil && !c.wouldPromise(mayHaveRun, failure) {
 		c.copyHeader(failure.Header)
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(failure.Body)))
-		c.front.part(c.writer)
+		c.front.announceClose(c.writer)
 		c.writer.WriteHeader(failure.Status)
 		_, _ = c.writer.Write(failure.Body) // a client that has left is noticed by the server
 		return
 	}
-	if time.Until(c.request.Deadline) < nearDeadline {
-		c.front.end(c.writer, http.StatusGatewayTimeout, "the time is up")
+	if time.Until(c.request.Deadline) < deadlineMargin {
+		c.front.writeAnswer(c.writer, http.StatusGatewayTimeout, "the time is up")
 		return
 	}
-	c.front.end(c.writer, http.StatusBadGateway, "the worker failed")
+	c.front.writeAnswer(c.writer, http.StatusBadGateway, "the worker failed")
 }
 
 // Pass writes a piece of the answer as it came, at once, or the whole events of it where a stream may be picked up.
 func (c *client) Pass(piece []byte) error {
-	whole := c.whole(piece)
+	whole := c.completeEvents(piece)
 	if len(whole) == 0 {
 		return nil
 	}
@@ -108,14 +108,14 @@
 
 // write writes a piece of the answer at once.
 func (c *client) write(piece []byte) error {
-	err := c.writeNow(piece)
-	c.gone = c.gone || err != nil
+	err := c.writeAndFlush(piece)
+	c.unwritable = c.unwritable || err != nil
 	return err
 }
 
-func (c *client) writeNow(piece []byte) error {
-	c.start()
-	if err := c.control.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+func (c *client) writeAndFlush(piece []byte) error {
+	c.writeHead()
+	if err := c.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	if _, err := c.writer.Write(piece); err != nil {
@@ -127,44 +127,44 @@
 	return c.control.Flush()
 }
 
-// start writes the head of the worker's answer, once.
-func (c *client) start() {
-	if c.began {
+// writeHead writes the head of the worker's answer, once.
+func (c *client) writeHead() {
+	if c.headWritten {
 		return
 	}
-	c.began = true
+	c.headWritten = true
 	c.copyHeader(c.head.Header)
 	if c.head.Length >= 0 {
 		c.writer.Header().Set("Content-Length", strconv.FormatInt(c.head.Length, 10))
 	}
-	c.front.part(c.writer)
+	c.front.announceClose(c.writer)
 	c.writer.WriteHeader(c.head.Status)
 }
 
 // copyHeader takes over what does not concern the worker's connection. An answer without a type stays without one: the
 // server would guess it from the body.
-func (c *client) copyHeader(from http.Header) {
-	to := c.writer.Header()
-	to["Content-Type"] = nil
-	for name, values := range from {
+func (c *client) copyHeader(source http.Header) {
+	header := c.writer.Header()
+	header["Content-Type"] = nil
+	for name, values := range source {
 		if !slices.Contains(connectionHeaders, name) {
-			to[name] = values
+			header[name] = values
 		}
 	}
 }
 
 // Finish leaves the end of the answer to the server.
 func (c *client) Finish() {
-	if !c.endWhole() {
+	if !c.finishEvents() {
 		c.broken = true
 		return
 	}
-	c.end()
+	c.finishAnswer()
 }
 
-// end ends the answer.
-func (c *client) end() {
-	c.start()
+// finishAnswer ends the answer.
+func (c *client) finishAnswer() {
+	c.writeHead()
 	_ = c.control.SetWriteDeadline(time.Time{}) // a connection that is gone is noticed by the server
 }
 
--- a/internal/proxy/front/failures_test.go
+++ b/internal/proxy/front/failures_test.go
@@ -55,22 +55,22 @@
 	},
 }
 
-func TestFailuresOfWorkersArePassedOnAsTheyCame(t *testing.T) {
+func TestWorkerFailuresAreForwardedUnchanged(t *testing.T) {
 	for name, given := range failures {
 		for _, path := range []string{harmlessPath, riskyPath, streamPath} {
 			t.Run(name+" at "+path, func(t *testing.T) {
 				// Given workers that answer requests with a failure.
 				workers := []*worker{
-					{name: "whole", answer: says(given.raw)},
-					{name: "reader", phase: "reading", answer: says(readPrompt)},
-					{name: "writer", phase: "writing", answer: says(given.raw)},
+					{name: "whole", answer: respond(given.raw)},
+					{name: "reader", phase: "reading", answer: respond(readPrompt)},
+					{name: "writer", phase: "writing", answer: respond(given.raw)},
 				}
-				play(t, workers, func(c *qt.C, s *scene) {
+				runScene(t, workers, func(c *qt.C, s *scene) {
 					// When a client asks, then it gets that very failure.
-					got := s.ask(c, path, "prompt")
+					got := s.send(c, path, "prompt")
 					c.Assert(got.status, qt.Equals, given.status)
 					c.Assert(got.body, qt.Equals, given.body)
-					c.Assert(got.whole, qt.IsTrue)
+					c.Assert(got.complete, qt.IsTrue)
 					header := maps.Clone(got.header)
 					header.Del("Date")
 					c.Assert(header, qt.DeepEquals, given.header)
@@ -80,52 +80,52 @@
 	}
 }
 
-func TestPromptThatIsAtFaultIsPassedOn(t *testing.T) {
+func TestInvalidPromptIsNotRetried(t *testing.T) {
 	// Given readers that find a prompt at fault.
 	given := failures["one of the client's"]
-	workers := stages(says(given.raw), says(served))
-	play(t, workers, func(c *qt.C, s *scene) {
+	workers := stagedWorkers(respond(given.raw), respond(served))
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client asks, then it gets that very failure: asking again would not help.
-		got := s.ask(c, streamPath, "prompt")
+		got := s.send(c, streamPath, "prompt")
 		c.Assert(got.status, qt.Equals, given.status)
 		c.Assert(got.body, qt.Equals, given.body)
 		// And one reader has been asked, once.
-		c.Assert(len(workers[0].seen())+len(workers[1].seen()), qt.Equals, 1)
+		c.Assert(len(workers[0].received())+len(workers[1].received()), qt.Equals, 1)
 	})
 }
 
-func TestPromptThatNobodyCanReadIsTriedAFewTimes(t *testing.T) {
+func TestFailingPrefillIsRetriedWithinLimit(t *testing.T) {
 	for name, answer := range map[string]reply{
-		"readers fail":              says(failures["one of the worker's own"].raw),
-		"readers reset connections": resets,
+		"readers fail":              respond(failures["one of the worker's own"].raw),
+		"readers reset connections": resetConnection,
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given readers that take a prompt up and fail.
-			workers := stages(answer, says(served))
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWorkers(answer, respond(served))
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks, then they are asked a few times, and what the service may repeat is left to others.
-				got := s.ask(c, streamPath, "prompt")
+				got := s.send(c, streamPath, "prompt")
 				c.Assert(got.status >= 500, qt.IsTrue, qt.Commentf("status %d", got.status))
-				reads := len(workers[0].seen()) + len(workers[1].seen())
+				reads := len(workers[0].received()) + len(workers[1].received())
 				c.Assert(reads <= tries, qt.IsTrue, qt.Commentf("read %d times", reads))
 			})
 		})
 	}
 }
 
-func TestWorkersStatusThatPromisesIsNotPassedOnForWhatMayHaveRun(t *testing.T) {
+func TestNotRunStatusIsNotForwardedIfRequestMayHaveRun(t *testing.T) {
 	for status, line := range map[int]string{408: "408 Request Timeout", 429: "429 Too Many Requests", 503: "503 Service Unavailable"} {
 		t.Run(line, func(t *testing.T) {
 			// Given a worker that answers with such a status and does not say that it has not run the request.
 			raw := "HTTP/1.1 " + line + "\r\nContent-Type: text/x\r\nContent-Length: 4\r\n\r\nbusy"
-			workers := []*worker{{name: "whole", answer: says(raw)}}
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := []*worker{{name: "whole", answer: respond(raw)}}
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks for what may run once, then it gets an answer that promises nothing,
-				got := s.ask(c, riskyPath, "prompt")
+				got := s.send(c, riskyPath, "prompt")
 				c.Assert(got.status, qt.Equals, http.StatusBadGateway)
-				c.Assert(len(workers[0].seen()), qt.Equals, 1)
+				c.Assert(len(workers[0].received()), qt.Equals, 1)
 				// and for what may run again the worker's own.
-				got = s.ask(c, harmlessPath, "prompt")
+				got = s.send(c, harmlessPath, "prompt")
 				c.Assert(got.status, qt.Equals, status)
 				c.Assert(got.body, qt.Equals, "busy")
 			})
--- a/internal/proxy/front/front.go
+++ b/internal/proxy/front/front.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// unknownRetry is the advice to clients while no configuration is known.
-	unknownRetry = 500 * time.Millisecond
-	// streamSlack is how long a stream may go on past its route's time: its worker ends it by itself at that time, and
+	// noRoutingRetryAfter is the advice to clients while no configuration is known.
+	noRoutingRetryAfter = 500 * time.Millisecond
+	// streamGrace is how long a stream may go on past its route's time: its worker ends it by itself at that time, and
 	// what it said last is still passed on.
-	streamSlack = 150 * time.Millisecond
-	headerRetry = "Retry-After"
+	streamGrace      = 150 * time.Millisecond
+	headerRetryAfter = "Retry-After"
 	// goldenStep spreads consecutive draws evenly over 64 bits: the odd number nearest to 2^64 over the golden ratio.
 	goldenStep = 0x9e3779b97f4a7c15
 )
@@ -38,16 +38,16 @@
 	Calls  *calls.Calls
 	Bounds *bounds.Limiter // of clients' connections, told the limits in force; may be nil
 
-	NoPickUp bool // streams that break stay broken: for trials
+	NoResume bool // streams that break stay broken: for trials
 
-	routing atomic.Pointer[Routing]
-	leaving atomic.Bool
-	open    atomic.Int64
-	shares  atomic.Uint64
+	routing      atomic.Pointer[Routing]
+	draining     atomic.Bool
+	openRequests atomic.Int64
+	draws        atomic.Uint64
 }
 
-// Use has all requests from now on follow the routing.
-func (f *Front) Use(routing *Routing) {
+// SetRouting has all requests from now on follow the routing.
+func (f *Front) SetRouting(routing *Routing) {
 	f.routing.Store(routing)
 	if f.Bounds != nil {
 		f.Bounds.SetLimits(routing.Limits)
@@ -55,86 +55,86 @@
 }
 
 // Drain asks clients to leave with their next answer.
-func (f *Front) Drain() { f.leaving.Store(true) }
+func (f *Front) Drain() { f.draining.Store(true) }
 
-// Open is how many requests are being served.
-func (f *Front) Open() int64 { return f.open.Load() }
+// OpenRequests is how many requests are being served.
+func (f *Front) OpenRequests() int64 { return f.openRequests.Load() }
 
 // ServeHTTP serves one request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
-	taken := time.Now()
+	f.openRequests.Add(1)
+	defer f.openRequests.Add(-1)
+	received := time.Now()
 	routing := f.routing.Load()
 	if routing == nil {
-		f.refuse(w, unknownRetry)
+		f.refuse(w, noRoutingRetryAfter)
 		return
 	}
 	route, found := routing.Table.Match(request.Host, request.URL.Path)
 	if !found {
-		f.end(w, http.StatusNotFound, "no such route")
+		f.writeAnswer(w, http.StatusNotFound, "no such route")
 		return
 	}
-	body, err := readBody(w, request, routing.Limits, taken.Add(route.GiveUp))
+	body, err := readBody(w, request, routing.Limits, received.Add(route.GiveUp))
 	if err != nil {
-		f.unreadable(w, err)
+		f.refuseBody(w, err)
 		return
 	}
-	service, class := f.choose(routing, route)
+	service, class := f.chooseLane(routing, route)
 	if service == nil {
-		f.refuse(w, unknownRetry)
+		f.refuse(w, noRoutingRetryAfter)
 		return
 	}
-	asked := f.request(request, route, body, taken, class)
-	f.serve(w, request, route, service, asked, taken)
+	call := f.newRequest(request, route, body, received, class)
+	f.serve(w, request, route, service, call, received)
 }
 
 // serve has the lane carry the request.
-func (f *Front) serve(w http.ResponseWriter, request *http.Request, route *opconf.Route, service *lane.Lane, asked *calls.Request, taken time.Time) {
-	job := calls.NewJob(f.Calls, asked, service)
-	out := &client{front: f, writer: w, control: http.NewResponseController(w), job: job, request: asked}
-	if route.Kind == opconf.Flowing && route.PickUp && !f.NoPickUp {
-		out.joint = &joint{}
+func (f *Front) serve(w http.ResponseWriter, request *http.Request, route *opconf.Route, service *lane.Lane, call *calls.Request, received time.Time) {
+	job := calls.NewJob(f.Calls, call, service)
+	answering := &client{front: f, writer: w, control: http.NewResponseController(w), job: job, request: call}
+	if route.Kind == opconf.Flowing && route.PickUp && !f.NoResume {
+		answering.resumption = &resumption{}
 	}
-	ctx, cancel := context.WithDeadline(request.Context(), taken.Add(route.GiveUp+streamSlack))
+	ctx, cancel := context.WithDeadline(request.Context(), received.Add(route.GiveUp+streamGrace))
 	defer cancel()
-	service.Do(ctx, out, job)
+	service.Do(ctx, answering, job)
 	job.Close()
-	out.pickUp(ctx, service)
-	if out.broken {
+	answering.resume(ctx, service)
+	if answering.broken {
 		panic(http.ErrAbortHandler) // the server closes the connection without the end of the answer
 	}
 }
 
-// choose draws the service of a route and gives its lane and the route's class there; nil where no lane is known.
-func (f *Front) choose(routing *Routing, route *opconf.Route) (*lane.Lane, int) {
-	service := routing.Lanes[f.draw(route)]
+// chooseLane draws the service of a route and gives its lane and the route's class there; nil where no lane is known.
+func (f *Front) chooseLane(routing *Routing, route *opconf.Route) (*lane.Lane, int) {
+	service := routing.Lanes[f.drawService(route)]
 	if service == nil {
 		return nil, 0
 	}
 	return service, service.Class(route.Name)
 }
 
-// draw draws the service of a route by its weights.
-func (f *Front) draw(route *opconf.Route) string {
+// drawService draws the service of a route by its weights.
+func (f *Front) drawService(route *opconf.Route) string {
 	total := 0.0
 	for _, share := range route.Shares {
 		total += share.Weight
 	}
-	at := float64(f.shares.Add(goldenStep)>>11) / (1 << 53) * total
+	point := float64(f.draws.Add(goldenStep)>>11) / (1 << 53) * total
 	for _, share := range route.Shares {
-		if at -= share.Weight; at < 0 && share.Weight > 0 {
+		if point -= share.Weight; point < 0 && share.Weight > 0 {
 			return share.Service
 		}
 	}
 	return ""
 }
 
-// request is the request as it goes on.
-func (f *Front) request(request *http.Request, route *opconf.Route, body []byte, taken time.Time, class int) *calls.Request {
-	patience := route.GiveUp
+// newRequest is the newRequest as it goes on.
+func (f *Front) newRequest(request *http.Request, route *opconf.Route, body []byte, received time.Time, class int) *calls.Request {
+	timeout := route.GiveUp
 	if left, err := strconv.ParseInt(request.Header.Get("X-Time-Left"), 10, 48); err == nil && left > 0 {
-		patience = min(patience, time.Duration(left)*time.Millisecond)
+		timeout = min(timeout, time.Duration(left)*time.Millisecond)
 	}
 	return &calls.Request{
 		ID:       request.Header.Get("X-Request-Id"),
@@ -143,7 +143,7 @@
 		Host:     request.Host,
 		Header:   request.Header,
 		Body:     body,
-		Deadline: taken.Add(patience),
+		Deadline: received.Add(timeout),
 		Terms: calls.Terms{
 			Flowing:    route.Kind == opconf.Flowing,
 			Repeatable: route.Idempotent(),
@@ -167,19 +167,19 @@
 
 // refuse promises that the request has not run and never will.
 func (f *Front) refuse(w http.ResponseWriter, retryAfter time.Duration) {
-	w.Header().Set(headerRetry, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
-	f.end(w, http.StatusServiceUnavailable, "refused")
+	w.Header().Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	f.writeAnswer(w, http.StatusServiceUnavailable, "refused")
 }
 
-// end writes a short answer of our own.
-func (f *Front) end(w http.ResponseWriter, status int, text string) {
-	f.part(w)
+// writeAnswer writes a short answer of our own.
+func (f *Front) writeAnswer(w http.ResponseWriter, status int, text string) {
+	f.announceClose(w)
 	http.Error(w, text, status)
 }
 
-// part tells a client with its answer that the connection ends, if it does.
-func (f *Front) part(w http.ResponseWriter) {
-	if f.leaving.Load() {
+// announceClose tells a client with its answer that the connection ends, if it does.
+func (f *Front) announceClose(w http.ResponseWriter) {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/proxy/front/front_bench_test.go
+++ b/internal/proxy/front/front_bench_test.go
@@ -67,11 +67,11 @@
 		{ID: "reader", Service: "assistant-a", Address: reader, Zone: "zone-0", Capacity: 64, State: registry.Up, Phase: "reading"},
 		{ID: "writer", Service: "assistant-a", Address: writer, Zone: "zone-0", Capacity: 64, State: registry.Up, Phase: "writing"},
 	}, nil)
-	to := &front.Front{Calls: worker}
-	to.Use(&front.Routing{
+	routed := &front.Front{Calls: worker}
+	routed.SetRouting(&front.Routing{
 		Table: configuration.Table(), Limits: configuration.Limits, Lanes: map[string]*lane.Lane{"assistant-a": served},
 	})
-	return to
+	return routed
 }
 
 // benchmarkStream has one client ask for one stream after the other. The processor time is that of the proxy, the client
--- a/internal/proxy/front/front_test.go
+++ b/internal/proxy/front/front_test.go
@@ -16,57 +16,57 @@
 	"services":[{"name":"s","health_path":"/health","max_connections":9,"protocol":"h1","tls":false}],
 	"limits":{"header_bytes":1000,"body_bytes":10,"header_wait_ms":100,"quiet_ms":1000}}`
 
-// answer is what the front says to a request.
-func answer(front *Front, method, path, body string) *httptest.ResponseRecorder {
+// serveRequest is what the front says to a request.
+func serveRequest(front *Front, method, path, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader(body))
 	recorder := httptest.NewRecorder()
 	front.ServeHTTP(recorder, request)
 	return recorder
 }
 
-// configured is a front that knows a configuration, and no worker of its service.
-func configured(c *qt.C) *Front {
+// newConfiguredFront is a front that knows a configuration, and no worker of its service.
+func newConfiguredFront(c *qt.C) *Front {
 	configuration, err := opconf.Parse([]byte(document))
 	c.Assert(err, qt.IsNil)
 	front := &Front{}
-	front.Use(&Routing{Table: configuration.Table(), Limits: configuration.Limits})
+	front.SetRouting(&Routing{Table: configuration.Table(), Limits: configuration.Limits})
 	return front
 }
 
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
+func TestRefusesWithoutConfiguration(t *testing.T) {
 	c := qt.New(t)
 	// Given a front that knows no configuration, when any request comes.
-	got := answer(&Front{}, "GET", "/a/x", "")
+	got := serveRequest(&Front{}, "GET", "/a/x", "")
 	// Then it is refused with advice on when to return, and not called unknown.
 	c.Assert(got.Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(got.Header().Get("Retry-After"), qt.Equals, "0.500")
 }
 
-func TestRoutesThatDoNotExistAreUnknown(t *testing.T) {
+func TestUnknownRouteIsNotFound(t *testing.T) {
 	c := qt.New(t)
-	front := configured(c)
-	c.Assert(answer(front, "GET", "/b/x", "").Code, qt.Equals, http.StatusNotFound)
+	front := newConfiguredFront(c)
+	c.Assert(serveRequest(front, "GET", "/b/x", "").Code, qt.Equals, http.StatusNotFound)
 	// A route that is there but whose service is not known here is refused.
-	c.Assert(answer(front, "GET", "/a/x", "").Code, qt.Equals, http.StatusServiceUnavailable)
+	c.Assert(serveRequest(front, "GET", "/a/x", "").Code, qt.Equals, http.StatusServiceUnavailable)
 }
 
-func TestBodiesKeepToTheLimit(t *testing.T) {
+func TestBodySizeIsLimited(t *testing.T) {
 	c := qt.New(t)
-	front := configured(c)
-	got := answer(front, "POST", "/a/x", strings.Repeat("x", 11))
+	front := newConfiguredFront(c)
+	got := serveRequest(front, "POST", "/a/x", strings.Repeat("x", 11))
 	c.Assert(got.Code, qt.Equals, http.StatusRequestEntityTooLarge)
 	c.Assert(got.Header().Get("Connection"), qt.Equals, "close")
 }
 
-func TestDrainingFrontPartsWithItsClients(t *testing.T) {
+func TestDrainingFrontClosesConnections(t *testing.T) {
 	c := qt.New(t)
-	front := configured(c)
-	c.Assert(answer(front, "GET", "/b/x", "").Header().Get("Connection"), qt.Equals, "")
+	front := newConfiguredFront(c)
+	c.Assert(serveRequest(front, "GET", "/b/x", "").Header().Get("Connection"), qt.Equals, "")
 	front.Drain()
-	c.Assert(answer(front, "GET", "/b/x", "").Header().Get("Connection"), qt.Equals, "close")
+	c.Assert(serveRequest(front, "GET", "/b/x", "").Header().Get("Connection"), qt.Equals, "close")
 }
 
-func TestPriorityFollowsTheRank(t *testing.T) {
+func TestPriorityFollowsRank(t *testing.T) {
 	c := qt.New(t)
 	last := -1
 	for rank := range 3 {
@@ -77,13 +77,13 @@
 }
 
 // Weights draw services in their proportion, and one of weight 0 never.
-func TestSharesAreDrawnByWeight(t *testing.T) {
+func TestServicesAreDrawnByWeight(t *testing.T) {
 	c := qt.New(t)
 	front := &Front{}
 	counts := map[string]int{}
 	route := &opconf.Route{Shares: []opconf.Share{{Service: "none", Weight: 0}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	for range 10_000 {
-		counts[front.draw(route)]++
+		counts[front.drawService(route)]++
 	}
 	c.Assert(counts["none"], qt.Equals, 0)
 	c.Assert(counts["a"] > 8_900 && counts["a"] < 9_100, qt.IsTrue, qt.Commentf("%v", counts))
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -12,32 +12,32 @@
 	"sumacloft/internal/proxy/lane"
 )
 
-// mostPickUps is how often a broken stream is picked up at another worker.
-const mostPickUps = 2
+// maxResumptions is how often a broken stream is picked up at another worker.
+const maxResumptions = 2
 
-// errOther says that a further run can't go on with the answer.
-var errOther = errors.New("the run does not go on with the answer")
+// errNoContinuation says that a further run can't go on with the answer.
+var errNoContinuation = errors.New("the run does not go on with the answer")
 
-// joint is what is known of a stream that may be picked up at another worker: only whole events of it are passed on.
-type joint struct {
-	split  events.Splitter
-	order  events.Sequence
-	worker string // whose run is passed on
+// resumption is what is known of a stream that may be picked up at another worker: only whole events of it are passed on.
+type resumption struct {
+	splitter events.Splitter
+	sequence events.Sequence
+	worker   string // whose run is passed on
 }
 
-// take takes bytes of the first run and gives those of them that are whole events.
-func (j *joint) take(piece []byte) (whole []byte) {
-	for _, event := range j.split.Add(piece) {
-		j.order.AddFirst(event)
+// addFirst takes bytes of the first run and gives those of them that are whole events.
+func (r *resumption) addFirst(piece []byte) (whole []byte) {
+	for _, event := range r.splitter.Add(piece) {
+		r.sequence.AddFirst(event)
 		whole = append(whole, event.Text...)
 	}
 	return whole
 }
 
-// join takes bytes of a further run and gives what goes on behind the events that were passed on, as far as it does.
-func (j *joint) join(piece []byte) (whole []byte, err error) {
-	for _, event := range j.split.Add(piece) {
-		pass, err := j.order.AddResumed(event)
+// addResumed takes bytes of a further run and gives what goes on behind the events that were passed on, as far as it does.
+func (r *resumption) addResumed(piece []byte) (whole []byte, err error) {
+	for _, event := range r.splitter.Add(piece) {
+		pass, err := r.sequence.AddResumed(event)
 		if err != nil {
 			return whole, err
 		}
@@ -45,45 +45,45 @@
 			whole = append(whole, event.Text...)
 		}
 	}
-	if j.split.TooLarge() {
-		return whole, errOther
+	if r.splitter.TooLarge() {
+		return whole, errNoContinuation
 	}
 	return whole, nil
 }
 
-// again drops what came of an event that is not whole, before a further run.
-func (j *joint) again() {
-	j.split = events.Splitter{}
-	j.order.Resume()
+// beginResumed drops what came of an event that is not whole, before a further run.
+func (r *resumption) beginResumed() {
+	r.splitter = events.Splitter{}
+	r.sequence.Resume()
 }
 
-// whole gives what is to be passed on of a piece of the first run. Once an event is too large to be kept, everything is,
+// completeEvents gives what is to be passed on of a piece of the first run. Once an event is too large to be kept, everything is,
 // and the stream can't be picked up any more.
-func (c *client) whole(piece []byte) []byte {
-	if c.joint == nil {
+func (c *client) completeEvents(piece []byte) []byte {
+	if c.resumption == nil {
 		return piece
 	}
-	whole := c.joint.take(piece)
-	if c.joint.split.TooLarge() {
-		whole = append(whole, c.joint.split.Partial()...)
-		c.joint = nil
+	whole := c.resumption.addFirst(piece)
+	if c.resumption.splitter.TooLarge() {
+		whole = append(whole, c.resumption.splitter.Partial()...)
+		c.resumption = nil
 	}
 	return whole
 }
 
-// endWhole takes the proper end of the first run; false: it is none, as it comes in the middle of an event and may be the
+// finishEvents takes the proper end of the first run; false: it is none, as it comes in the middle of an event and may be the
 // end of the worker as well.
-func (c *client) endWhole() bool {
-	if c.joint == nil || len(c.joint.split.Partial()) == 0 {
+func (c *client) finishEvents() bool {
+	if c.resumption == nil || len(c.resumption.splitter.Partial()) == 0 {
 		return true
 	}
-	return c.head.Framed && c.write(c.joint.split.Partial()) == nil
+	return c.head.Framed && c.write(c.resumption.splitter.Partial()) == nil
 }
 
-// pickUp goes on with a stream that broke at other workers, within the same answer.
-func (c *client) pickUp(ctx context.Context, service *lane.Lane) {
-	for range mostPickUps {
-		run := c.furtherRun(ctx)
+// resume goes on with a stream that broke at other workers, within the same answer.
+func (c *client) resume(ctx context.Context, service *lane.Lane) {
+	for range maxResumptions {
+		run := c.newResumedRun(ctx)
 		if run == nil {
 			return
 		}
@@ -95,60 +95,60 @@
 	}
 }
 
-// furtherRun prepares to go on with a stream that broke; nil where it may not be picked up.
-func (c *client) furtherRun(ctx context.Context) *furtherRun {
-	if !c.broken || c.gone || c.joint == nil {
+// newResumedRun prepares to go on with a stream that broke; nil where it may not be picked up.
+func (c *client) newResumedRun(ctx context.Context) *resumedRun {
+	if !c.broken || c.unwritable || c.resumption == nil {
 		return nil
 	}
 	if ctx.Err() != nil || !time.Now().Before(c.request.Deadline) {
 		return nil
 	}
-	last, followed := c.joint.order.Last()
+	last, followed := c.resumption.sequence.Last()
 	if !followed {
 		return nil
 	}
-	job, allowed := c.job.Rest(strconv.FormatUint(last, 10), c.joint.worker)
+	job, allowed := c.job.Rest(strconv.FormatUint(last, 10), c.resumption.worker)
 	if !allowed {
 		return nil
 	}
 	c.job = job
-	c.joint.again()
-	return &furtherRun{client: c}
+	c.resumption.beginResumed()
+	return &resumedRun{client: c}
 }
 
-// furtherRun is the receiving end of a run that goes on with a client's answer, which is broken until it has come to its
+// resumedRun is the receiving end of a run that goes on with a client's answer, which is broken until it has come to its
 // end; it serves core.Client and core.Opener.
-type furtherRun struct {
-	client *client
-	other  bool // it does not go on with the answer
-	broke  bool // it began, and broke
+type resumedRun struct {
+	client     *client
+	mismatched bool // it does not go on with the answer
+	broke      bool // it began, and broke
 }
 
 // Open serves core.Opener. The answer keeps the head of its first worker.
-func (r *furtherRun) Open(stream core.Stream) {
+func (r *resumedRun) Open(stream core.Stream) {
 	headed, ok := stream.(calls.Headed)
 	if !ok {
-		r.other = true
+		r.mismatched = true
 		return
 	}
 	head := headed.Head()
-	r.other = head.Status != r.client.head.Status
-	r.client.joint.worker = head.Worker
+	r.mismatched = head.Status != r.client.head.Status
+	r.client.resumption.worker = head.Worker
 }
 
 // Refuse serves core.Client: the answer stays broken.
-func (r *furtherRun) Refuse(time.Duration) {}
+func (r *resumedRun) Refuse(time.Duration) {}
 
 // Fail serves core.Client: the answer stays broken.
-func (r *furtherRun) Fail() {}
+func (r *resumedRun) Fail() {}
 
 // Pass serves core.Client.
-func (r *furtherRun) Pass(piece []byte) error {
-	if r.other {
-		return errOther
+func (r *resumedRun) Pass(piece []byte) error {
+	if r.mismatched {
+		return errNoContinuation
 	}
-	whole, err := r.client.joint.join(piece)
-	r.other = err != nil
+	whole, err := r.client.resumption.addResumed(piece)
+	r.mismatched = err != nil
 	if len(whole) > 0 {
 		if err := r.client.write(whole); err != nil {
 			return err
@@ -158,14 +158,14 @@
 }
 
 // Finish serves core.Client.
-func (r *furtherRun) Finish() {
-	joint := r.client.joint
-	if r.other || len(joint.split.Partial()) > 0 || !joint.order.CaughtUp() {
+func (r *resumedRun) Finish() {
+	resumption := r.client.resumption
+	if r.mismatched || len(resumption.splitter.Partial()) > 0 || !resumption.sequence.CaughtUp() {
 		return
 	}
 	r.client.broken = false
-	r.client.end()
+	r.client.finishAnswer()
 }
 
 // Break serves core.Client.
-func (r *furtherRun) Break() { r.broke = !r.other }
+func (r *resumedRun) Break() { r.broke = !r.mismatched }
--- a/internal/proxy/front/pickup_bounds_test.go
+++ b/internal/proxy/front/pickup_bounds_test.go
@@ -14,8 +14,8 @@
 	"sumacloft/internal/mesh/network"
 )
 
-func TestStreamThatBreaksAgainIsPickedUpOnceMore(t *testing.T) {
-	onceMore := streams("second", byReset, eventsOf(3, 3), eventsOf(4, 4)+"id: 5")
+func TestStreamIsResumedAtMostTwice(t *testing.T) {
+	onceMore := respondStream("second", byReset, eventsOf(3, 3), eventsOf(4, 4)+"id: 5")
 	for name, given := range map[string]struct {
 		path    string
 		answers []reply
@@ -23,35 +23,35 @@
 		whole   bool
 		runs    int
 	}{
-		"twice":                           {pickedPath, []reply{cut(2, byReset, ""), onceMore, goesOn}, eventsOf(1, lastOf), true, 3},
-		"each time":                       {pickedPath, []reply{cut(2, byReset, ""), onceMore, cut(lastOf, byReset, "")}, eventsOf(1, lastOf), false, 3},
-		"where two workers may run it":    {twoPath, []reply{cut(2, byReset, ""), onceMore, goesOn}, eventsOf(1, 4), false, 2},
-		"once, where two may run it":      {twoPath, []reply{cut(2, byReset, ""), goesOn}, eventsOf(1, lastOf), true, 2},
-		"once, where only one may run it": {onePath, []reply{cut(2, byReset, ""), goesOn}, eventsOf(1, 2), false, 1},
+		"twice":                           {pickedPath, []reply{breakAfter(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, lastEventID), true, 3},
+		"each time":                       {pickedPath, []reply{breakAfter(2, byReset, ""), onceMore, breakAfter(lastEventID, byReset, "")}, eventsOf(1, lastEventID), false, 3},
+		"where two workers may run it":    {twoPath, []reply{breakAfter(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, 4), false, 2},
+		"once, where two may run it":      {twoPath, []reply{breakAfter(2, byReset, ""), resumeStream}, eventsOf(1, lastEventID), true, 2},
+		"once, where only one may run it": {onePath, []reply{breakAfter(2, byReset, ""), resumeStream}, eventsOf(1, 2), false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given workers that break a stream off, one after the other.
-			workers := written(5, given.answers...)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(5, given.answers...)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks.
-				got := s.ask(c, given.path, "prompt")
+				got := s.send(c, given.path, "prompt")
 				// Then the answer goes on while the route and the bound on pick-ups allow another worker.
 				c.Assert(got.body, qt.Equals, given.body)
-				c.Assert(got.whole, qt.Equals, given.whole)
-				names, _ := ranAt(workers)
+				c.Assert(got.complete, qt.Equals, given.whole)
+				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, given.runs)
 				// And none of them is one at which it broke.
 				for _, w := range workers[2:] {
-					c.Assert(len(w.seen()) <= 1, qt.IsTrue, qt.Commentf("%v", names))
+					c.Assert(len(w.received()) <= 1, qt.IsTrue, qt.Commentf("%v", names))
 				}
 				// Nor is a prompt read for a run that may not be.
-				c.Assert(len(workers[0].seen())+len(workers[1].seen()), qt.Equals, given.runs)
+				c.Assert(len(workers[0].received())+len(workers[1].received()), qt.Equals, given.runs)
 			})
 		})
 	}
 }
 
-func TestPickUpDrawsOnTheRetryBudget(t *testing.T) {
+func TestResumptionUsesTheRetryBudget(t *testing.T) {
 	for extra, given := range map[int]struct {
 		reads, runs int
 		whole       bool
@@ -62,17 +62,17 @@
 	} {
 		t.Run(fmt.Sprint(extra), func(t *testing.T) {
 			// Given a bound on further arrivals, and a stream that breaks.
-			workers := written(2, cut(2, byReset, ""), goesOn)
-			playWithin(t, extra, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(2, breakAfter(2, byReset, ""), resumeStream)
+			runSceneWithExtra(t, extra, workers, func(c *qt.C, s *scene) {
 				// When a client asks, then the stream is picked up as far as the bound has room for the read and the run.
-				got := s.ask(c, pickedPath, "prompt")
-				c.Assert(got.whole, qt.Equals, given.whole)
+				got := s.send(c, pickedPath, "prompt")
+				c.Assert(got.complete, qt.Equals, given.whole)
 				c.Assert(strings.HasPrefix(got.body, eventsOf(1, 2)), qt.IsTrue)
-				names, _ := ranAt(workers)
+				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, given.runs)
 				reads := 0
 				for _, w := range workers[:2] {
-					for _, request := range w.seen() {
+					for _, request := range w.received() {
 						if request.Method != http.MethodDelete {
 							reads++
 						}
@@ -84,39 +84,39 @@
 	}
 }
 
-func TestStreamIsNotPickedUpAtAWorkerThatBroke(t *testing.T) {
+func TestStreamIsNotResumedAtAFailedWorker(t *testing.T) {
 	for writers, body := range map[int]string{1: eventsOf(1, 2), 2: eventsOf(1, 3)} {
 		t.Run(fmt.Sprint(writers), func(t *testing.T) {
 			// Given a stream that breaks at all workers that write.
-			answers := []reply{cut(2, byReset, ""), streams("second", byReset, eventsOf(3, 3)), goesOn}
-			workers := written(writers, append(answers[:writers:writers], goesOn)...)
-			play(t, workers, func(c *qt.C, s *scene) {
+			answers := []reply{breakAfter(2, byReset, ""), respondStream("second", byReset, eventsOf(3, 3)), resumeStream}
+			workers := stagedWriters(writers, append(answers[:writers:writers], resumeStream)...)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks, then the answer ends soon as broken, and none is asked again.
-				got := s.ask(c, pickedPath, "prompt")
+				got := s.send(c, pickedPath, "prompt")
 				c.Assert(got.body, qt.Equals, body)
-				c.Assert(got.whole, qt.IsFalse)
+				c.Assert(got.complete, qt.IsFalse)
 				c.Assert(got.took < giveUp/2, qt.IsTrue, qt.Commentf("after %v", got.took))
-				names, _ := ranAt(workers)
+				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, writers)
 			})
 		})
 	}
 }
 
-func TestStreamThatMayNotBePickedUpIsPassedOnAsItCame(t *testing.T) {
+func TestStreamWithoutResumptionIsForwardedUnchanged(t *testing.T) {
 	// Given a stream that breaks in the middle of an event, on a route without pick-up.
-	workers := written(2, cut(2, byReset, "id: 3\nda"), goesOn)
-	play(t, workers, func(c *qt.C, s *scene) {
+	workers := stagedWriters(2, breakAfter(2, byReset, "id: 3\nda"), resumeStream)
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client asks, then it gets all that came, and no other worker is asked.
-		got := s.ask(c, streamPath, "prompt")
+		got := s.send(c, streamPath, "prompt")
 		c.Assert(got.body, qt.Equals, eventsOf(1, 2)+"id: 3\nda")
-		c.Assert(got.whole, qt.IsFalse)
-		names, _ := ranAt(workers)
+		c.Assert(got.complete, qt.IsFalse)
+		names, _ := runsOf(workers)
 		c.Assert(names, qt.HasLen, 1)
 	})
 }
 
-func TestStreamWhoseEventsCantBeFollowedIsNotPickedUp(t *testing.T) {
+func TestUnorderedStreamIsNotResumed(t *testing.T) {
 	const bare = "data: token\n\n"
 	large := largeEvent()
 	for name, text := range map[string]string{
@@ -130,27 +130,27 @@
 		t.Run(name, func(t *testing.T) {
 			// Given a stream with such events that breaks.
 			half := len(text) / 2
-			workers := written(2, streams("first", byReset, text[:half], text[half:]), goesOn)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(2, respondStream("first", byReset, text[:half], text[half:]), resumeStream)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks, then it gets all of them, and no other worker is asked.
-				got := s.ask(c, pickedPath, "prompt")
+				got := s.send(c, pickedPath, "prompt")
 				c.Assert(got.body == text, qt.IsTrue, qt.Commentf("%d bytes of %d", len(got.body), len(text)))
-				c.Assert(got.whole, qt.IsFalse)
-				names, _ := ranAt(workers)
+				c.Assert(got.complete, qt.IsFalse)
+				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, 1)
 			})
 		})
 	}
 }
 
-func TestStreamOfAKnownLengthIsNotPickedUp(t *testing.T) {
+func TestStreamOfKnownLengthIsNotResumed(t *testing.T) {
 	// Given a stream whose length its worker tells and that breaks in the middle of an event.
 	text := eventsOf(1, 2) + "id: 3\nda"
-	workers := written(2, piecewise(flowing+"Content-Length: 100\r\n\r\n"+text), goesOn)
-	play(t, workers, func(c *qt.C, s *scene) {
+	workers := stagedWriters(2, respondInPieces(flowing+"Content-Length: 100\r\n\r\n"+text), resumeStream)
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client asks, then no other worker is asked, as its answer may have another length, and the client's is broken.
-		c.Assert(s.ask(c, pickedPath, "prompt").whole, qt.IsFalse)
-		names, _ := ranAt(workers)
+		c.Assert(s.send(c, pickedPath, "prompt").complete, qt.IsFalse)
+		names, _ := runsOf(workers)
 		c.Assert(names, qt.HasLen, 1)
 	})
 }
@@ -158,28 +158,28 @@
 // largeEvent is larger than what the proxy keeps of an event that is still coming.
 func largeEvent() string { return "id: 2\ndata: " + strings.Repeat("x", 3<<20/2) + "\n\n" }
 
-func TestWholeStreamThatMayBePickedUpIsPassedOnWhole(t *testing.T) {
+func TestCompleteStreamIsForwardedUnchanged(t *testing.T) {
 	large := largeEvent()
 	for name, text := range map[string]string{
-		"events":                          eventsOf(1, lastOf),
-		"with lines of the other kind":    strings.ReplaceAll(eventsOf(1, lastOf), "\n", "\r\n"),
-		"without the last empty line":     strings.TrimSuffix(eventsOf(1, lastOf), "\n"),
-		"with an event that is too large": eventsOf(1, 1) + large + eventsOf(3, lastOf),
+		"events":                          eventsOf(1, lastEventID),
+		"with lines of the other kind":    strings.ReplaceAll(eventsOf(1, lastEventID), "\n", "\r\n"),
+		"without the last empty line":     strings.TrimSuffix(eventsOf(1, lastEventID), "\n"),
+		"with an event that is too large": eventsOf(1, 1) + large + eventsOf(3, lastEventID),
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given a worker that gives a whole answer, when a client asks, then it gets it as it is.
 			half := len(text) / 2
-			workers := written(1, streams("first", properly, text[:5], text[5:half], text[half:]))
-			play(t, workers, func(c *qt.C, s *scene) {
-				got := s.ask(c, pickedPath, "prompt")
+			workers := stagedWriters(1, respondStream("first", endProperly, text[:5], text[5:half], text[half:]))
+			runScene(t, workers, func(c *qt.C, s *scene) {
+				got := s.send(c, pickedPath, "prompt")
 				c.Assert(got.body == text, qt.IsTrue, qt.Commentf("%d bytes of %d", len(got.body), len(text)))
-				c.Assert(got.whole, qt.IsTrue)
+				c.Assert(got.complete, qt.IsTrue)
 			})
 		})
 	}
 }
 
-func TestNothingIsPickedUpAfterTheDeadline(t *testing.T) {
+func TestNothingIsResumedAfterTheDeadline(t *testing.T) {
 	const wait = 400 * time.Millisecond
 	late := func(connection *memnet.Conn) {
 		time.Sleep(wait)
@@ -188,12 +188,12 @@
 	for name, lines := range map[string][]string{"the client's": {"X-Time-Left: 300"}, "none that is near": nil} {
 		t.Run(name, func(t *testing.T) {
 			// Given a stream that breaks after a while.
-			workers := written(2, cut(2, late, ""), goesOn)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(2, breakAfter(2, late, ""), resumeStream)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks, then it is picked up only before the deadline.
-				got := s.ask(c, pickedPath, "prompt", lines...)
-				c.Assert(got.whole, qt.Equals, lines == nil)
-				_, all := ranAt(workers)
+				got := s.send(c, pickedPath, "prompt", lines...)
+				c.Assert(got.complete, qt.Equals, lines == nil)
+				_, all := runsOf(workers)
 				if lines != nil {
 					c.Assert(all, qt.HasLen, 1)
 					return
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestNothingIsPickedUpForAClientThatHasLeft(t *testing.T) {
+func TestNothingIsResumedForADisconnectedClient(t *testing.T) {
 	const slow = 200 * time.Millisecond
 	for name, given := range map[string]struct {
 		leaves time.Duration // after it asked
@@ -224,13 +224,13 @@
 		t.Run(name, func(t *testing.T) {
 			// Given a reader that takes its time, and a stream that breaks after a while.
 			late := func(connection *memnet.Conn) {
-				time.Sleep(slow - 2*pace)
+				time.Sleep(slow - 2*eventInterval)
 				connection.Reset()
 			}
-			workers := writtenAfter(after(slow, says(readPrompt)), 2, cut(2, late, ""), goesOn)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWritersAfter(respondAfter(slow, respond(readPrompt)), 2, breakAfter(2, late, ""), resumeStream)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When its client leaves.
-				connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+				connection, err := s.client.Dial(c.Context(), frontAddress, network.Terms{Limit: time.Second})
 				c.Assert(err, qt.IsNil)
 				_, err = io.WriteString(connection, "POST "+pickedPath+" HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: 1\r\nX-Token-Count: 2000,20\r\nContent-Length: 0\r\n\r\n")
 				c.Assert(err, qt.IsNil)
@@ -238,11 +238,11 @@
 				c.Assert(connection.Close(), qt.IsNil)
 				time.Sleep(giveUp)
 				// Then no other worker has it run, and the prompt is not read any more than by then.
-				names, _ := ranAt(workers)
+				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, 1)
 				reads := 0
 				for _, w := range workers[:2] {
-					for _, request := range w.seen() {
+					for _, request := range w.received() {
 						if request.Method != http.MethodDelete {
 							reads++
 						}
--- a/internal/proxy/front/pickup_test.go
+++ b/internal/proxy/front/pickup_test.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// lastOf is the id of a whole answer's last event.
-	lastOf = 5
-	pace   = 10 * time.Millisecond
+	// lastEventID is the id of a whole answer's last event.
+	lastEventID   = 5
+	eventInterval = 10 * time.Millisecond
 )
 
-// runs are the answers of a service's writers to the runs of one request, in their order, whichever writers get them.
-type runs struct {
+// replySequence are the answers of a service's writers to the replySequence of one request, in their order, whichever writers get them.
+type replySequence struct {
 	answers []reply
 
 	mu   sync.Mutex
 	next int
 }
 
-func (r *runs) answer(connection *memnet.Conn, request *http.Request) bool {
+func (r *replySequence) answer(connection *memnet.Conn, request *http.Request) bool {
 	r.mu.Lock()
 	answer := r.answers[min(r.next, len(r.answers)-1)]
 	r.next++
@@ -36,13 +36,13 @@
 	return answer(connection, request)
 }
 
-// written are two readers, and writers that answer one run after the other.
-func written(writers int, answers ...reply) []*worker {
-	return writtenAfter(says(readPrompt), writers, answers...)
+// stagedWriters are two readers, and writers that answer one run after the other.
+func stagedWriters(writers int, answers ...reply) []*worker {
+	return stagedWritersAfter(respond(readPrompt), writers, answers...)
 }
 
-func writtenAfter(reader reply, writers int, answers ...reply) []*worker {
-	all := &runs{answers: answers}
+func stagedWritersAfter(reader reply, writers int, answers ...reply) []*worker {
+	all := &replySequence{answers: answers}
 	workers := []*worker{
 		{name: "reader-0", phase: "reading", answer: reader},
 		{name: "reader-1", phase: "reading", answer: reader},
@@ -70,43 +70,43 @@
 // byClose closes the connection in order, before the last chunk.
 func byClose(*memnet.Conn) {}
 
-func properly(connection *memnet.Conn) { _, _ = io.WriteString(connection, "0\r\n\r\n") }
+func endProperly(connection *memnet.Conn) { _, _ = io.WriteString(connection, "0\r\n\r\n") }
 
-// streams answers with a seal, pieces in a chunk each, and an ending.
-func streams(seal string, end ending, pieces ...string) reply {
+// respondStream answers with a seal, pieces in a chunk each, and an ending.
+func respondStream(seal string, end ending, pieces ...string) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nX-Server-Seal: "+seal+
 			"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, piece := range pieces {
 			_, _ = fmt.Fprintf(connection, "%x\r\n%s\r\n", len(piece), piece)
-			time.Sleep(pace)
+			time.Sleep(eventInterval)
 		}
 		end(connection)
 		return false
 	}
 }
 
-// cut answers up to an event and breaks off, with what came of the one behind it.
-func cut(to int, end ending, partial string) reply {
+// breakAfter answers up to an event and breaks off, with what came of the one behind it.
+func breakAfter(to int, end ending, partial string) reply {
 	pieces := []string{eventsOf(1, 1), eventsOf(2, to) + partial}
 	if to == 1 {
 		pieces = []string{eventsOf(1, 1) + partial}
 	}
-	return streams("first", end, pieces...)
+	return respondStream("first", end, pieces...)
 }
 
-// goesOn answers with the events behind the one that the request names.
-func goesOn(connection *memnet.Conn, request *http.Request) bool {
+// resumeStream answers with the events behind the one that the request names.
+func resumeStream(connection *memnet.Conn, request *http.Request) bool {
 	var last int
 	_, _ = fmt.Sscan(request.Header.Get("Last-Event-Id"), &last) // 0 where there is none
-	return streams("further", properly, eventsOf(last+1, lastOf))(connection, request)
+	return respondStream("further", endProperly, eventsOf(last+1, lastEventID))(connection, request)
 }
 
-// ranAt gives the runs that reached writers, by name.
-func ranAt(workers []*worker) (names []string, all []seen) {
+// runsOf gives the runs that reached writers, by name.
+func runsOf(workers []*worker) (names []string, all []received) {
 	for _, w := range workers {
-		for _, request := range w.seen() {
+		for _, request := range w.received() {
 			if w.phase == "writing" {
 				names = append(names, w.name)
 				all = append(all, request)
@@ -119,40 +119,40 @@
 // lastEvents counts the runs by the event that they were to go on behind.
 func lastEvents(workers []*worker) map[string]int {
 	counts := map[string]int{}
-	_, all := ranAt(workers)
+	_, all := runsOf(workers)
 	for _, request := range all {
 		counts[request.Header.Get("Last-Event-Id")]++
 	}
 	return counts
 }
 
-func TestBrokenStreamIsPickedUpAtAnotherWorker(t *testing.T) {
+func TestBrokenStreamIsResumedAtAnotherWorker(t *testing.T) {
 	for name, given := range map[string]struct {
 		to      int
 		partial string
 	}{
 		"behind the first event":            {1, ""},
 		"behind a middle event":             {3, ""},
-		"before the last event":             {lastOf - 1, ""},
+		"before the last event":             {lastEventID - 1, ""},
 		"in the id of an event":             {2, "id: 3"},
 		"in the data of an event":           {2, "id: 3\ndata: tok"},
 		"before the empty line of an event": {2, "id: 3\ndata: token 3\n"},
-		"in the last event":                 {lastOf - 1, "id: 5\ndata: tok"},
+		"in the last event":                 {lastEventID - 1, "id: 5\ndata: tok"},
 	} {
 		for how, end := range map[string]ending{"by a reset": byReset, "by a close": byClose} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				// Given a stream that its worker breaks off, and another worker that goes on where it is told to.
-				workers := written(2, cut(given.to, end, given.partial), goesOn)
-				play(t, workers, func(c *qt.C, s *scene) {
+				workers := stagedWriters(2, breakAfter(given.to, end, given.partial), resumeStream)
+				runScene(t, workers, func(c *qt.C, s *scene) {
 					// When a client asks.
-					got := s.ask(c, pickedPath, "prompt")
+					got := s.send(c, pickedPath, "prompt")
 					// Then it gets each event once, with the head of the first worker, and the end of a whole answer.
 					c.Assert(got.status, qt.Equals, http.StatusOK)
-					c.Assert(got.body, qt.Equals, eventsOf(1, lastOf))
-					c.Assert(got.whole, qt.IsTrue)
+					c.Assert(got.body, qt.Equals, eventsOf(1, lastEventID))
+					c.Assert(got.complete, qt.IsTrue)
 					c.Assert(got.header.Get("X-Server-Seal"), qt.Equals, "first")
 					// And the other worker was told the last event that was passed on.
-					names, _ := ranAt(workers)
+					names, _ := runsOf(workers)
 					c.Assert(names, qt.DeepEquals, []string{"writer-0", "writer-1"})
 					c.Assert(lastEvents(workers), qt.DeepEquals, map[string]int{"": 1, fmt.Sprint(given.to): 1})
 				})
@@ -161,18 +161,18 @@
 	}
 }
 
-func TestStreamThatEndsWithItsConnectionInAnEventIsPickedUp(t *testing.T) {
+func TestStreamClosedWithinAnEventIsResumed(t *testing.T) {
 	// Given a worker whose answer has no length and ends with its connection, in the middle of an event.
-	workers := written(2, piecewise(flowing+"\r\n", eventsOf(1, 2)+"id: 3\nda"), goesOn)
-	play(t, workers, func(c *qt.C, s *scene) {
+	workers := stagedWriters(2, respondInPieces(flowing+"\r\n", eventsOf(1, 2)+"id: 3\nda"), resumeStream)
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client asks, then the rest comes from another worker.
-		got := s.ask(c, pickedPath, "prompt")
-		c.Assert(got.body, qt.Equals, eventsOf(1, lastOf))
-		c.Assert(got.whole, qt.IsTrue)
+		got := s.send(c, pickedPath, "prompt")
+		c.Assert(got.body, qt.Equals, eventsOf(1, lastEventID))
+		c.Assert(got.complete, qt.IsTrue)
 	})
 }
 
-func TestFurtherRunIsJoinedOnlyWhereItGoesOn(t *testing.T) {
+func TestResumedRunMustContinueTheAnswer(t *testing.T) {
 	const (
 		bare     = "data: token 4\n\n"
 		renewed  = "versions: 2\nid: 4\ndata: token 4\n\n"
@@ -181,47 +181,47 @@
 		failed   = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\noops"
 		atFault  = "HTTP/1.1 422 Unprocessable Entity\r\nContent-Length: 3\r\n\r\nbad"
 	)
-	further := func(pieces ...string) reply { return streams("further", properly, pieces...) }
+	further := func(pieces ...string) reply { return respondStream("further", endProperly, pieces...) }
 	for name, given := range map[string]struct {
 		further reply
 		body    string
 		whole   bool
 		runs    int // 0: as many as the module has
 	}{
-		"it overlaps":                        {further(eventsOf(2, 3), eventsOf(4, lastOf)), eventsOf(1, lastOf), true, 2},
-		"it begins anew":                     {further(eventsOf(1, lastOf)), eventsOf(1, lastOf), true, 2},
-		"it has a comment":                   {further(": hello\n\n" + eventsOf(4, lastOf)), eventsOf(1, 3) + ": hello\n\n" + eventsOf(4, lastOf), true, 2},
-		"it tells another version":           {further(renewed, eventsOf(lastOf, lastOf)), eventsOf(1, 3) + renewed + eventsOf(lastOf, lastOf), true, 2},
-		"it begins behind a gap":             {further(eventsOf(5, lastOf)), eventsOf(1, 3), false, 2},
+		"it overlaps":                        {further(eventsOf(2, 3), eventsOf(4, lastEventID)), eventsOf(1, lastEventID), true, 2},
+		"it begins anew":                     {further(eventsOf(1, lastEventID)), eventsOf(1, lastEventID), true, 2},
+		"it has a comment":                   {further(": hello\n\n" + eventsOf(4, lastEventID)), eventsOf(1, 3) + ": hello\n\n" + eventsOf(4, lastEventID), true, 2},
+		"it tells another version":           {further(renewed, eventsOf(lastEventID, lastEventID)), eventsOf(1, 3) + renewed + eventsOf(lastEventID, lastEventID), true, 2},
+		"it begins behind a gap":             {further(eventsOf(5, lastEventID)), eventsOf(1, 3), false, 2},
 		"it has a gap":                       {further(eventsOf(4, 4) + eventsOf(6, 6)), eventsOf(1, 4), false, 2},
-		"it has a gap in what was passed on": {further(eventsOf(1, 1), eventsOf(3, lastOf)), eventsOf(1, 3), false, 2},
-		"it repeats an event of its own":     {further(eventsOf(4, 4), eventsOf(4, lastOf)), eventsOf(1, 4), false, 2},
+		"it has a gap in what was passed on": {further(eventsOf(1, 1), eventsOf(3, lastEventID)), eventsOf(1, 3), false, 2},
+		"it repeats an event of its own":     {further(eventsOf(4, 4), eventsOf(4, lastEventID)), eventsOf(1, 4), false, 2},
 		"its events have no ids":             {further(bare, bare), eventsOf(1, 3), false, 2},
-		"one of its events has no id":        {further(bare + eventsOf(1, lastOf)), eventsOf(1, 3), false, 2},
+		"one of its events has no id":        {further(bare + eventsOf(1, lastEventID)), eventsOf(1, 3), false, 2},
 		"its ids are no numbers":             {further(strings.Replace(eventsOf(4, 4), "4", "four", 1)), eventsOf(1, 3), false, 2},
 		"it ends before what was passed on":  {further(eventsOf(1, 2)), eventsOf(1, 3), false, 2},
 		"it ends in an event":                {further(eventsOf(4, 4) + "id: 5\n"), eventsOf(1, 4), false, 2},
 		"it holds nothing":                   {further(), eventsOf(1, 3), false, 0},
-		"it is turned away":                  {says(turnedAway), eventsOf(1, 3), false, 0},
-		"it fails":                           {says(failed), eventsOf(1, 3), false, 0},
-		"it is found at fault":               {says(atFault), eventsOf(1, 3), false, 0},
-		"it bears no seal":                   {says(unsealed), eventsOf(1, 3), false, 0},
-		"it is another success":              {piecewise(created, eventsOf(4, lastOf)), eventsOf(1, 3), false, 2},
-		"its connections are reset at once":  {resets, eventsOf(1, 3), false, 0},
+		"it is turned away":                  {respond(notRun), eventsOf(1, 3), false, 0},
+		"it fails":                           {respond(failed), eventsOf(1, 3), false, 0},
+		"it is found at fault":               {respond(atFault), eventsOf(1, 3), false, 0},
+		"it bears no seal":                   {respond(unsealed), eventsOf(1, 3), false, 0},
+		"it is another success":              {respondInPieces(created, eventsOf(4, lastEventID)), eventsOf(1, 3), false, 2},
+		"its connections are reset at once":  {resetConnection, eventsOf(1, 3), false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given a stream that breaks behind its third event, and workers that answer further runs in some way.
-			workers := written(3, cut(3, byReset, ""), given.further)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := stagedWriters(3, breakAfter(3, byReset, ""), given.further)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client asks.
-				got := s.ask(c, pickedPath, "prompt")
+				got := s.send(c, pickedPath, "prompt")
 				// Then it gets what goes on without a gap, and the end of a whole answer only with all of it.
 				c.Assert(got.status, qt.Equals, http.StatusOK)
 				c.Assert(got.body, qt.Equals, given.body)
-				c.Assert(got.whole, qt.Equals, given.whole)
+				c.Assert(got.complete, qt.Equals, given.whole)
 				c.Assert(got.took < giveUp, qt.IsTrue, qt.Commentf("after %v", got.took))
 				// And one that does not go on is the last.
-				if names, _ := ranAt(workers); given.runs > 0 {
+				if names, _ := runsOf(workers); given.runs > 0 {
 					c.Assert(names, qt.HasLen, given.runs)
 				}
 			})
--- a/internal/proxy/front/protocol_test.go
+++ b/internal/proxy/front/protocol_test.go
@@ -15,8 +15,8 @@
 // forged is the value of every header that a client may not set.
 const forged = "forged"
 
-// forgery are a client's lines of the headers that are the system's to set, in several spellings.
-var forgery = []string{
+// forgedLines are a client's lines of the headers that are the system's to set, in several spellings.
+var forgedLines = []string{
 	"X-Stage: " + forged, "x-stage: " + forged, "X-STAGE: " + forged,
 	"Kv-From: " + forged, "kv-from: " + forged,
 	"Priority: " + forged, "priority: " + forged + ", u=0",
@@ -25,17 +25,17 @@
 	"X-Time-Left: " + forged,
 }
 
-// wellServed are workers that answer well.
-func wellServed() []*worker {
+// healthyWorkers are workers that answer well.
+func healthyWorkers() []*worker {
 	return []*worker{
-		{name: "whole", answer: says(served)},
-		{name: "reader", phase: "reading", answer: says(readPrompt)},
-		{name: "writer", phase: "writing", answer: says(flowing + "Content-Length: 19\r\n\r\n" + event)},
+		{name: "whole", answer: respond(served)},
+		{name: "reader", phase: "reading", answer: respond(readPrompt)},
+		{name: "writer", phase: "writing", answer: respond(flowing + "Content-Length: 19\r\n\r\n" + event)},
 	}
 }
 
-// unforged checks that a request has the system's headers alone.
-func unforged(c *qt.C, request seen, system map[string]string) {
+// checkHeaders checks that a request has the system's headers alone.
+func checkHeaders(c *qt.C, request received, system map[string]string) {
 	c.Assert(strings.Contains(strings.ToLower(request.raw), forged), qt.IsFalse, qt.Commentf("%s", request.raw))
 	for _, name := range []string{"X-Stage", "Kv-From", "Priority", "X-Meant-Server", "Expect-Version"} {
 		var want []string
@@ -47,41 +47,41 @@
 	c.Assert(request.Header.Values("X-Time-Left"), qt.HasLen, 1)
 }
 
-func TestHeadersOfTheProtocolAreNotTheClients(t *testing.T) {
-	workers := wellServed()
-	play(t, workers, func(c *qt.C, s *scene) {
+func TestClientsCannotSetInternalHeaders(t *testing.T) {
+	workers := healthyWorkers()
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client that sets the system's headers asks for a plain answer and for a stream.
-		c.Assert(s.ask(c, riskyPath, "prompt", forgery...).status, qt.Equals, 200)
-		c.Assert(s.ask(c, streamPath, "prompt", forgery...).status, qt.Equals, 200)
+		c.Assert(s.send(c, riskyPath, "prompt", forgedLines...).status, qt.Equals, 200)
+		c.Assert(s.send(c, streamPath, "prompt", forgedLines...).status, qt.Equals, 200)
 		// Then each worker has heard the system alone.
 		whole, reader, writer := workers[0], workers[1], workers[2]
-		c.Assert(whole.seen(), qt.HasLen, 1)
-		unforged(c, whole.seen()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
-		c.Assert(reader.seen(), qt.HasLen, 1)
-		unforged(c, reader.seen()[0], map[string]string{"Priority": "2", "X-Meant-Server": "reader", "X-Stage": "reading"})
-		c.Assert(writer.seen(), qt.HasLen, 1)
-		unforged(c, writer.seen()[0], map[string]string{"Priority": "2", "X-Meant-Server": "writer", "Kv-From": reader.address() + "/ticket"})
+		c.Assert(whole.received(), qt.HasLen, 1)
+		checkHeaders(c, whole.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
+		c.Assert(reader.received(), qt.HasLen, 1)
+		checkHeaders(c, reader.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "reader", "X-Stage": "reading"})
+		c.Assert(writer.received(), qt.HasLen, 1)
+		checkHeaders(c, writer.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "writer", "Kv-From": reader.address() + "/ticket"})
 	})
 }
 
-func TestHeadersOfTheProtocolDoNotPassAsTrailers(t *testing.T) {
-	workers := wellServed()
-	play(t, workers, func(c *qt.C, s *scene) {
+func TestClientsCannotSetInternalHeadersAsTrailers(t *testing.T) {
+	workers := healthyWorkers()
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client sends a body in chunks, with the system's headers behind it.
-		connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+		connection, err := s.client.Dial(c.Context(), frontAddress, network.Terms{Limit: time.Second})
 		c.Assert(err, qt.IsNil)
 		_, err = io.WriteString(connection, "POST "+riskyPath+" HTTP/1.1\r\nHost: h.example\r\nTrailer: Kv-From, X-Stage\r\n"+
 			"Transfer-Encoding: chunked\r\n\r\n6\r\nprompt\r\n0\r\nKv-From: "+forged+"\r\nX-Stage: "+forged+"\r\n\r\n")
 		c.Assert(err, qt.IsNil)
-		c.Assert(read(connection, time.Now()).status, qt.Equals, 200)
+		c.Assert(readAnswer(connection, time.Now()).status, qt.Equals, 200)
 		// Then the worker has heard the system alone.
-		c.Assert(workers[0].seen(), qt.HasLen, 1)
-		unforged(c, workers[0].seen()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
+		c.Assert(workers[0].received(), qt.HasLen, 1)
+		checkHeaders(c, workers[0].received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
 	})
 }
 
-// toldLeft checks that a worker was told what was left as the request was written, of what a client gave that asked at a time.
-func toldLeft(c *qt.C, request seen, asked time.Time, given, way time.Duration) {
+// checkTimeLeft checks that a worker was told what was left as the request was written, of what a client gave that asked at a time.
+func checkTimeLeft(c *qt.C, request received, asked time.Time, given, way time.Duration) {
 	written := request.at.Add(-way)
 	taken := asked.Add(linkDelay * 3) // with the handshake before it
 	left := given - written.Sub(taken)
@@ -90,7 +90,7 @@
 	c.Assert(time.Duration(told)*time.Millisecond, qt.Equals, left)
 }
 
-func TestTimeLeftIsThatOfTheWrite(t *testing.T) {
+func TestTimeLeftIsMeasuredAtTheWrite(t *testing.T) {
 	const (
 		slowLink = 50 * time.Millisecond // between the proxy and its workers
 		slowRead = 200 * time.Millisecond
@@ -107,43 +107,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given workers that are far away, so that connecting takes time, and a reader that takes its time.
-			workers := wellServed()
-			workers[1].answer = after(slowRead, workers[1].answer)
-			play(t, workers, func(c *qt.C, s *scene) {
+			workers := healthyWorkers()
+			workers[1].answer = respondAfter(slowRead, workers[1].answer)
+			runScene(t, workers, func(c *qt.C, s *scene) {
 				for _, w := range workers {
 					s.fabric.Delay(proxyIP, w.ip, slowLink)
 				}
 				// When a client asks.
 				asked := time.Now()
-				c.Assert(s.ask(c, one.path, "prompt", one.lines...).status, qt.Equals, 200)
+				c.Assert(s.send(c, one.path, "prompt", one.lines...).status, qt.Equals, 200)
 				// Then each worker is told what was left when the request was written to it.
 				for _, w := range workers {
-					for _, request := range w.seen() {
-						toldLeft(c, request, asked, one.given, slowLink)
+					for _, request := range w.received() {
+						checkTimeLeft(c, request, asked, one.given, slowLink)
 					}
 				}
-				c.Assert(len(workers[0].seen())+len(workers[2].seen()), qt.Equals, 1)
+				c.Assert(len(workers[0].received())+len(workers[2].received()), qt.Equals, 1)
 			})
 		})
 	}
 }
 
-func TestTimeLeftOfARepeatIsThatOfItsWrite(t *testing.T) {
+func TestTimeLeftOfARetryIsMeasuredAtItsWrite(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	// Given workers that turn away what they get, after a while.
 	workers := []*worker{
-		{name: "one", answer: after(slow, says(turnedAway))},
-		{name: "two", answer: after(slow, says(turnedAway))},
+		{name: "one", answer: respondAfter(slow, respond(notRun))},
+		{name: "two", answer: respondAfter(slow, respond(notRun))},
 	}
-	play(t, workers, func(c *qt.C, s *scene) {
+	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client asks.
 		asked := time.Now()
-		s.ask(c, harmlessPath, "prompt")
+		s.send(c, harmlessPath, "prompt")
 		// Then each of them is told what is left by then.
 		for _, w := range workers {
-			c.Assert(len(w.seen()) > 0, qt.IsTrue)
-			for _, request := range w.seen() {
-				toldLeft(c, request, asked, giveUp, linkDelay)
+			c.Assert(len(w.received()) > 0, qt.IsTrue)
+			for _, request := range w.received() {
+				checkTimeLeft(c, request, asked, giveUp, linkDelay)
 			}
 		}
 	})
--- a/internal/proxy/front/scene_test.go
+++ b/internal/proxy/front/scene_test.go
@@ -43,16 +43,16 @@
 
 // The machines of a scene.
 const (
-	linkDelay   = time.Millisecond
-	clientIP    = "10.0.0.1"
-	proxyIP     = "10.0.0.2"
-	frontAt     = proxyIP + ":80"
-	patience    = 30 * time.Second // of a client that says nothing of it
-	dialLimit   = 700 * time.Millisecond
-	idleLimit   = 10 * time.Second
-	windUp      = 10 * time.Second // what is still under way at the end of a story has ended by then
-	sceneExtra  = 100              // further arrivals that the proxy may cause
-	sceneRoutes = `{"version":1,"routes":[%s],"services":[{"name":"plain"},{"name":"model","runner":{"capacity":64,
+	linkDelay     = time.Millisecond
+	clientIP      = "10.0.0.1"
+	proxyIP       = "10.0.0.2"
+	frontAddress  = proxyIP + ":80"
+	clientTimeout = 30 * time.Second // of a client that says nothing of it
+	dialTimeout   = 700 * time.Millisecond
+	idleTimeout   = 10 * time.Second
+	settleTime    = 10 * time.Second // what is still under way at the end of a story has ended by then
+	sceneExtra    = 100              // further arrivals that the proxy may cause
+	sceneRoutes   = `{"version":1,"routes":[%s],"services":[{"name":"plain"},{"name":"model","runner":{"capacity":64,
 		"memory_tokens":600000,"token_bytes":163840,"link_mbps":1500000,"ticket_hold_s":4,"change_s":0.9}}]}`
 	sceneRoute = `{"name":%q,"domain":"h.example","path_start":%q,"route_type":%q,"give_up_ms":%d,"target_ms":500,"rank":0,
 		"service":%q,"tries":%d,"pick_up":%t}`
@@ -61,8 +61,8 @@
 // reply answers one request on its connection; false says that the connection gets no further one.
 type reply func(connection *memnet.Conn, request *http.Request) bool
 
-// seen is a request that reached a worker.
-type seen struct {
+// received is a request that reached a worker.
+type received struct {
 	*http.Request
 	raw        string // its head, as it came
 	at         time.Time
@@ -74,26 +74,26 @@
 	name, phase, ip string
 	answer          reply
 
-	mu          sync.Mutex
-	requests    []seen
-	connections int
-	last        time.Time // of its answers
+	mu           sync.Mutex
+	requests     []received
+	connections  int
+	lastAnswerAt time.Time // of its answers
 }
 
 func (w *worker) address() string { return w.ip + ":9000" }
 
-// seen are the requests that have reached the worker so far, without those for its report.
-func (w *worker) seen() []seen {
+// received are the requests that have reached the worker so far, without those for its report.
+func (w *worker) received() []received {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]seen(nil), w.requests...)
+	return append([]received(nil), w.requests...)
 }
 
 // lastAnswer is when the worker last had answered a request, other than to release what it holds.
 func (w *worker) lastAnswer() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.last
+	return w.lastAnswerAt
 }
 
 // serve serves all connections until the listener closes.
@@ -107,12 +107,12 @@
 		w.connections++
 		number := w.connections
 		w.mu.Unlock()
-		go w.converse(connection.(*memnet.Conn), number)
+		go w.serveConnection(connection.(*memnet.Conn), number)
 	}
 }
 
-// converse serves one connection.
-func (w *worker) converse(connection *memnet.Conn, number int) {
+// serveConnection serves one connection.
+func (w *worker) serveConnection(connection *memnet.Conn, number int) {
 	defer func() { _ = connection.Close() }() // it may be closed by now
 	var raw strings.Builder
 	reader := bufio.NewReader(io.TeeReader(connection, &raw))
@@ -128,12 +128,12 @@
 			continue
 		}
 		w.mu.Lock()
-		w.requests = append(w.requests, seen{Request: request, raw: head, at: time.Now(), connection: number})
+		w.requests = append(w.requests, received{Request: request, raw: head, at: time.Now(), connection: number})
 		w.mu.Unlock()
 		goOn := w.answer(connection, request)
 		if request.Method != http.MethodDelete {
 			w.mu.Lock()
-			w.last = time.Now()
+			w.lastAnswerAt = time.Now()
 			w.mu.Unlock()
 		}
 		if !goOn {
@@ -152,27 +152,27 @@
 	faults calls.Faults
 }
 
-// play tells a story of a proxy with workers, whose services follow from their phases.
-func play(t *testing.T, workers []*worker, story func(c *qt.C, s *scene)) {
+// runScene tells a story of a proxy with workers, whose services follow from their phases.
+func runScene(t *testing.T, workers []*worker, story func(c *qt.C, s *scene)) {
 	t.Helper()
-	playWithin(t, sceneExtra, workers, story)
+	runSceneWithExtra(t, sceneExtra, workers, story)
 }
 
-// playWithin is play with a bound on further arrivals of its own.
-func playWithin(t *testing.T, extra int, workers []*worker, story func(c *qt.C, s *scene)) {
+// runSceneWithExtra is play with a bound on further arrivals of its own.
+func runSceneWithExtra(t *testing.T, extra int, workers []*worker, story func(c *qt.C, s *scene)) {
 	t.Helper()
-	playBroken(t, calls.Faults{}, extra, workers, story)
+	runSceneWithFaults(t, calls.Faults{}, extra, workers, story)
 }
 
-// playBroken is playWithin with a proxy that is broken on purpose.
-func playBroken(t *testing.T, faults calls.Faults, extra int, workers []*worker, story func(c *qt.C, s *scene)) {
+// runSceneWithFaults is playWithin with a proxy that is broken on purpose.
+func runSceneWithFaults(t *testing.T, faults calls.Faults, extra int, workers []*worker, story func(c *qt.C, s *scene)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := &scene{fabric: memnet.New(linkDelay), extra: extra, faults: faults}
 		s.client = s.fabric.Machine(clientIP).Process()
-		own := s.fabric.Machine(proxyIP).Process()
-		ends := []func(){s.client.Kill, own.Kill}
+		proxy := s.fabric.Machine(proxyIP).Process()
+		ends := []func(){s.client.Kill, proxy.Kill}
 		for i, w := range workers {
 			w.ip = fmt.Sprintf("10.0.1.%d", i)
 			process := s.fabric.Machine(w.ip).Process()
@@ -185,9 +185,9 @@
 			for _, end := range ends {
 				end()
 			}
-			time.Sleep(windUp) // the clock stands still once the story has returned
+			time.Sleep(settleTime) // the clock stands still once the story has returned
 		}()
-		defer s.begin(c, own, workers)()
+		defer s.startProxy(c, proxy, workers)()
 		story(c, s)
 	})
 }
@@ -197,8 +197,8 @@
 	return fmt.Sprintf(sceneRoute, name, "/"+name+"/", kind, giveUp.Milliseconds(), service, tries, pickUp)
 }
 
-// begin starts the proxy; what it gives ends its lanes.
-func (s *scene) begin(c *qt.C, own *memnet.Process, workers []*worker) (end func()) {
+// startProxy starts the proxy; what it gives ends its lanes.
+func (s *scene) startProxy(c *qt.C, proxy *memnet.Process, workers []*worker) (end func()) {
 	configuration, err := opconf.Parse([]byte(fmt.Sprintf(sceneRoutes, strings.Join([]string{
 		routeTo("harmless", "harmless", "plain", tries, false),
 		routeTo("risky", "risky", "plain", tries, false),
@@ -208,12 +208,12 @@
 		routeTo("one", "flowing", "model", 1, true),
 	}, ","))))
 	c.Assert(err, qt.IsNil)
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	toWorkers := calls.New(upstream.NewPoolOn(run.WorkerTerms(own), upstream.NewBudget(1000), dialLimit, idleLimit))
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	toWorkers := calls.New(upstream.NewPoolOn(run.WorkerTerms(proxy), upstream.NewBudget(1000), dialTimeout, idleTimeout))
 	toWorkers.Faults = s.faults
-	around := lane.Surroundings{
-		Calls: toWorkers, Zone: "zone", Zones: []string{"zone"}, Log: quiet,
+	surroundings := lane.Surroundings{
+		Calls: toWorkers, Zone: "zone", Zones: []string{"zone"}, Log: logger,
 		Budget: budget.Terms{Window: 10 * time.Second, Ratio: 0.2, Extra: s.extra},
 	}
 	lanes := map[string]*lane.Lane{}
@@ -231,41 +231,41 @@
 					Capacity: 64, State: registry.Up, Phase: w.phase})
 			}
 		}
-		served := lane.New(service, around, 1)
+		served := lane.New(service, surroundings, 1)
 		served.Configure(service, routes, 1)
 		served.List(list, nil)
 		lanes[service.Name] = served
 	}
 	s.front = &front.Front{Calls: toWorkers}
-	s.front.Use(&front.Routing{Table: configuration.Table(), Limits: configuration.Limits, Lanes: lanes})
-	listener, err := own.Listen(frontAt)
+	s.front.SetRouting(&front.Routing{Table: configuration.Table(), Limits: configuration.Limits, Lanes: lanes})
+	listener, err := proxy.Listen(frontAddress)
 	c.Assert(err, qt.IsNil)
 	server := &http.Server{Handler: s.front, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = server.Serve(listener) }() // ends with the process
 	return func() {
-		for _, one := range lanes {
-			one.Stop()
+		for _, served := range lanes {
+			served.Stop()
 		}
 	}
 }
 
 // answer is what a client got.
 type answer struct {
-	status  int // 0: there was no answer
-	header  http.Header
-	body    string
-	chunked bool
-	whole   bool
-	took    time.Duration // until its end
+	status   int // 0: there was no answer
+	header   http.Header
+	body     string
+	chunked  bool
+	complete bool
+	took     time.Duration // until its end
 }
 
-// ask sends a request as it is given, lines of a head and a body, and reads the answer.
-func (s *scene) ask(c *qt.C, path, body string, lines ...string) answer {
-	return s.askAs(c, "1", path, body, lines...)
+// send sends a request as it is given, lines of a head and a body, and reads the answer.
+func (s *scene) send(c *qt.C, path, body string, lines ...string) answer {
+	return s.sendAs(c, "1", path, body, lines...)
 }
 
-// askAs is ask under an id of the request's own.
-func (s *scene) askAs(c *qt.C, id, path, body string, lines ...string) answer {
+// sendAs is ask under an id of the request's own.
+func (s *scene) sendAs(c *qt.C, id, path, body string, lines ...string) answer {
 	head := "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: " + id + "\r\nX-Token-Count: 2000,20\r\nX-Prompt-Start: aa:1200,bb:800\r\n"
 	lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)))
 	return s.exchange(c, head+strings.Join(lines, "\r\n")+"\r\n\r\n"+body)
@@ -273,34 +273,34 @@
 
 // exchange sends a request as its bytes, on a connection of its own, and reads the answer.
 func (s *scene) exchange(c *qt.C, request string) answer {
-	connection, err := s.client.Dial(c.Context(), frontAt, network.Terms{Limit: time.Second})
+	connection, err := s.client.Dial(c.Context(), frontAddress, network.Terms{Limit: time.Second})
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = connection.Close() }() // the answer was read
-	c.Assert(connection.SetDeadline(time.Now().Add(patience)), qt.IsNil)
-	began := time.Now()
+	c.Assert(connection.SetDeadline(time.Now().Add(clientTimeout)), qt.IsNil)
+	start := time.Now()
 	go func() { _, _ = io.WriteString(connection, request) }()
-	return read(connection, began)
+	return readAnswer(connection, start)
 }
 
-// read reads an answer to its end.
-func read(connection net.Conn, began time.Time) answer {
+// readAnswer reads an answer to its end.
+func readAnswer(connection net.Conn, start time.Time) answer {
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
-		return answer{took: time.Since(began)}
+		return answer{took: time.Since(start)}
 	}
 	text, err := io.ReadAll(response.Body)
 	return answer{
-		status:  response.StatusCode,
-		header:  response.Header,
-		body:    string(text),
-		chunked: len(response.TransferEncoding) > 0,
-		whole:   err == nil,
-		took:    time.Since(began),
+		status:   response.StatusCode,
+		header:   response.Header,
+		body:     string(text),
+		chunked:  len(response.TransferEncoding) > 0,
+		complete: err == nil,
+		took:     time.Since(start),
 	}
 }
 
-// says answers every request with the same bytes, once its body has been read.
-func says(text string) reply {
+// respond answers every request with the same bytes, once its body has been read.
+func respond(text string) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(connection, text)
@@ -308,8 +308,8 @@
 	}
 }
 
-// after answers later.
-func after(wait time.Duration, then reply) reply {
+// respondAfter answers later.
+func respondAfter(wait time.Duration, then reply) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		time.Sleep(wait)
@@ -317,14 +317,14 @@
 	}
 }
 
-// never takes a request and says nothing, until the caller leaves.
-func never(connection *memnet.Conn, _ *http.Request) bool {
+// neverRespond takes a request and says nothing, until the caller leaves.
+func neverRespond(connection *memnet.Conn, _ *http.Request) bool {
 	_, _ = io.Copy(io.Discard, connection)
 	return false
 }
 
 const (
-	turnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	notRun     = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	served     = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nserved"
 	readPrompt = "HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n" + `{"prompt_ticket":"ticket","version":1}`
 	flowing    = "HTTP/1.1 200 OK\r\nX-Server-Seal: seal\r\nContent-Type: text/event-stream\r\n"
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -86,7 +86,7 @@
 	pool := upstream.NewPoolOn(terms, upstream.NewBudget(sockets), dialLimit, idleLimit)
 	worker := calls.New(pool)
 	p := &Proxy{settings: settings, network: over, log: logger, pool: pool, meter: terms.Meter, began: time.Now()}
-	p.front = &front.Front{Calls: worker, Bounds: bounds.New(), NoPickUp: settings.Trial.Has(trial.PickUp)}
+	p.front = &front.Front{Calls: worker, Bounds: bounds.New(), NoResume: settings.Trial.Has(trial.PickUp)}
 	lines := logrus.New()
 	lines.SetOutput(ring)
 	seed := fnv.New64a()
@@ -168,7 +168,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(p.settings.Rules.Grace-lastCall))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		p.log.Warn().Int64("open", p.front.Open()).Msg("ending with requests still open")
+		p.log.Warn().Int64("open", p.front.OpenRequests()).Msg("ending with requests still open")
 		_ = server.Close() // what is open is given up
 		time.Sleep(settleCheck)
 	}
