--- a/internal/proxy/front/body.go
+++ b/internal/proxy/front/body.go
@@ -10,10 +10,10 @@
 	"sumacloft/internal/opconf"
 )
 
-// lingerTimeout is how long what a refused client goes on sending is read, so that it can read why.
+// lingerTimeout is how long the input of a refused client is still read, so that the client can read the answer.
 const lingerTimeout = 500 * time.Millisecond
 
-// readBody reads a request's body whole, within the limits and until a deadline.
+// readBody reads a request's complete body, within the limits and before the deadline.
 func readBody(w http.ResponseWriter, request *http.Request, limits opconf.Limits, deadline time.Time) ([]byte, error) {
 	if request.ContentLength == 0 {
 		return nil, nil
@@ -39,8 +39,7 @@
 	return io.ReadAll(reader)
 }
 
-// pacedReader reads a body that may neither pause for longer than quiet (0: for as long as it likes) nor go on past the
-// deadline.
+// pacedReader reads a body whose pauses may not exceed maxPause (0: no limit) and which must end before the deadline.
 type pacedReader struct {
 	body     io.Reader
 	control  *http.ResponseController
@@ -48,7 +47,7 @@
 	deadline time.Time
 }
 
-// Read serves io.Reader.
+// Read implements io.Reader.
 func (s *pacedReader) Read(p []byte) (int, error) {
 	until := s.deadline
 	if pause := time.Now().Add(s.maxPause); s.maxPause > 0 && pause.Before(until) {
@@ -56,12 +55,12 @@
 	}
 	_ = s.control.SetReadDeadline(until) // fails on a closed connection, as the read does
 	n, err := s.body.Read(p)
-	// The server goes on reading after a request's end to see whether the client leaves: no deadline may be left.
+	// After a request's end the server keeps reading to detect a disconnected client, so the deadline must be cleared.
 	_ = s.control.SetReadDeadline(time.Time{})
 	return n, err
 }
 
-// refuseBody answers a request whose body did not come whole: it has not run.
+// refuseBody answers a request whose body was not received completely. The request has not run.
 func (f *Front) refuseBody(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout)) // fails on a closed connection
--- a/internal/proxy/front/body_test.go
+++ b/internal/proxy/front/body_test.go
@@ -15,7 +15,7 @@
 	"sumacloft/internal/proxy/bounds"
 )
 
-// oneConn is a listener of a single connection.
+// oneConn is a listener with a single connection.
 type oneConn struct {
 	conn   net.Conn
 	closed chan struct{}
@@ -33,8 +33,8 @@
 func (o *oneConn) Close() error   { close(o.closed); return nil }
 func (o *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// sendSlowBody sends a body to a front in single bytes, so many and with such a pause, and gives the answer's status and the
-// time that it took. The route's time is 500 ms, or as given.
+// sendSlowBody sends a body byte by byte to a front, with the given pause before each byte. It returns the answer's
+// status and how long the answer took.
 func sendSlowBody(t *testing.T, quiet, giveUp, pause time.Duration, bytes int) (status int, took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -71,17 +71,17 @@
 
 func TestSlowBodiesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	c.Run("given a body that pauses for longer than quiet_ms, then it is refused with a promise", func(c *qt.C) {
+	c.Run("a body that pauses for longer than quiet_ms is refused with 408", func(c *qt.C) {
 		status, took := sendSlowBody(t, 200*time.Millisecond, 5*time.Second, 50*time.Millisecond, 3)
 		c.Assert(status, qt.Equals, http.StatusRequestTimeout)
 		c.Assert(took, qt.Equals, 350*time.Millisecond)
 	})
-	c.Run("given a body that is slow without a pause, then it is read whole", func(c *qt.C) {
-		// The front has no worker of the service: it refuses what it has read.
+	c.Run("a slow body without long pauses is read completely", func(c *qt.C) {
+		// The front has no lane for the service, so it refuses the request after reading it.
 		status, _ := sendSlowBody(t, 200*time.Millisecond, 5*time.Second, 150*time.Millisecond, 10)
 		c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	})
-	c.Run("given a body that goes on past the route's time, then it is refused with a promise", func(c *qt.C) {
+	c.Run("a body that exceeds the route's timeout is refused with 408", func(c *qt.C) {
 		status, took := sendSlowBody(t, 200*time.Millisecond, 500*time.Millisecond, 150*time.Millisecond, 10)
 		c.Assert(status, qt.Equals, http.StatusRequestTimeout)
 		c.Assert(took, qt.Equals, 500*time.Millisecond)
--- a/internal/proxy/front/client.go
+++ b/internal/proxy/front/client.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// writeTimeout is how long a client may take to accept some of its answer.
+	// writeTimeout is how long a client may take to accept a piece of its answer.
 	writeTimeout = 15 * time.Second
-	// minRetryAfter is the least advice on when to come back; longer ones are drawn up to twice it, so that clients
-	// refused together do not return together.
+	// minRetryAfter is the minimum Retry-After value. Values are drawn from it up to twice that, so that clients that
+	// were refused together do not return together.
 	minRetryAfter = 100 * time.Millisecond
-	// deadlineMargin is how close to its deadline a request counts as having reached it.
+	// deadlineMargin is the time before its deadline within which a request counts as having reached it.
 	deadlineMargin = 50 * time.Millisecond
 )
 
-// client is the answering side of one request; it serves core.Client and core.Opener.
+// client writes the answer to one request. It implements core.Client and core.Opener.
 type client struct {
 	front       *Front
 	writer      http.ResponseWriter
@@ -31,14 +31,14 @@
 	head        calls.Head
 	headWritten bool
 	broken      bool
-	unwritable  bool        // nothing can be written to it any more
-	resumption  *resumption // of a stream that may be picked up at another worker, else nil
+	unwritable  bool        // a write to the client has failed
+	resumption  *resumption // state of a stream that another worker may resume, else nil
 }
 
-// connectionHeaders concern one connection and are not passed on.
+// connectionHeaders apply to one connection and are not forwarded.
 var connectionHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
 
-// Open serves core.Opener.
+// Open implements core.Opener.
 func (c *client) Open(stream core.Stream) {
 	if headed, ok := stream.(calls.Headed); ok {
 		c.head = headed.Head()
@@ -48,11 +48,11 @@
 	}
 	c.resumption.worker = c.head.Worker
 	if c.head.Length >= 0 {
-		c.resumption = nil // the length that the client is told is that of this worker's answer
+		c.resumption = nil // the announced length is that of this worker's answer
 	}
 }
 
-// Refuse says that trying again is harmless, and when.
+// Refuse answers that the request has not run, with the time to wait before a retry.
 func (c *client) Refuse(holdOff time.Duration) {
 	mayHaveRun, failure := c.job.Close()
 	if mayHaveRun && !c.request.Terms.Repeatable {
@@ -62,7 +62,7 @@
 	c.front.refuse(c.writer, max(holdOff, minRetryAfter+rand.N(minRetryAfter)))
 }
 
-// Fail ends a request that may have run: a worker's own failure is passed on as it came.
+// Fail answers a request that may have run. A worker's own failure is forwarded.
 func (c *client) Fail() {
 	mayHaveRun, failure := c.job.Close()
 	if !mayHaveRun && failure == nil {
@@ -72,22 +72,23 @@
 	c.answerUnclear(mayHaveRun, failure)
 }
 
-// notRunStatuses are the statuses that tell a client that its request has not run and never will.
+// notRunStatuses are the statuses that promise a client that its request has not run and never will.
 var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
 
-// wouldPromise tells whether a worker's failure would promise a client what is not known: that its request did not run.
+// wouldPromise reports whether forwarding a worker's failure would promise that the request did not run although it may
+// have.
 func (c *client) wouldPromise(mayHaveRun bool, failure *calls.Failure) bool {
 	return mayHaveRun && !c.request.Terms.Repeatable && slices.Contains(notRunStatuses, failure.Status)
 }
 
-// answerUnclear answers without a promise.
+// answerUnclear answers without promising that the request has not run.
 func (c *client) answerUnclear(mayHaveRun bool, failure *calls.Failure) {
 	if failure != nil && !c.wouldPromise(mayHaveRun, failure) {
 		c.copyHeader(failure.Header)
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(failure.Body)))
 		c.front.announceClose(c.writer)
 		c.writer.WriteHeader(failure.Status)
-		_, _ = c.writer.Write(failure.Body) // a client that has left is noticed by the server
+		_, _ = c.writer.Write(failure.Body) // the server detects a disconnected client
 		return
 	}
 	if time.Until(c.request.Deadline) < deadlineMargin {
@@ -97,7 +98,7 @@
 	c.front.writeAnswer(c.writer, http.StatusBadGateway, "the worker failed")
 }
 
-// Pass writes a piece of the answer as it came, at once, or the whole events of it where a stream may be picked up.
+// Pass forwards a piece of the answer immediately. If the stream can be resumed, it forwards only complete events.
 func (c *client) Pass(piece []byte) error {
 	whole := c.completeEvents(piece)
 	if len(whole) == 0 {
@@ -106,7 +107,7 @@
 	return c.write(whole)
 }
 
-// write writes a piece of the answer at once.
+// write writes a piece of the answer and records a failure.
 func (c *client) write(piece []byte) error {
 	err := c.writeAndFlush(piece)
 	c.unwritable = c.unwritable || err != nil
@@ -122,7 +123,7 @@
 		return err
 	}
 	if c.head.Length >= 0 {
-		return nil // it is written out with its end
+		return nil // it is flushed at its end
 	}
 	return c.control.Flush()
 }
@@ -141,8 +142,8 @@
 	c.writer.WriteHeader(c.head.Status)
 }
 
-// copyHeader takes over what does not concern the worker's connection. An answer without a type stays without one: the
-// server would guess it from the body.
+// copyHeader copies the headers that do not apply to the worker's connection. If the answer has no Content-Type, none
+// is set; otherwise the server would guess one from the body.
 func (c *client) copyHeader(source http.Header) {
 	header := c.writer.Header()
 	header["Content-Type"] = nil
@@ -153,7 +154,7 @@
 	}
 }
 
-// Finish leaves the end of the answer to the server.
+// Finish completes the answer; the server writes its end.
 func (c *client) Finish() {
 	if !c.finishEvents() {
 		c.broken = true
@@ -162,11 +163,11 @@
 	c.finishAnswer()
 }
 
-// finishAnswer ends the answer.
+// finishAnswer completes the answer.
 func (c *client) finishAnswer() {
 	c.writeHead()
-	_ = c.control.SetWriteDeadline(time.Time{}) // a connection that is gone is noticed by the server
+	_ = c.control.SetWriteDeadline(time.Time{}) // the server detects a closed connection
 }
 
-// Break has the connection closed before the answer's end.
+// Break closes the connection before the end of the answer.
 func (c *client) Break() { c.broken = true }
--- a/internal/proxy/front/front.go
+++ b/internal/proxy/front/front.go
@@ -1,5 +1,5 @@
-// Package front is the proxy's side towards clients: it matches requests to routes, reads them, hands them to the lane
-// of their service, and writes exactly one final answer each.
+// Package front is the client-facing side of the proxy. It matches requests to routes, reads them, passes them to the
+// lane of their service, and writes exactly one final answer to each.
 package front
 
 import (
@@ -16,29 +16,30 @@
 )
 
 const (
-	// noRoutingRetryAfter is the advice to clients while no configuration is known.
+	// noRoutingRetryAfter is the Retry-After value while no configuration is known.
 	noRoutingRetryAfter = 500 * time.Millisecond
-	// streamGrace is how long a stream may go on past its route's time: its worker ends it by itself at that time, and
-	// what it said last is still passed on.
+	// streamGrace is how long a stream may continue past its route's timeout. Its worker ends it at the timeout, and
+	// the worker's last output is still forwarded.
 	streamGrace      = 150 * time.Millisecond
 	headerRetryAfter = "Retry-After"
-	// goldenStep spreads consecutive draws evenly over 64 bits: the odd number nearest to 2^64 over the golden ratio.
+	// goldenStep spreads consecutive draws evenly over 64 bits. It is the odd number nearest to 2^64 divided by the
+	// golden ratio.
 	goldenStep = 0x9e3779b97f4a7c15
 )
 
-// Routing is what the front works by: one immutable state of the fleet.
+// Routing is one immutable state of the fleet, by which the front routes requests.
 type Routing struct {
 	Table  *opconf.Table
 	Limits opconf.Limits
 	Lanes  map[string]*lane.Lane // by service
 }
 
-// Front serves clients. Its zero value knows no configuration and refuses.
+// Front serves clients. Its zero value has no configuration and refuses all requests.
 type Front struct {
 	Calls  *calls.Calls
-	Bounds *bounds.Limiter // of clients' connections, told the limits in force; may be nil
+	Bounds *bounds.Limiter // of clients' connections, updated with the limits in force; may be nil
 
-	NoResume bool // streams that break stay broken: for trials
+	NoResume bool // disables the resumption of broken streams, for trials
 
 	routing      atomic.Pointer[Routing]
 	draining     atomic.Bool
@@ -46,7 +47,7 @@
 	draws        atomic.Uint64
 }
 
-// SetRouting has all requests from now on follow the routing.
+// SetRouting applies the routing to all requests from now on.
 func (f *Front) SetRouting(routing *Routing) {
 	f.routing.Store(routing)
 	if f.Bounds != nil {
@@ -54,10 +55,10 @@
 	}
 }
 
-// Drain asks clients to leave with their next answer.
+// Drain makes the front close each client's connection with its next answer.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// OpenRequests is how many requests are being served.
+// OpenRequests returns how many requests are being served.
 func (f *Front) OpenRequests() int64 { return f.openRequests.Load() }
 
 // ServeHTTP serves one request.
@@ -89,7 +90,7 @@
 	f.serve(w, request, route, service, call, received)
 }
 
-// serve has the lane carry the request.
+// serve has the service's lane execute the request, and resumes its stream if it breaks.
 func (f *Front) serve(w http.ResponseWriter, request *http.Request, route *opconf.Route, service *lane.Lane, call *calls.Request, received time.Time) {
 	job := calls.NewJob(f.Calls, call, service)
 	answering := &client{front: f, writer: w, control: http.NewResponseController(w), job: job, request: call}
@@ -106,7 +107,7 @@
 	}
 }
 
-// chooseLane draws the service of a route and gives its lane and the route's class there; nil where no lane is known.
+// chooseLane draws a service of the route. It returns its lane and the route's class there, or nil if no lane is known.
 func (f *Front) chooseLane(routing *Routing, route *opconf.Route) (*lane.Lane, int) {
 	service := routing.Lanes[f.drawService(route)]
 	if service == nil {
@@ -115,7 +116,7 @@
 	return service, service.Class(route.Name)
 }
 
-// drawService draws the service of a route by its weights.
+// drawService draws a service of the route by weight.
 func (f *Front) drawService(route *opconf.Route) string {
 	total := 0.0
 	for _, share := range route.Shares {
@@ -130,7 +131,7 @@
 	return ""
 }
 
-// newRequest is the newRequest as it goes on.
+// newRequest builds the request that is sent to workers.
 func (f *Front) newRequest(request *http.Request, route *opconf.Route, body []byte, received time.Time, class int) *calls.Request {
 	timeout := route.GiveUp
 	if left, err := strconv.ParseInt(request.Header.Get("X-Time-Left"), 10, 48); err == nil && left > 0 {
@@ -156,28 +157,28 @@
 }
 
 const (
-	// firstPriority is that of the rank that matters most; each further rank comes priorityStep behind.
+	// firstPriority is the priority of rank 0, the most important. Each further rank adds priorityStep.
 	firstPriority = 2
 	priorityStep  = 2
 	lastPriority  = 9
 )
 
-// priority is how urgent a route's requests are to workers.
+// priority returns the priority of a route's requests at workers.
 func priority(rank int) int { return min(firstPriority+priorityStep*rank, lastPriority) }
 
-// refuse promises that the request has not run and never will.
+// refuse answers that the request has not run and never will.
 func (f *Front) refuse(w http.ResponseWriter, retryAfter time.Duration) {
 	w.Header().Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	f.writeAnswer(w, http.StatusServiceUnavailable, "refused")
 }
 
-// writeAnswer writes a short answer of our own.
+// writeAnswer writes a short answer of the proxy itself.
 func (f *Front) writeAnswer(w http.ResponseWriter, status int, text string) {
 	f.announceClose(w)
 	http.Error(w, text, status)
 }
 
-// announceClose tells a client with its answer that the connection ends, if it does.
+// announceClose marks an answer as the last on its connection if the front is draining.
 func (f *Front) announceClose(w http.ResponseWriter) {
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/front/front_test.go
+++ b/internal/proxy/front/front_test.go
@@ -16,7 +16,7 @@
 	"services":[{"name":"s","health_path":"/health","max_connections":9,"protocol":"h1","tls":false}],
 	"limits":{"header_bytes":1000,"body_bytes":10,"header_wait_ms":100,"quiet_ms":1000}}`
 
-// serveRequest is what the front says to a request.
+// serveRequest returns the front's answer to a request.
 func serveRequest(front *Front, method, path, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader(body))
 	recorder := httptest.NewRecorder()
@@ -24,7 +24,7 @@
 	return recorder
 }
 
-// newConfiguredFront is a front that knows a configuration, and no worker of its service.
+// newConfiguredFront returns a front with a configuration and no lane for its service.
 func newConfiguredFront(c *qt.C) *Front {
 	configuration, err := opconf.Parse([]byte(document))
 	c.Assert(err, qt.IsNil)
@@ -35,9 +35,9 @@
 
 func TestRefusesWithoutConfiguration(t *testing.T) {
 	c := qt.New(t)
-	// Given a front that knows no configuration, when any request comes.
+	// Given a front without a configuration, when any request arrives.
 	got := serveRequest(&Front{}, "GET", "/a/x", "")
-	// Then it is refused with advice on when to return, and not called unknown.
+	// Then it is refused with a Retry-After header instead of being answered 404.
 	c.Assert(got.Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(got.Header().Get("Retry-After"), qt.Equals, "0.500")
 }
@@ -46,7 +46,7 @@
 	c := qt.New(t)
 	front := newConfiguredFront(c)
 	c.Assert(serveRequest(front, "GET", "/b/x", "").Code, qt.Equals, http.StatusNotFound)
-	// A route that is there but whose service is not known here is refused.
+	// A known route whose service has no lane is refused.
 	c.Assert(serveRequest(front, "GET", "/a/x", "").Code, qt.Equals, http.StatusServiceUnavailable)
 }
 
@@ -76,7 +76,7 @@
 	c.Assert(priority(100), qt.Equals, lastPriority)
 }
 
-// Weights draw services in their proportion, and one of weight 0 never.
+// Services are drawn in proportion to their weights. A service of weight 0 is never drawn.
 func TestServicesAreDrawnByWeight(t *testing.T) {
 	c := qt.New(t)
 	front := &Front{}
--- a/internal/proxy/front/furtherrun_test.go
+++ b/internal/proxy/front/furtherrun_test.go
@@ -20,12 +20,12 @@
 		ctx    context.Context
 		wanted bool
 	}{
-		"a broken stream":            {func(*client) {}, context.Background(), true},
-		"a whole one":                {func(c *client) { c.broken = false }, context.Background(), false},
-		"that can't be written on":   {func(c *client) { c.unwritable = true }, context.Background(), false},
-		"whose client has left":      {func(*client) {}, canceled, false},
-		"whose time is up":           {func(c *client) { c.request.Deadline = time.Now() }, context.Background(), false},
-		"that is no longer followed": {func(c *client) { c.resumption = nil }, context.Background(), false},
+		"a broken stream":                   {func(*client) {}, context.Background(), true},
+		"a complete stream":                 {func(c *client) { c.broken = false }, context.Background(), false},
+		"a client that can't be written to": {func(c *client) { c.unwritable = true }, context.Background(), false},
+		"a disconnected client":             {func(*client) {}, canceled, false},
+		"a passed deadline":                 {func(c *client) { c.request.Deadline = time.Now() }, context.Background(), false},
+		"a stream that can't be resumed":    {func(c *client) { c.resumption = nil }, context.Background(), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -12,20 +12,20 @@
 	"sumacloft/internal/proxy/lane"
 )
 
-// maxResumptions is how often a broken stream is picked up at another worker.
+// maxResumptions is how many times a broken stream may be resumed at another worker.
 const maxResumptions = 2
 
-// errNoContinuation says that a further run can't go on with the answer.
-var errNoContinuation = errors.New("the run does not go on with the answer")
+// errNoContinuation reports that a resumed run can't continue the answer.
+var errNoContinuation = errors.New("resumed run does not continue the answer")
 
-// resumption is what is known of a stream that may be picked up at another worker: only whole events of it are passed on.
+// resumption is the state of a stream that another worker may resume. Only its complete events are forwarded.
 type resumption struct {
 	splitter events.Splitter
 	sequence events.Sequence
-	worker   string // whose run is passed on
+	worker   string // whose run is being forwarded
 }
 
-// addFirst takes bytes of the first run and gives those of them that are whole events.
+// addFirst adds bytes of the first run and returns the events that they complete.
 func (r *resumption) addFirst(piece []byte) (whole []byte) {
 	for _, event := range r.splitter.Add(piece) {
 		r.sequence.AddFirst(event)
@@ -34,7 +34,8 @@
 	return whole
 }
 
-// addResumed takes bytes of a further run and gives what goes on behind the events that were passed on, as far as it does.
+// addResumed adds bytes of a resumed run and returns the events that continue the forwarded ones, up to the first
+// error.
 func (r *resumption) addResumed(piece []byte) (whole []byte, err error) {
 	for _, event := range r.splitter.Add(piece) {
 		pass, err := r.sequence.AddResumed(event)
@@ -51,14 +52,14 @@
 	return whole, nil
 }
 
-// beginResumed drops what came of an event that is not whole, before a further run.
+// beginResumed discards the incomplete event before a resumed run.
 func (r *resumption) beginResumed() {
 	r.splitter = events.Splitter{}
 	r.sequence.Resume()
 }
 
-// completeEvents gives what is to be passed on of a piece of the first run. Once an event is too large to be kept, everything is,
-// and the stream can't be picked up any more.
+// completeEvents returns what to forward of a piece of the first run. Once an event is too large to be buffered,
+// everything is forwarded and the stream can't be resumed any more.
 func (c *client) completeEvents(piece []byte) []byte {
 	if c.resumption == nil {
 		return piece
@@ -71,8 +72,8 @@
 	return whole
 }
 
-// finishEvents takes the proper end of the first run; false: it is none, as it comes in the middle of an event and may be the
-// end of the worker as well.
+// finishEvents handles a regular end of the first run. It returns false if the end is not reliable: an end within an
+// event may mean that the worker failed, unless the answer is framed.
 func (c *client) finishEvents() bool {
 	if c.resumption == nil || len(c.resumption.splitter.Partial()) == 0 {
 		return true
@@ -80,7 +81,7 @@
 	return c.head.Framed && c.write(c.resumption.splitter.Partial()) == nil
 }
 
-// resume goes on with a stream that broke at other workers, within the same answer.
+// resume continues a broken stream at other workers, within the same answer.
 func (c *client) resume(ctx context.Context, service *lane.Lane) {
 	for range maxResumptions {
 		run := c.newResumedRun(ctx)
@@ -95,7 +96,7 @@
 	}
 }
 
-// newResumedRun prepares to go on with a stream that broke; nil where it may not be picked up.
+// newResumedRun prepares to resume a broken stream. It returns nil if the stream may not be resumed.
 func (c *client) newResumedRun(ctx context.Context) *resumedRun {
 	if !c.broken || c.unwritable || c.resumption == nil {
 		return nil
@@ -116,15 +117,15 @@
 	return &resumedRun{client: c}
 }
 
-// resumedRun is the receiving end of a run that goes on with a client's answer, which is broken until it has come to its
-// end; it serves core.Client and core.Opener.
+// resumedRun receives a run that resumes a client's answer. The answer counts as broken until the run reaches its end.
+// It implements core.Client and core.Opener.
 type resumedRun struct {
 	client     *client
-	mismatched bool // it does not go on with the answer
-	broke      bool // it began, and broke
+	mismatched bool // it does not continue the answer
+	broke      bool // it started and broke
 }
 
-// Open serves core.Opener. The answer keeps the head of its first worker.
+// Open implements core.Opener. The answer keeps the head of its first worker.
 func (r *resumedRun) Open(stream core.Stream) {
 	headed, ok := stream.(calls.Headed)
 	if !ok {
@@ -136,13 +137,13 @@
 	r.client.resumption.worker = head.Worker
 }
 
-// Refuse serves core.Client: the answer stays broken.
+// Refuse implements core.Client. The answer stays broken.
 func (r *resumedRun) Refuse(time.Duration) {}
 
-// Fail serves core.Client: the answer stays broken.
+// Fail implements core.Client. The answer stays broken.
 func (r *resumedRun) Fail() {}
 
-// Pass serves core.Client.
+// Pass implements core.Client.
 func (r *resumedRun) Pass(piece []byte) error {
 	if r.mismatched {
 		return errNoContinuation
@@ -157,7 +158,7 @@
 	return err
 }
 
-// Finish serves core.Client.
+// Finish implements core.Client.
 func (r *resumedRun) Finish() {
 	resumption := r.client.resumption
 	if r.mismatched || len(resumption.splitter.Partial()) > 0 || !resumption.sequence.CaughtUp() {
@@ -167,5 +168,5 @@
 	r.client.finishAnswer()
 }
 
-// Break serves core.Client.
+// Break implements core.Client.
 func (r *resumedRun) Break() { r.broke = !r.mismatched }
