--- a/cmd/fleetd/ask_test.go
+++ b/cmd/fleetd/ask_test.go
@@ -29,7 +29,7 @@
 			Name: "configuration", Role: "leader", Term: 2, Leader: "10.0.0.1:7700", Commit: 5, Applied: 5, Last: 6, Stable: 6, Snapshot: 1,
 			Members: []status.Member{
 				{ID: "1", Address: "10.0.0.1:7700", Voter: true, Self: true},
-				{ID: "2", Address: "10.0.0.2:7700", Voter: true, Progress: &status.Progress{State: "probe", Match: 4, Heard: true, SilentMS: 1200}},
+				{ID: "2", Address: "10.0.0.2:7700", Voter: true, Progress: &status.Progress{State: "probe", Match: 4, Responded: true, SilentMS: 1200}},
 				{ID: "3", Address: "10.0.0.3:7700", Progress: &status.Progress{State: "snapshot"}},
 			},
 		}},
--- a/cmd/fleetd/headlines.go
+++ b/cmd/fleetd/headlines.go
@@ -13,8 +13,8 @@
 		return ""
 	}
 	text := "link to the control plane: " + link.State
-	if link.DisksWanted > 0 && link.DisksHeard < link.DisksWanted {
-		text += fmt.Sprintf(" (%d of %d disks heard since the start)", link.DisksHeard, link.DisksWanted)
+	if link.DisksNeeded > 0 && link.DisksReported < link.DisksNeeded {
+		text += fmt.Sprintf(" (%d of %d disks heard since the start)", link.DisksReported, link.DisksNeeded)
 	}
 	if link.Advice != "" {
 		text += "\n  " + link.Advice
--- a/cmd/fleetd/table.go
+++ b/cmd/fleetd/table.go
@@ -136,7 +136,7 @@
 		return "this one", "-", "-"
 	case seen == nil:
 		return "-", "-", "-"
-	case !seen.Heard:
+	case !seen.Responded:
 		return seen.State, decimal(seen.Match), "never"
 	}
 	return seen.State, decimal(seen.Match), fmt.Sprintf("%v ago", time.Duration(seen.SilentMS)*time.Millisecond)
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -43,7 +43,8 @@
 
 func newFeed(source *node.Node, zone string, released <-chan struct{}, link func() message.Link) *feed {
 	snapshot, _ := source.Snapshot()
-	return &feed{node: source, zone: zone, incarnation: rand.Uint64() | 1, released: released, link: link, lastWatchAt: time.Now(), lastSnapshot: snapshot}
+	return &feed{node: source, zone: zone, incarnation: rand.Uint64() | 1, released: released,
+		link: link, lastWatchAt: time.Now(), lastSnapshot: snapshot}
 }
 
 // watch answers once the state differs from what the proxy knows, or after watchTimeout.
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -27,7 +27,7 @@
 	}
 	link := a.link()
 	voters, _ := a.confirmation.byMajority()
-	report.Link = &status.Link{State: link.String(), Advice: link.Advice(), DisksHeard: voters, DisksWanted: a.confirmation.majority}
+	report.Link = &status.Link{State: link.String(), Advice: link.Advice(), DisksReported: voters, DisksNeeded: a.confirmation.majority}
 	snapshot, _ := a.members.Node().Snapshot()
 	status.Gather(report, snapshot)
 	report.Traffic = status.TrafficOf(a.client.Meter(), status.HostsInZone(snapshot, a.settings.Zone))
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -126,7 +126,7 @@
 func progressOf(members []consensus.MemberStatus, now time.Duration) map[consensus.MemberID]*status.Progress {
 	progress := make(map[consensus.MemberID]*status.Progress, len(members))
 	for _, member := range members {
-		seen := &status.Progress{State: member.State.String(), Match: uint64(member.Match), Heard: member.Contacted}
+		seen := &status.Progress{State: member.State.String(), Match: uint64(member.Match), Responded: member.Contacted}
 		if member.Contacted {
 			seen.SilentMS = (now - member.LastContact).Milliseconds()
 		}
--- a/internal/control/member/status_test.go
+++ b/internal/control/member/status_test.go
@@ -40,7 +40,7 @@
 		Members: []status.Member{
 			{ID: "1f", Node: one.Node, Address: one.Address, Voter: true, Self: true},
 			{ID: "2", Node: two.Node, Address: two.Address, Voter: true,
-				Progress: &status.Progress{State: "replicate", Match: 9, Heard: true, SilentMS: 300}},
+				Progress: &status.Progress{State: "replicate", Match: 9, Responded: true, SilentMS: 300}},
 			{ID: "3", Node: three.Node, Address: three.Address, Progress: &status.Progress{State: "probe"}},
 		},
 	})
--- a/internal/proxy/events/events.go
+++ b/internal/proxy/events/events.go
@@ -27,12 +27,12 @@
 // Add appends the next bytes of the stream and returns the events that they complete. The bytes are copied.
 func (s *Splitter) Add(piece []byte) []Event {
 	s.partial = append(s.partial, piece...)
-	var whole []Event
+	var completed []Event
 	for end := s.nextEnd(); end > 0; end = s.nextEnd() {
-		whole = append(whole, parse(s.partial[:end]))
+		completed = append(completed, parse(s.partial[:end]))
 		s.partial, s.lineStart = s.partial[end:], 0
 	}
-	return whole
+	return completed
 }
 
 // nextEnd returns the offset of the first event's end, or 0 if the event is incomplete.
--- a/internal/proxy/front/answers_test.go
+++ b/internal/proxy/front/answers_test.go
@@ -103,7 +103,7 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(connection, head+"\r\n"+text)
 		time.Sleep(idleGap)
-		return resetConnection(connection, request)
+		return resetConn(connection, request)
 	}
 }
 
--- a/internal/proxy/front/arrivals_test.go
+++ b/internal/proxy/front/arrivals_test.go
@@ -74,19 +74,19 @@
 		requestCount = 120
 		extra        = 10
 	)
-	whole := respondStream("seal", endProperly, eventsOf(1, lastEventID))
+	stream := respondStream("seal", endProperly, eventsOf(1, lastID))
 	for name, given := range map[string]struct {
 		reader, writer reply
 		readsSucceed   bool
 	}{
-		"readers reset the first call":              {onFirstCall(resetConnection, respond(readPrompt)), whole, false},
-		"readers refuse the first call":             {onFirstCall(respond(notRun), respond(readPrompt)), whole, false},
-		"writers reset":                             {respond(readPrompt), resetConnection, true},
-		"writers refuse the first run":              {respond(readPrompt), onFirstCall(respond(notRun), whole), true},
+		"readers reset the first call":              {onFirstCall(resetConn, respond(readPrompt)), stream, false},
+		"readers refuse the first call":             {onFirstCall(respond(notRun), respond(readPrompt)), stream, false},
+		"writers reset":                             {respond(readPrompt), resetConn, true},
+		"writers refuse the first run":              {respond(readPrompt), onFirstCall(respond(notRun), stream), true},
 		"writers refuse all runs":                   {respond(readPrompt), respond(notRun), true},
-		"both reset":                                {resetConnection, resetConnection, false},
-		"readers reset and writers refuse":          {onFirstCall(resetConnection, respond(readPrompt)), respond(notRun), false},
-		"readers reset and writers reset the first": {onFirstCall(resetConnection, respond(readPrompt)), onFirstCall(resetConnection, whole), false},
+		"both reset":                                {resetConn, resetConn, false},
+		"readers reset and writers refuse":          {onFirstCall(resetConn, respond(readPrompt)), respond(notRun), false},
+		"readers reset and writers reset the first": {onFirstCall(resetConn, respond(readPrompt)), onFirstCall(resetConn, stream), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given two readers and four writers that fail in one way.
@@ -123,7 +123,7 @@
 		"no token count": {"", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			workers := stagedWriters(2, respondStream("seal", endProperly, eventsOf(1, lastEventID)))
+			workers := stagedWriters(2, respondStream("seal", endProperly, eventsOf(1, lastID)))
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				got := s.exchange(c, "POST "+streamPath+" HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: 1\r\n"+given.tokens+"Content-Length: 0\r\n\r\n")
 				c.Assert(got.status, qt.Equals, http.StatusOK)
--- a/internal/proxy/front/client.go
+++ b/internal/proxy/front/client.go
@@ -100,11 +100,11 @@
 
 // Pass forwards a piece of the answer immediately. If the stream can be resumed, it forwards only complete events.
 func (c *client) Pass(piece []byte) error {
-	whole := c.completeEvents(piece)
-	if len(whole) == 0 {
+	complete := c.completeEvents(piece)
+	if len(complete) == 0 {
 		return nil
 	}
-	return c.write(whole)
+	return c.write(complete)
 }
 
 // write writes a piece of the answer and records a failure.
--- a/internal/proxy/front/deadline_test.go
+++ b/internal/proxy/front/deadline_test.go
@@ -46,8 +46,8 @@
 	return false
 }
 
-// resetConnection resetConnection the connection.
-func resetConnection(connection *memnet.Conn, request *http.Request) bool {
+// resetConn resetConn the connection.
+func resetConn(connection *memnet.Conn, request *http.Request) bool {
 	_, _ = io.Copy(io.Discard, request.Body)
 	connection.Reset()
 	return false
@@ -62,8 +62,8 @@
 	return workers
 }
 
-// stagedWorkers returns readers and writers.
-func stagedWorkers(reader, writer reply) []*worker {
+// staged returns readers and writers.
+func staged(reader, writer reply) []*worker {
 	return []*worker{
 		{name: "reader-0", phase: "reading", reply: reader},
 		{name: "reader-1", phase: "reading", reply: reader},
@@ -90,19 +90,19 @@
 		"answers stall in their head":    {workers: plainWorkers(2, respondPartly("HTTP/1.1 200 OK\r\nX-Server")), paths: plain},
 		"answers stall in their body":    {workers: plainWorkers(2, respondPartly(strings.TrimSuffix(served, "rved"))), paths: plain},
 		"failures stall in their body":   {workers: plainWorkers(2, respondPartly("HTTP/1.1 500 Oops\r\nContent-Length: 9\r\n\r\noop")), paths: plain},
-		"workers reset connections":      {workers: plainWorkers(2, resetConnection), paths: plain},
-		"workers refuse late":            {workers: plainWorkers(2, respondAfter(700*time.Millisecond, respond(notRun))), paths: plain},
+		"workers reset connections":      {workers: plainWorkers(2, resetConn), paths: plain},
+		"workers refuse late":            {workers: plainWorkers(2, delayed(700*time.Millisecond, respond(notRun))), paths: plain},
 		"workers refuse":                 {workers: plainWorkers(2, respond(notRun)), paths: plain},
-		"staged workers are unreachable": {workers: stagedWorkers(respond(readPrompt), respond(served)), paths: stream, unreachable: true},
-		"readers never answer":           {workers: stagedWorkers(neverRespond, neverRespond), paths: stream},
-		"readers refuse":                 {workers: stagedWorkers(respond(notRun), neverRespond), paths: stream},
-		"readers reset connections":      {workers: stagedWorkers(resetConnection, neverRespond), paths: stream},
-		"writers never answer":           {workers: stagedWorkers(respond(readPrompt), neverRespond), paths: stream},
-		"writers refuse":                 {workers: stagedWorkers(respond(readPrompt), respond(notRun)), paths: stream},
-		"writers refuse late":            {workers: stagedWorkers(respond(readPrompt), respondAfter(700*time.Millisecond, respond(notRun))), paths: stream},
-		"writers stall before an event":  {workers: stagedWorkers(respond(readPrompt), respondPartly(flowing+"\r\n")), paths: stream},
-		"writers stall within an event":  {workers: stagedWorkers(respond(readPrompt), respondPartly(flowing+"\r\nid: 1\n")), paths: stream},
-		"writers reset connections":      {workers: stagedWorkers(respond(readPrompt), resetConnection), paths: stream},
+		"staged workers are unreachable": {workers: staged(respond(readPrompt), respond(served)), paths: stream, unreachable: true},
+		"readers never answer":           {workers: staged(neverRespond, neverRespond), paths: stream},
+		"readers refuse":                 {workers: staged(respond(notRun), neverRespond), paths: stream},
+		"readers reset connections":      {workers: staged(resetConn, neverRespond), paths: stream},
+		"writers never answer":           {workers: staged(respond(readPrompt), neverRespond), paths: stream},
+		"writers refuse":                 {workers: staged(respond(readPrompt), respond(notRun)), paths: stream},
+		"writers refuse late":            {workers: staged(respond(readPrompt), delayed(700*time.Millisecond, respond(notRun))), paths: stream},
+		"writers stall before an event":  {workers: staged(respond(readPrompt), respondPartly(flowing+"\r\n")), paths: stream},
+		"writers stall within an event":  {workers: staged(respond(readPrompt), respondPartly(flowing+"\r\nid: 1\n")), paths: stream},
+		"writers reset connections":      {workers: staged(respond(readPrompt), resetConn), paths: stream},
 	}
 }
 
@@ -142,7 +142,7 @@
 
 func TestStreamEndsSoonAfterItsRouteGivesUp(t *testing.T) {
 	// Given a writer whose stream never ends.
-	runScene(t, stagedWorkers(respond(readPrompt), streamForever), func(c *qt.C, s *scene) {
+	runScene(t, staged(respond(readPrompt), streamForever), func(c *qt.C, s *scene) {
 		// When a client requests it, then the stream is aborted soon after the route's timeout.
 		got := s.send(c, streamPath, "prompt")
 		c.Assert(got.status, qt.Equals, http.StatusOK)
@@ -162,15 +162,15 @@
 		workers []*worker
 		status  int
 	}{
-		"an unrepeatable request that may have run":        {riskyPath, plainWorkers(2, respondAfter(slow, resetConnection)), http.StatusBadGateway},
-		"an unrepeatable request that failed":              {riskyPath, plainWorkers(2, respondAfter(slow, respond(failed))), http.StatusInternalServerError},
-		"a repeatable request that failed everywhere":      {harmlessPath, plainWorkers(2, respondAfter(slow, resetConnection)), http.StatusBadGateway},
-		"an invalid request":                               {harmlessPath, plainWorkers(2, respondAfter(slow, respond(atFault))), http.StatusUnprocessableEntity},
-		"an unrepeatable request that all workers refused": {riskyPath, plainWorkers(2, respond(notRun)), http.StatusServiceUnavailable},
-		"a repeatable request that all workers refused":    {harmlessPath, plainWorkers(2, respond(notRun)), http.StatusServiceUnavailable},
-		"a prompt that all readers refused":                {streamPath, stagedWorkers(respond(notRun), neverRespond), http.StatusServiceUnavailable},
-		"a stream whose writer connection was reset":       {streamPath, stagedWorkers(respond(readPrompt), respondAfter(slow, resetConnection)), http.StatusBadGateway},
-		"a stream whose writer failed":                     {streamPath, stagedWorkers(respond(readPrompt), respondAfter(slow, respond(failed))), http.StatusInternalServerError},
+		"unrepeatable, may have run":       {riskyPath, plainWorkers(2, delayed(slow, resetConn)), http.StatusBadGateway},
+		"unrepeatable, failed":             {riskyPath, plainWorkers(2, delayed(slow, respond(failed))), http.StatusInternalServerError},
+		"repeatable, failed everywhere":    {harmlessPath, plainWorkers(2, delayed(slow, resetConn)), http.StatusBadGateway},
+		"an invalid request":               {harmlessPath, plainWorkers(2, delayed(slow, respond(atFault))), http.StatusUnprocessableEntity},
+		"unrepeatable, all workers refuse": {riskyPath, plainWorkers(2, respond(notRun)), http.StatusServiceUnavailable},
+		"repeatable, all workers refuse":   {harmlessPath, plainWorkers(2, respond(notRun)), http.StatusServiceUnavailable},
+		"prompt, all readers refuse":       {streamPath, staged(respond(notRun), neverRespond), http.StatusServiceUnavailable},
+		"stream, writer resets":            {streamPath, staged(respond(readPrompt), delayed(slow, resetConn)), http.StatusBadGateway},
+		"stream, writer fails":             {streamPath, staged(respond(readPrompt), delayed(slow, respond(failed))), http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScene(t, given.workers, func(c *qt.C, s *scene) {
--- a/internal/proxy/front/failures_test.go
+++ b/internal/proxy/front/failures_test.go
@@ -83,7 +83,7 @@
 func TestInvalidPromptIsNotRetried(t *testing.T) {
 	// Given readers that reject a prompt as invalid.
 	given := failures["one of the client's"]
-	workers := stagedWorkers(respond(given.raw), respond(served))
+	workers := staged(respond(given.raw), respond(served))
 	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client sends it, then it receives that failure, since a retry would not help.
 		got := s.send(c, streamPath, "prompt")
@@ -97,11 +97,11 @@
 func TestFailingPrefillIsRetriedWithinLimit(t *testing.T) {
 	for name, answer := range map[string]reply{
 		"readers fail":              respond(failures["one of the worker's own"].raw),
-		"readers reset connections": resetConnection,
+		"readers reset connections": resetConn,
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given readers that accept a prompt and fail.
-			workers := stagedWorkers(answer, respond(served))
+			workers := staged(answer, respond(served))
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client sends a request, then the prefill is tried a limited number of times, and the rest of
 				// the service's retry budget is left to other requests.
--- a/internal/proxy/front/front.go
+++ b/internal/proxy/front/front.go
@@ -91,7 +91,8 @@
 }
 
 // serve has the service's lane execute the request, and resumes its stream if it breaks.
-func (f *Front) serve(w http.ResponseWriter, request *http.Request, route *opconf.Route, service *lane.Lane, call *calls.Request, received time.Time) {
+func (f *Front) serve(w http.ResponseWriter, request *http.Request, route *opconf.Route, service *lane.Lane, call *calls.Request,
+	received time.Time) {
 	job := calls.NewJob(f.Calls, call, service)
 	answering := &client{front: f, writer: w, control: http.NewResponseController(w), job: job, request: call}
 	if route.Kind == opconf.Flowing && route.PickUp && !f.NoResume {
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -26,30 +26,30 @@
 }
 
 // addFirst adds bytes of the first run and returns the events that they complete.
-func (r *resumption) addFirst(piece []byte) (whole []byte) {
+func (r *resumption) addFirst(piece []byte) (complete []byte) {
 	for _, event := range r.splitter.Add(piece) {
 		r.sequence.AddFirst(event)
-		whole = append(whole, event.Text...)
+		complete = append(complete, event.Text...)
 	}
-	return whole
+	return complete
 }
 
 // addResumed adds bytes of a resumed run and returns the events that continue the forwarded ones, up to the first
 // error.
-func (r *resumption) addResumed(piece []byte) (whole []byte, err error) {
+func (r *resumption) addResumed(piece []byte) (complete []byte, err error) {
 	for _, event := range r.splitter.Add(piece) {
 		pass, err := r.sequence.AddResumed(event)
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		if pass {
-			whole = append(whole, event.Text...)
+			complete = append(complete, event.Text...)
 		}
 	}
 	if r.splitter.TooLarge() {
-		return whole, errNoContinuation
+		return complete, errNoContinuation
 	}
-	return whole, nil
+	return complete, nil
 }
 
 // beginResumed discards the incomplete event before a resumed run.
@@ -64,12 +64,12 @@
 	if c.resumption == nil {
 		return piece
 	}
-	whole := c.resumption.addFirst(piece)
+	complete := c.resumption.addFirst(piece)
 	if c.resumption.splitter.TooLarge() {
-		whole = append(whole, c.resumption.splitter.Partial()...)
+		complete = append(complete, c.resumption.splitter.Partial()...)
 		c.resumption = nil
 	}
-	return whole
+	return complete
 }
 
 // finishEvents handles a regular end of the first run. It returns false if the end is not reliable: an end within an
@@ -148,10 +148,10 @@
 	if r.mismatched {
 		return errNoContinuation
 	}
-	whole, err := r.client.resumption.addResumed(piece)
+	complete, err := r.client.resumption.addResumed(piece)
 	r.mismatched = err != nil
-	if len(whole) > 0 {
-		if err := r.client.write(whole); err != nil {
+	if len(complete) > 0 {
+		if err := r.client.write(complete); err != nil {
 			return err
 		}
 	}
--- a/internal/proxy/front/pickup_bounds_test.go
+++ b/internal/proxy/front/pickup_bounds_test.go
@@ -17,17 +17,18 @@
 func TestStreamIsResumedAtMostTwice(t *testing.T) {
 	onceMore := respondStream("second", byReset, eventsOf(3, 3), eventsOf(4, 4)+"id: 5")
 	for name, given := range map[string]struct {
-		path    string
-		answers []reply
-		body    string
-		whole   bool
-		runs    int
+		path     string
+		answers  []reply
+		body     string
+		complete bool
+		runs     int
 	}{
-		"twice":                               {resumablePath, []reply{breakAfter(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, lastEventID), true, 3},
-		"each time":                           {resumablePath, []reply{breakAfter(2, byReset, ""), onceMore, breakAfter(lastEventID, byReset, "")}, eventsOf(1, lastEventID), false, 3},
-		"twice, where two workers may run it": {twoWorkersPath, []reply{breakAfter(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, 4), false, 2},
-		"once, where two may run it":          {twoWorkersPath, []reply{breakAfter(2, byReset, ""), resumeStream}, eventsOf(1, lastEventID), true, 2},
-		"once, where only one may run it":     {oneWorkerPath, []reply{breakAfter(2, byReset, ""), resumeStream}, eventsOf(1, 2), false, 1},
+		"twice": {resumablePath, []reply{breakAt(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, lastID), true, 3},
+		"each time": {resumablePath, []reply{breakAt(2, byReset, ""), onceMore,
+			breakAt(lastID, byReset, "")}, eventsOf(1, lastID), false, 3},
+		"twice, where two workers may run it": {twoWorkersPath, []reply{breakAt(2, byReset, ""), onceMore, resumeStream}, eventsOf(1, 4), false, 2},
+		"once, where two may run it":          {twoWorkersPath, []reply{breakAt(2, byReset, ""), resumeStream}, eventsOf(1, lastID), true, 2},
+		"once, where one may run it":          {oneWorkerPath, []reply{breakAt(2, byReset, ""), resumeStream}, eventsOf(1, 2), false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given workers that break a stream off, one after the other.
@@ -37,7 +38,7 @@
 				got := s.send(c, given.path, "prompt")
 				// Then the answer continues while the route's tries and maxResumptions allow another worker.
 				c.Assert(got.body, qt.Equals, given.body)
-				c.Assert(got.complete, qt.Equals, given.whole)
+				c.Assert(got.complete, qt.Equals, given.complete)
 				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, given.runs)
 				// And no worker is used again after it failed.
@@ -54,7 +55,7 @@
 func TestResumptionUsesTheRetryBudget(t *testing.T) {
 	for extra, given := range map[int]struct {
 		reads, runs int
-		whole       bool
+		complete    bool
 	}{
 		0: {1, 1, false},
 		2: {2, 1, false}, // a proxy uses 0.8 of it: the prompt is read once more, but there is no second run
@@ -62,11 +63,11 @@
 	} {
 		t.Run(fmt.Sprint(extra), func(t *testing.T) {
 			// Given a bound on repeated arrivals, and a stream that breaks.
-			workers := stagedWriters(2, breakAfter(2, byReset, ""), resumeStream)
+			workers := stagedWriters(2, breakAt(2, byReset, ""), resumeStream)
 			runSceneWithExtra(t, extra, workers, func(c *qt.C, s *scene) {
 				// When a client requests it, then it is resumed only if the bound permits both the prefill and the run.
 				got := s.send(c, resumablePath, "prompt")
-				c.Assert(got.complete, qt.Equals, given.whole)
+				c.Assert(got.complete, qt.Equals, given.complete)
 				c.Assert(strings.HasPrefix(got.body, eventsOf(1, 2)), qt.IsTrue)
 				names, _ := runsOf(workers)
 				c.Assert(names, qt.HasLen, given.runs)
@@ -88,7 +89,7 @@
 	for writers, body := range map[int]string{1: eventsOf(1, 2), 2: eventsOf(1, 3)} {
 		t.Run(fmt.Sprint(writers), func(t *testing.T) {
 			// Given a stream that breaks at all writers.
-			answers := []reply{breakAfter(2, byReset, ""), respondStream("second", byReset, eventsOf(3, 3)), resumeStream}
+			answers := []reply{breakAt(2, byReset, ""), respondStream("second", byReset, eventsOf(3, 3)), resumeStream}
 			workers := stagedWriters(writers, append(answers[:writers:writers], resumeStream)...)
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client requests it, then the answer soon ends as broken, and no worker is called again.
@@ -105,7 +106,7 @@
 
 func TestStreamWithoutResumptionIsForwardedUnchanged(t *testing.T) {
 	// Given a stream that breaks within an event, on a route without resumption.
-	workers := stagedWriters(2, breakAfter(2, byReset, "id: 3\nda"), resumeStream)
+	workers := stagedWriters(2, breakAt(2, byReset, "id: 3\nda"), resumeStream)
 	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client requests it, then it receives everything that was sent, and no other worker is called.
 		got := s.send(c, streamPath, "prompt")
@@ -162,10 +163,10 @@
 func TestCompleteStreamIsForwardedUnchanged(t *testing.T) {
 	large := largeEvent()
 	for name, text := range map[string]string{
-		"events":                          eventsOf(1, lastEventID),
-		"with CRLF line ends":             strings.ReplaceAll(eventsOf(1, lastEventID), "\n", "\r\n"),
-		"without the last empty line":     strings.TrimSuffix(eventsOf(1, lastEventID), "\n"),
-		"with an event that is too large": eventsOf(1, 1) + large + eventsOf(3, lastEventID),
+		"events":                          eventsOf(1, lastID),
+		"with CRLF line ends":             strings.ReplaceAll(eventsOf(1, lastID), "\n", "\r\n"),
+		"without the last empty line":     strings.TrimSuffix(eventsOf(1, lastID), "\n"),
+		"with an event that is too large": eventsOf(1, 1) + large + eventsOf(3, lastID),
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given a worker that sends a complete answer, when a client requests it, then it receives the answer
@@ -190,7 +191,7 @@
 	for name, lines := range map[string][]string{"the client's": {"X-Time-Left: 300"}, "no early deadline": nil} {
 		t.Run(name, func(t *testing.T) {
 			// Given a stream that breaks after a while.
-			workers := stagedWriters(2, breakAfter(2, breakLate, ""), resumeStream)
+			workers := stagedWriters(2, breakAt(2, breakLate, ""), resumeStream)
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client requests it, then it is resumed only before the deadline.
 				got := s.send(c, resumablePath, "prompt", lines...)
@@ -229,7 +230,7 @@
 				time.Sleep(slow - 2*eventInterval)
 				connection.Reset()
 			}
-			workers := stagedWritersAfter(respondAfter(slow, respond(readPrompt)), 2, breakAfter(2, breakLate, ""), resumeStream)
+			workers := stagedWritersAfter(delayed(slow, respond(readPrompt)), 2, breakAt(2, breakLate, ""), resumeStream)
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When its client disconnects.
 				connection, err := s.client.Dial(c.Context(), frontAddress, network.Terms{Limit: time.Second})
--- a/internal/proxy/front/pickup_test.go
+++ b/internal/proxy/front/pickup_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// lastEventID is the id of the last event of a complete answer.
-	lastEventID   = 5
+	// lastID is the id of the last event of a complete answer.
+	lastID        = 5
 	eventInterval = 10 * time.Millisecond
 )
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// breakAfter answers up to an event and breaks off with part of the next one.
-func breakAfter(to int, end ending, partial string) reply {
+// breakAt answers up to an event and breaks off with part of the next one.
+func breakAt(to int, end ending, partial string) reply {
 	pieces := []string{eventsOf(1, 1), eventsOf(2, to) + partial}
 	if to == 1 {
 		pieces = []string{eventsOf(1, 1) + partial}
@@ -100,7 +100,7 @@
 func resumeStream(connection *memnet.Conn, request *http.Request) bool {
 	var last int
 	_, _ = fmt.Sscan(request.Header.Get("Last-Event-Id"), &last) // 0 without the header
-	return respondStream("further", endProperly, eventsOf(last+1, lastEventID))(connection, request)
+	return respondStream("further", endProperly, eventsOf(last+1, lastID))(connection, request)
 }
 
 // runsOf returns the runs that reached writers, with the writers' names.
@@ -133,23 +133,23 @@
 	}{
 		"after the first event":             {1, ""},
 		"after a middle event":              {3, ""},
-		"before the last event":             {lastEventID - 1, ""},
+		"before the last event":             {lastID - 1, ""},
 		"within the id of an event":         {2, "id: 3"},
 		"within the data of an event":       {2, "id: 3\ndata: tok"},
 		"before the empty line of an event": {2, "id: 3\ndata: token 3\n"},
-		"within the last event":             {lastEventID - 1, "id: 5\ndata: tok"},
+		"within the last event":             {lastID - 1, "id: 5\ndata: tok"},
 	} {
 		for method, end := range map[string]ending{"by a reset": byReset, "by a close": byClose} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				// Given a stream that its worker breaks off, and another worker that resumes it after the requested
 				// event.
-				workers := stagedWriters(2, breakAfter(given.to, end, given.partial), resumeStream)
+				workers := stagedWriters(2, breakAt(given.to, end, given.partial), resumeStream)
 				runScene(t, workers, func(c *qt.C, s *scene) {
 					// When a client requests it.
 					got := s.send(c, resumablePath, "prompt")
 					// Then it receives each event once, with the head of the first worker and a regular end.
 					c.Assert(got.status, qt.Equals, http.StatusOK)
-					c.Assert(got.body, qt.Equals, eventsOf(1, lastEventID))
+					c.Assert(got.body, qt.Equals, eventsOf(1, lastID))
 					c.Assert(got.complete, qt.IsTrue)
 					c.Assert(got.header.Get("X-Server-Seal"), qt.Equals, "first")
 					// And the other worker received the id of the last forwarded event.
@@ -168,7 +168,7 @@
 	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client requests it, then another worker delivers the rest.
 		got := s.send(c, resumablePath, "prompt")
-		c.Assert(got.body, qt.Equals, eventsOf(1, lastEventID))
+		c.Assert(got.body, qt.Equals, eventsOf(1, lastID))
 		c.Assert(got.complete, qt.IsTrue)
 	})
 }
@@ -184,21 +184,21 @@
 	)
 	further := func(pieces ...string) reply { return respondStream("further", endProperly, pieces...) }
 	for name, given := range map[string]struct {
-		further reply
-		body    string
-		whole   bool
-		runs    int // 0: not checked
+		further  reply
+		body     string
+		complete bool
+		runs     int // 0: not checked
 	}{
-		"it overlaps":                             {further(eventsOf(2, 3), eventsOf(4, lastEventID)), eventsOf(1, lastEventID), true, 2},
-		"it restarts from the first event":        {further(eventsOf(1, lastEventID)), eventsOf(1, lastEventID), true, 2},
-		"it has a comment":                        {further(": hello\n\n" + eventsOf(4, lastEventID)), eventsOf(1, 3) + ": hello\n\n" + eventsOf(4, lastEventID), true, 2},
-		"it has another version":                  {further(renewed, eventsOf(lastEventID, lastEventID)), eventsOf(1, 3) + renewed + eventsOf(lastEventID, lastEventID), true, 2},
-		"it starts after a gap":                   {further(eventsOf(5, lastEventID)), eventsOf(1, 3), false, 2},
+		"it overlaps":                             {further(eventsOf(2, 3), eventsOf(4, lastID)), eventsOf(1, lastID), true, 2},
+		"it restarts from the first event":        {further(eventsOf(1, lastID)), eventsOf(1, lastID), true, 2},
+		"it has a comment":                        {further(": hello\n\n" + eventsOf(4, lastID)), eventsOf(1, 3) + ": hello\n\n" + eventsOf(4, lastID), true, 2},
+		"it has another version":                  {further(renewed, eventsOf(lastID, lastID)), eventsOf(1, 3) + renewed + eventsOf(lastID, lastID), true, 2},
+		"it starts after a gap":                   {further(eventsOf(5, lastID)), eventsOf(1, 3), false, 2},
 		"it has a gap":                            {further(eventsOf(4, 4) + eventsOf(6, 6)), eventsOf(1, 4), false, 2},
-		"it has a gap in the forwarded events":    {further(eventsOf(1, 1), eventsOf(3, lastEventID)), eventsOf(1, 3), false, 2},
-		"it repeats an event of its own":          {further(eventsOf(4, 4), eventsOf(4, lastEventID)), eventsOf(1, 4), false, 2},
+		"it has a gap in the forwarded events":    {further(eventsOf(1, 1), eventsOf(3, lastID)), eventsOf(1, 3), false, 2},
+		"it repeats an event of its own":          {further(eventsOf(4, 4), eventsOf(4, lastID)), eventsOf(1, 4), false, 2},
 		"its events have no ids":                  {further(bare, bare), eventsOf(1, 3), false, 2},
-		"one of its events has no id":             {further(bare + eventsOf(1, lastEventID)), eventsOf(1, 3), false, 2},
+		"one of its events has no id":             {further(bare + eventsOf(1, lastID)), eventsOf(1, 3), false, 2},
 		"its ids are not numbers":                 {further(strings.Replace(eventsOf(4, 4), "4", "four", 1)), eventsOf(1, 3), false, 2},
 		"it ends before the last forwarded event": {further(eventsOf(1, 2)), eventsOf(1, 3), false, 2},
 		"it ends within an event":                 {further(eventsOf(4, 4) + "id: 5\n"), eventsOf(1, 4), false, 2},
@@ -207,12 +207,12 @@
 		"it fails":                                {respond(failed), eventsOf(1, 3), false, 0},
 		"it is rejected as invalid":               {respond(atFault), eventsOf(1, 3), false, 0},
 		"it has no seal":                          {respond(unsealed), eventsOf(1, 3), false, 0},
-		"it has another success status":           {respondInPieces(created, eventsOf(4, lastEventID)), eventsOf(1, 3), false, 2},
-		"its connections are reset immediately":   {resetConnection, eventsOf(1, 3), false, 0},
+		"it has another success status":           {respondInPieces(created, eventsOf(4, lastID)), eventsOf(1, 3), false, 2},
+		"its connections are reset immediately":   {resetConn, eventsOf(1, 3), false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Given a stream that breaks after its third event, and workers that answer resumed runs in some way.
-			workers := stagedWriters(3, breakAfter(3, byReset, ""), given.further)
+			workers := stagedWriters(3, breakAt(3, byReset, ""), given.further)
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				// When a client requests it.
 				got := s.send(c, resumablePath, "prompt")
@@ -220,7 +220,7 @@
 				// complete.
 				c.Assert(got.status, qt.Equals, http.StatusOK)
 				c.Assert(got.body, qt.Equals, given.body)
-				c.Assert(got.complete, qt.Equals, given.whole)
+				c.Assert(got.complete, qt.Equals, given.complete)
 				c.Assert(got.took < giveUp, qt.IsTrue, qt.Commentf("after %v", got.took))
 				// And no further run follows one that does not continue the answer.
 				if names, _ := runsOf(workers); given.runs > 0 {
--- a/internal/proxy/front/protocol_test.go
+++ b/internal/proxy/front/protocol_test.go
@@ -54,9 +54,9 @@
 		c.Assert(s.send(c, riskyPath, "prompt", forgedLines...).status, qt.Equals, 200)
 		c.Assert(s.send(c, streamPath, "prompt", forgedLines...).status, qt.Equals, 200)
 		// Then each worker received only the system's values.
-		whole, reader, writer := workers[0], workers[1], workers[2]
-		c.Assert(whole.received(), qt.HasLen, 1)
-		checkHeaders(c, whole.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
+		plain, reader, writer := workers[0], workers[1], workers[2]
+		c.Assert(plain.received(), qt.HasLen, 1)
+		checkHeaders(c, plain.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "whole"})
 		c.Assert(reader.received(), qt.HasLen, 1)
 		checkHeaders(c, reader.received()[0], map[string]string{"Priority": "2", "X-Meant-Server": "reader", "X-Stage": "reading"})
 		c.Assert(writer.received(), qt.HasLen, 1)
@@ -109,7 +109,7 @@
 		t.Run(name, func(t *testing.T) {
 			// Given a high network delay to the workers, so that connecting takes time, and a slow reader.
 			workers := healthyWorkers()
-			workers[1].reply = respondAfter(slowRead, workers[1].reply)
+			workers[1].reply = delayed(slowRead, workers[1].reply)
 			runScene(t, workers, func(c *qt.C, s *scene) {
 				for _, w := range workers {
 					s.fabric.Delay(proxyIP, w.ip, slowLink)
@@ -133,8 +133,8 @@
 	const slow = 300 * time.Millisecond
 	// Given workers that refuse requests after a while.
 	workers := []*worker{
-		{name: "one", reply: respondAfter(slow, respond(notRun))},
-		{name: "two", reply: respondAfter(slow, respond(notRun))},
+		{name: "one", reply: delayed(slow, respond(notRun))},
+		{name: "two", reply: delayed(slow, respond(notRun))},
 	}
 	runScene(t, workers, func(c *qt.C, s *scene) {
 		// When a client sends a request.
--- a/internal/proxy/front/scene_test.go
+++ b/internal/proxy/front/scene_test.go
@@ -308,8 +308,8 @@
 	}
 }
 
-// respondAfter delays a reply.
-func respondAfter(wait time.Duration, next reply) reply {
+// delayed delays a reply.
+func delayed(wait time.Duration, next reply) reply {
 	return func(connection *memnet.Conn, request *http.Request) bool {
 		_, _ = io.Copy(io.Discard, request.Body)
 		time.Sleep(wait)
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -69,10 +69,10 @@
 
 // Link is the state of an edge router's link to the control plane.
 type Link struct {
-	State       string `cbor:"1,keyasint" json:"state"`
-	Advice      string `cbor:"2,keyasint,omitempty" json:"advice,omitempty"`
-	DisksHeard  int    `cbor:"3,keyasint,omitempty" json:"disks_heard"`  // voters that have reported their disk's state since the start
-	DisksWanted int    `cbor:"4,keyasint,omitempty" json:"disks_wanted"` // a majority of the voters
+	State         string `cbor:"1,keyasint" json:"state"`
+	Advice        string `cbor:"2,keyasint,omitempty" json:"advice,omitempty"`
+	DisksReported int    `cbor:"3,keyasint,omitempty" json:"disks_heard"`  // voters that have reported their disk's state since the start
+	DisksNeeded   int    `cbor:"4,keyasint,omitempty" json:"disks_wanted"` // a majority of the voters
 }
 
 // Connections counts a proxy's connections to workers since its start.
@@ -162,10 +162,10 @@
 
 // Progress is a leader's view of another member's replication.
 type Progress struct {
-	State    string `cbor:"1,keyasint" json:"state"`
-	Match    uint64 `cbor:"2,keyasint" json:"match"` // last log index on the member's disk
-	Heard    bool   `cbor:"3,keyasint,omitempty" json:"heard"`
-	SilentMS int64  `cbor:"4,keyasint,omitempty" json:"silent_ms"` // since its latest answer, if there was one
+	State     string `cbor:"1,keyasint" json:"state"`
+	Match     uint64 `cbor:"2,keyasint" json:"match"` // last log index on the member's disk
+	Responded bool   `cbor:"3,keyasint,omitempty" json:"heard"`
+	SilentMS  int64  `cbor:"4,keyasint,omitempty" json:"silent_ms"` // since its latest answer, if there was one
 }
 
 // Disk is the state of a control member's log on disk.
--- a/internal/status/traffic.go
+++ b/internal/status/traffic.go
@@ -12,7 +12,8 @@
 func TrafficOf(meter *traffic.Meter, inOwnZone func(host string) bool) []Traffic {
 	var totals []Traffic
 	for _, total := range meter.Totals(inOwnZone) {
-		totals = append(totals, Traffic{Kind: string(total.Kind), OwnZone: total.Near, Messages: total.Messages, Sent: total.Sent, Received: total.Received})
+		totals = append(totals, Traffic{Kind: string(total.Kind), OwnZone: total.Near, Messages: total.Messages,
+			Sent: total.Sent, Received: total.Received})
 	}
 	return totals
 }
