--- a/internal/proxy/front/client.go
+++ b/internal/proxy/front/client.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// Finish completes the answer; the server writes its end.
+// Finish completes the answer. The server writes its end.
 func (c *client) Finish() {
 	if !c.finishEvents() {
 		c.broken = true
--- a/internal/proxy/front/crossed_test.go
+++ b/internal/proxy/front/crossed_test.go
@@ -58,7 +58,7 @@
 }
 
 // behaviour is how a worker handles a request that it has read. It returns false to close the connection.
-type behaviour func(connection *memnet.Conn, id string, done *runCounts) bool
+type behaviour func(connection *memnet.Conn, id string, counts *runCounts) bool
 
 // write writes an answer and reports whether the connection accepted it.
 func write(connection *memnet.Conn, text string) bool {
@@ -79,15 +79,15 @@
 }
 
 var behaviours = []behaviour{
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // regular
-		done.record(id)
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // regular
+		counts.record(id)
 		return write(connection, answerOf(id))
 	},
 	func(connection *memnet.Conn, id string, _ *runCounts) bool { // refused
 		return write(connection, refusalOf(id))
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // a second answer later
-		done.record(id)
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // a second answer later
+		counts.record(id)
 		writeLater(connection, answerOf(id))
 		return write(connection, answerOf(id))
 	},
@@ -95,25 +95,25 @@
 		writeLater(connection, refusalOf(id))
 		return write(connection, refusalOf(id))
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // the same without ids
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // the same without ids
 		writeLater(connection, withoutID(answerOf(id)))
-		done.record(id)
+		counts.record(id)
 		return write(connection, withoutID(answerOf(id)))
 	},
 	func(connection *memnet.Conn, id string, _ *runCounts) bool {
 		writeLater(connection, withoutID(refusalOf(id)))
 		return write(connection, withoutID(refusalOf(id)))
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // an answer to another request first
-		done.record(id)
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // an answer to another request first
+		counts.record(id)
 		return write(connection, answerOf("another")) && write(connection, answerOf(id))
 	},
-	func(_ *memnet.Conn, id string, done *runCounts) bool { // closed without an answer, after the run
-		done.record(id)
+	func(_ *memnet.Conn, id string, counts *runCounts) bool { // closed without an answer, after the run
+		counts.record(id)
 		return false
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // reset within the answer
-		done.record(id)
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // reset within the answer
+		counts.record(id)
 		write(connection, answerOf(id)[:20])
 		connection.Reset()
 		return false
@@ -122,14 +122,14 @@
 		connection.Reset()
 		return false
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // closed right after the answer, unannounced
-		done.record(id)
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // closed right after the answer, unannounced
+		counts.record(id)
 		write(connection, answerOf(id))
 		return false
 	},
-	func(connection *memnet.Conn, id string, done *runCounts) bool { // slow
+	func(connection *memnet.Conn, id string, counts *runCounts) bool { // slow
 		time.Sleep(time.Duration(rand.IntN(400)) * time.Millisecond)
-		done.record(id)
+		counts.record(id)
 		return write(connection, answerOf(id))
 	},
 }
--- a/internal/proxy/front/deadline_test.go
+++ b/internal/proxy/front/deadline_test.go
@@ -46,7 +46,7 @@
 	return false
 }
 
-// resetConn resetConn the connection.
+// resetConn reads the request and resets the connection.
 func resetConn(connection *memnet.Conn, request *http.Request) bool {
 	_, _ = io.Copy(io.Discard, request.Body)
 	connection.Reset()
--- a/internal/proxy/front/scene_test.go
+++ b/internal/proxy/front/scene_test.go
@@ -47,7 +47,7 @@
 	clientIP      = "10.0.0.1"
 	proxyIP       = "10.0.0.2"
 	frontAddress  = proxyIP + ":80"
-	clientTimeout = 30 * time.Second // of a client that sends no X-Time-Left
+	clientTimeout = 30 * time.Second // how long the client waits for an answer
 	dialTimeout   = 700 * time.Millisecond
 	idleTimeout   = 10 * time.Second
 	settleTime    = 10 * time.Second // time for the remaining work to end after a test
