--- a/internal/proxy/feed/feed.go
+++ b/internal/proxy/feed/feed.go
@@ -226,7 +226,7 @@
 	for name, serviceLane := range f.lanes {
 		lanes[name] = serviceLane
 	}
-	f.front.Use(&front.Routing{Table: f.table, Limits: f.configuration.Limits, Lanes: lanes})
+	f.front.SetRouting(&front.Routing{Table: f.table, Limits: f.configuration.Limits, Lanes: lanes})
 	f.ready.Store(true)
 }
 
--- a/internal/proxy/front/pickup.go
+++ b/internal/proxy/front/pickup.go
@@ -12,78 +12,79 @@
 	"sumacloft/internal/proxy/lane"
 )
 
-// mostPickUps is how often a broken stream is picked up at another worker.
-const mostPickUps = 2
+// maxResumptions is how many times a broken stream may be resumed at another worker.
+const maxResumptions = 2
 
-// errOther says that a further run can't go on with the answer.
-var errOther = errors.New("the run does not go on with the answer")
+// errNoContinuation reports that a resumed run can't continue the answer.
+var errNoContinuation = errors.New("resumed run does not continue the answer")
 
-// joint is what is known of a stream that may be picked up at another worker: only whole events of it are passed on.
-type joint struct {
-	split  events.Splitter
-	order  events.Order
-	worker string // whose run is passed on
+// resumption is the state of a stream that another worker may resume. Only its complete events are forwarded.
+type resumption struct {
+	splitter events.Splitter
+	sequence events.Sequence
+	worker   string // whose run is being forwarded
 }
 
-// take takes bytes of the first run and gives those of them that are whole events.
-func (j *joint) take(piece []byte) (whole []byte) {
-	for _, event := range j.split.Add(piece) {
-		j.order.First(event)
-		whole = append(whole, event.Text...)
+// addFirst adds bytes of the first run and returns the events that they complete.
+func (r *resumption) addFirst(piece []byte) (complete []byte) {
+	for _, event := range r.splitter.Add(piece) {
+		r.sequence.AddFirst(event)
+		complete = append(complete, event.Text...)
 	}
-	return whole
+	return complete
 }
 
-// join takes bytes of a further run and gives what goes on behind the events that were passed on, as far as it does.
-func (j *joint) join(piece []byte) (whole []byte, err error) {
-	for _, event := range j.split.Add(piece) {
-		pass, err := j.order.Next(event)
+// addResumed adds bytes of a resumed run and returns the events that continue the forwarded ones, up to the first
+// error.
+func (r *resumption) addResumed(piece []byte) (complete []byte, err error) {
+	for _, event := range r.splitter.Add(piece) {
+		pass, err := r.sequence.AddResumed(event)
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		if pass {
-			whole = append(whole, event.Text...)
+			complete = append(complete, event.Text...)
 		}
 	}
-	if j.split.Full() {
-		return whole, errOther
+	if r.splitter.TooLarge() {
+		return complete, errNoContinuation
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// again drops what came of an event that is not whole, before a further run.
-func (j *joint) again() {
-	j.split = events.Splitter{}
-	j.order.Again()
+// beginResumed discards the incomplete event before a resumed run.
+func (r *resumption) beginResumed() {
+	r.splitter = events.Splitter{}
+	r.sequence.Resume()
 }
 
-// whole gives what is to be passed on of a piece of the first run. Once an event is too large to be kept, everything is,
-// and the stream can't be picked up any more.
-func (c *client) whole(piece []byte) []byte {
-	if c.joint == nil {
+// completeEvents returns what to forward of a piece of the first run. Once an event is too large to be buffered,
+// everything is forwarded and the stream can't be resumed any more.
+func (c *client) completeEvents(piece []byte) []byte {
+	if c.resumption == nil {
 		return piece
 	}
-	whole := c.joint.take(piece)
-	if c.joint.split.Full() {
-		whole = append(whole, c.joint.split.Rest()...)
-		c.joint = nil
+	complete := c.resumption.addFirst(piece)
+	if c.resumption.splitter.TooLarge() {
+		complete = append(complete, c.resumption.splitter.Partial()...)
+		c.resumption = nil
 	}
-	return whole
+	return complete
 }
 
-// endWhole takes the proper end of the first run; false: it is none, as it comes in the middle of an event and may be the
-// end of the worker as well.
-func (c *client) endWhole() bool {
-	if c.joint == nil || len(c.joint.split.Rest()) == 0 {
+// finishEvents handles a regular end of the first run. It returns false if the end is not reliable: an end within an
+// event may mean that the worker failed, unless the answer is framed.
+func (c *client) finishEvents() bool {
+	if c.resumption == nil || len(c.resumption.splitter.Partial()) == 0 {
 		return true
 	}
-	return c.head.Framed && c.write(c.joint.split.Rest()) == nil
+	return c.head.Framed && c.write(c.resumption.splitter.Partial()) == nil
 }
 
-// pickUp goes on with a stream that broke at other workers, within the same answer.
-func (c *client) pickUp(ctx context.Context, service *lane.Lane) {
-	for range mostPickUps {
-		run := c.furtherRun(ctx)
+// resume continues a broken stream at other workers, within the same answer.
+func (c *client) resume(ctx context.Context, service *lane.Lane) {
+	for range maxResumptions {
+		run := c.newResumedRun(ctx)
 		if run == nil {
 			return
 		}
@@ -95,77 +96,77 @@
 	}
 }
 
-// furtherRun prepares to go on with a stream that broke; nil where it may not be picked up.
-func (c *client) furtherRun(ctx context.Context) *furtherRun {
-	if !c.broken || c.gone || c.joint == nil {
+// newResumedRun prepares to resume a broken stream. It returns nil if the stream may not be resumed.
+func (c *client) newResumedRun(ctx context.Context) *resumedRun {
+	if !c.broken || c.unwritable || c.resumption == nil {
 		return nil
 	}
 	if ctx.Err() != nil || !time.Now().Before(c.request.Deadline) {
 		return nil
 	}
-	last, followed := c.joint.order.Last()
+	last, followed := c.resumption.sequence.Last()
 	if !followed {
 		return nil
 	}
-	job, allowed := c.job.Remainder(strconv.FormatUint(last, 10), c.joint.worker)
+	job, allowed := c.job.Remainder(strconv.FormatUint(last, 10), c.resumption.worker)
 	if !allowed {
 		return nil
 	}
 	c.job = job
-	c.joint.again()
-	return &furtherRun{client: c}
+	c.resumption.beginResumed()
+	return &resumedRun{client: c}
 }
 
-// furtherRun is the receiving end of a run that goes on with a client's answer, which is broken until it has come to its
-// end; it serves core.Client and core.Opener.
-type furtherRun struct {
-	client *client
-	other  bool // it does not go on with the answer
-	broke  bool // it began, and broke
+// resumedRun receives a run that resumes a client's answer. The answer counts as broken until the run reaches its end.
+// It implements core.Client and core.Opener.
+type resumedRun struct {
+	client     *client
+	mismatched bool // it does not continue the answer
+	broke      bool // it started and broke
 }
 
-// Open serves core.Opener. The answer keeps the head of its first worker.
-func (r *furtherRun) Open(stream core.Stream) {
+// Open implements core.Opener. The answer keeps the head of its first worker.
+func (r *resumedRun) Open(stream core.Stream) {
 	headed, ok := stream.(calls.Headed)
 	if !ok {
-		r.other = true
+		r.mismatched = true
 		return
 	}
 	head := headed.Head()
-	r.other = head.Status != r.client.head.Status
-	r.client.joint.worker = head.Worker
+	r.mismatched = head.Status != r.client.head.Status
+	r.client.resumption.worker = head.Worker
 }
 
-// Refuse serves core.Client: the answer stays broken.
-func (r *furtherRun) Refuse(time.Duration) {}
+// Refuse implements core.Client. The answer stays broken.
+func (r *resumedRun) Refuse(time.Duration) {}
 
-// Fail serves core.Client: the answer stays broken.
-func (r *furtherRun) Fail() {}
+// Fail implements core.Client. The answer stays broken.
+func (r *resumedRun) Fail() {}
 
-// Pass serves core.Client.
-func (r *furtherRun) Pass(piece []byte) error {
-	if r.other {
-		return errOther
+// Pass implements core.Client.
+func (r *resumedRun) Pass(piece []byte) error {
+	if r.mismatched {
+		return errNoContinuation
 	}
-	whole, err := r.client.joint.join(piece)
-	r.other = err != nil
-	if len(whole) > 0 {
-		if err := r.client.write(whole); err != nil {
+	complete, err := r.client.resumption.addResumed(piece)
+	r.mismatched = err != nil
+	if len(complete) > 0 {
+		if err := r.client.write(complete); err != nil {
 			return err
 		}
 	}
 	return err
 }
 
-// Finish serves core.Client.
-func (r *furtherRun) Finish() {
-	joint := r.client.joint
-	if r.other || len(joint.split.Rest()) > 0 || !joint.order.CaughtUp() {
+// Finish implements core.Client.
+func (r *resumedRun) Finish() {
+	resumption := r.client.resumption
+	if r.mismatched || len(resumption.splitter.Partial()) > 0 || !resumption.sequence.CaughtUp() {
 		return
 	}
 	r.client.broken = false
-	r.client.end()
+	r.client.finishAnswer()
 }
 
-// Break serves core.Client.
-func (r *furtherRun) Break() { r.broke = !r.other }
+// Break implements core.Client.
+func (r *resumedRun) Break() { r.broke = !r.mismatched }
--- a/internal/proxy/run/run.go
+++ b/internal/proxy/run/run.go
@@ -90,7 +90,7 @@
 	pool := upstream.NewPoolOn(terms, upstream.NewBudget(sockets), dialTimeout, idleTimeout)
 	workerCalls := calls.New(pool)
 	p := &Proxy{settings: settings, network: transport, log: logger, pool: pool, meter: terms.Meter, started: time.Now()}
-	p.front = &front.Front{Calls: workerCalls, Bounds: bounds.New(), NoPickUp: settings.Trial.Has(trial.PickUp)}
+	p.front = &front.Front{Calls: workerCalls, Bounds: bounds.New(), NoResume: settings.Trial.Has(trial.PickUp)}
 	coreLog := logrus.New()
 	coreLog.SetOutput(ring)
 	seed := fnv.New64a()
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), started.Add(p.settings.Rules.Grace-closeMargin))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		p.log.Warn().Int64("open", p.front.Open()).Msg("grace period is over; aborting open requests")
+		p.log.Warn().Int64("open", p.front.OpenRequests()).Msg("grace period is over; aborting open requests")
 		_ = server.Close() // aborts what is still open
 		time.Sleep(closeWait)
 	}
--- a/internal/status/gather.go
+++ b/internal/status/gather.go
@@ -11,8 +11,8 @@
 	"sumacloft/internal/mesh/topic"
 )
 
-// Gather fills a report with what a router's copy of the replicated map holds. Entries of other releases that can't be
-// read are left out.
+// Gather fills a report from a router's copy of the replicated map. It skips entries of other releases that it can't
+// decode.
 func Gather(report *Report, snapshot replica.Snapshot) {
 	report.Configuration = configurationOf(snapshot)
 	report.Controls = peersOf(snapshot.Prefix(topic.Controls))
@@ -32,11 +32,11 @@
 	return configuration
 }
 
-// peersOf lists peers by name, those that are down included.
+// peersOf lists peers by name, including those that are down.
 func peersOf(entries []replica.Entry) []Peer {
 	peers := make([]Peer, 0, len(entries))
 	for _, entry := range entries {
-		peer := Peer{Node: topic.Node(entry.Key), Life: entry.Version.Major, Down: topic.Down(entry)}
+		peer := Peer{Node: topic.Node(entry.Key), Incarnation: entry.Version.Major, Down: topic.Down(entry)}
 		for _, alive := range topic.Peers([]replica.Entry{entry}) {
 			peer.Zone, peer.Address, peer.Steering = alive.Zone, alive.Address, alive.Steering
 		}
@@ -48,18 +48,18 @@
 
 // workersOf counts workers by service and phase.
 func workersOf(entries []replica.Entry) []Workers {
-	type kind struct{ service, phase string }
-	counts := map[kind]*Workers{}
+	type group struct{ service, phase string }
+	counts := map[group]*Workers{}
 	for _, entry := range entries {
 		worker, err := registry.WorkerOf(entry)
 		if err != nil {
 			continue
 		}
-		of := kind{service: worker.Service, phase: worker.Phase}
-		if counts[of] == nil {
-			counts[of] = &Workers{Service: worker.Service, Phase: worker.Phase}
+		key := group{service: worker.Service, phase: worker.Phase}
+		if counts[key] == nil {
+			counts[key] = &Workers{Service: worker.Service, Phase: worker.Phase}
 		}
-		counts[of].count(worker.State)
+		counts[key].count(worker.State)
 	}
 	sorted := make([]Workers, 0, len(counts))
 	for _, counted := range counts {
