--- a/cmd/sumacloft/operator.go
+++ b/cmd/sumacloft/operator.go
@@ -57,9 +57,9 @@
 		front.Hold(openings{fleet.reuse})
 		front.Count(meters{fleet.sites, fleet.outage, fleet.samples})
 		front.Guard(fleet.guard)
-		r.front, r.listed = front, fleet.roster.Listed
+		r.front, r.listed = front, fleet.roster.UpdateWorkers
 		fleet.outage.Bind(duck(r, front))
-		fleet.roster.Listed(brain.ListComplete, cfg.Chat.Workers())
+		fleet.roster.UpdateWorkers(brain.ListComplete, cfg.Chat.Workers())
 		fleet.start()
 		if cfg.Work.HandOverDrain {
 			r.handOver = fleet.handover.HandOver
--- a/cmd/sumacloft/policy.go
+++ b/cmd/sumacloft/policy.go
@@ -56,7 +56,7 @@
 	}
 	var agent *policy.Agent[*chat.Terms]
 	fence := func() ([]*pb.Compare, bool) { return agent.Fence() }
-	f.roster = roster.New(roster.Options{Zones: cfg.Chat.Zones, Listed: c.Listed, Retune: c.UpdateSettings, Probe: servers.Probe})
+	f.roster = roster.New(roster.Options{Zones: cfg.Chat.Zones, UpdateWorkers: c.Listed, UpdateSettings: c.UpdateSettings, Probe: servers.Probe})
 	if f.outage, err = outage.Open(outage.Options{Name: me.Name, Boot: me.Boot, Label: cfg.Policy.Label, Endpoints: cfg.Policy.Endpoints,
 		Roster: f.roster, Fence: fence, Applied: applied, Copies: func() bool { return f.reuse != nil && f.reuse.On() }, Busy: c.OpenAttempts, Open: c.Open, Log: log, Broken: outage.Injected()}); err != nil {
 		return nil, errors.Join(err, kv.Close(), closeSpans())
@@ -120,7 +120,7 @@
 			f.samples.Took(weighed)
 			f.sites.Took(siting.Terms{Model: plan, Version: v.Version})
 			f.outage.Took(budget, v.Version)
-			f.roster.Took(brain, named(set, places), v.Version)
+			f.roster.SetPolicy(brain, named(set, places), v.Version)
 			return chat.NewTerms(set, places, v.Version), nil
 		},
 		Enter: f.outage.Enter,
@@ -146,7 +146,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	f.start = func() {
-		for _, run := range []func(context.Context){agent.Run, f.handover.Book.Run, f.sites.Run, f.outage.Run, f.samples.Run, f.reuse.Run, f.roster.Probes} {
+		for _, run := range []func(context.Context){agent.Run, f.handover.Book.Run, f.sites.Run, f.outage.Run, f.samples.Run, f.reuse.Run, f.roster.RunProbes} {
 			all.Add(1)
 			go func() { defer all.Done(); run(ctx) }()
 		}
--- a/cmd/sumactl/hindsight.go
+++ b/cmd/sumactl/hindsight.go
@@ -45,7 +45,7 @@
 // beside reads what became of copies and of the board's holds and weights. A record that can't be read is left out: the routers'
 // logs name it.
 func (c *ctl) beside(d *decided) error {
-	pair, err := c.pair(fleetreuse.Records(nil).State())
+	pair, err := c.pair(fleetreuse.Records(nil).StateKey())
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/loop/records.go
+++ b/internal/fleet/loop/records.go
@@ -26,14 +26,14 @@
 // Store reads and writes the records of one loop: R is a router's report, S the state that is agreed on.
 type Store[R, S any] struct {
 	*etcd.Client
-	Root   string // the prefix, with its last slash
-	Name   string // of the state's key under it
-	Format int    // of states that this program writes; newer ones it leaves alone
+	Prefix    string // the prefix, with its last slash
+	StateName string // of the state's key under it
+	Format    int    // of states that this program writes; newer ones it leaves alone
 }
 
-// State and Reports are the keys of the state and the prefix of the reports.
-func (s Store[R, S]) State() string   { return s.Root + s.Name }
-func (s Store[R, S]) Reports() string { return s.Root + "reports/" }
+// StateKey and Reports are the keys of the state and the prefix of the reports.
+func (s Store[R, S]) StateKey() string     { return s.Prefix + s.StateName }
+func (s Store[R, S]) ReportPrefix() string { return s.Prefix + "reports/" }
 
 // Report is a router's report as it stands in the store.
 type Report[R any] struct {
@@ -52,47 +52,47 @@
 	Others   map[string][]byte    // what else lies under the prefix, by the rest of its key
 	Faults   []*RecordError       // records that can't be read
 
-	key   string
-	knows int // the format that this program writes
+	stateKey  string
+	supported int // the format that this program writes
 }
 
-// Refuses tells that this program decides nothing on the state since it is of a newer format, as a *NewerError.
-func (v View[R, S]) Refuses() error {
+// FormatErr tells that this program decides nothing on the state since it is of a newer format, as a *NewerError.
+func (v View[R, S]) FormatErr() error {
 	if !v.Newer {
 		return nil
 	}
-	return &NewerError{Key: v.key, Format: v.Format, Knows: v.knows}
+	return &NewerError{Key: v.stateKey, Format: v.Format, Knows: v.supported}
 }
 
 // Writable tells whether the state may be written by this program.
 func (v View[R, S]) Writable() bool { return !v.Newer && (v.StateRev == 0 || v.State != nil) }
 
-// Read reads the records of an answer.
-func (s Store[R, S]) Read(kvs *pb.RangeResponse) View[R, S] {
-	v := View[R, S]{Revision: kvs.Header.GetRevision(), Reports: map[string]Report[R]{}, Others: map[string][]byte{}, key: s.State(), knows: s.Format}
-	for _, pair := range kvs.Kvs {
+// Decode reads the records of an answer.
+func (s Store[R, S]) Decode(response *pb.RangeResponse) View[R, S] {
+	v := View[R, S]{Revision: response.Header.GetRevision(), Reports: map[string]Report[R]{}, Others: map[string][]byte{}, stateKey: s.StateKey(), supported: s.Format}
+	for _, pair := range response.Kvs {
 		key := string(pair.Key)
 		var err error
 		switch {
-		case key == s.State():
+		case key == s.StateKey():
 			var head struct {
 				Format int `json:"format"`
 			}
 			v.StateRev = pair.ModRevision
 			if err = json.Unmarshal(pair.Value, &head); err == nil {
 				v.Format, v.Newer = head.Format, head.Format > s.Format
-				one := new(S)
-				if err = json.Unmarshal(pair.Value, one); err == nil {
-					v.State = one
+				state := new(S)
+				if err = json.Unmarshal(pair.Value, state); err == nil {
+					v.State = state
 				}
 			}
-		case strings.HasPrefix(key, s.Reports()):
-			one := Report[R]{Rev: pair.ModRevision}
-			if err = json.Unmarshal(pair.Value, &one.Value); err == nil {
-				v.Reports[key[len(s.Reports()):]] = one
+		case strings.HasPrefix(key, s.ReportPrefix()):
+			report := Report[R]{Rev: pair.ModRevision}
+			if err = json.Unmarshal(pair.Value, &report.Value); err == nil {
+				v.Reports[key[len(s.ReportPrefix()):]] = report
 			}
-		case strings.HasPrefix(key, s.Root):
-			v.Others[key[len(s.Root):]] = pair.Value
+		case strings.HasPrefix(key, s.Prefix):
+			v.Others[key[len(s.Prefix):]] = pair.Value
 		}
 		if err != nil {
 			v.Faults = append(v.Faults, &RecordError{Key: key, Rev: pair.ModRevision, Err: err})
@@ -101,86 +101,86 @@
 	return v
 }
 
-// View reads all records; copied is content with one node's copy.
-func (s Store[R, S]) View(ctx context.Context, copied bool) (View[R, S], error) {
-	r, err := s.Range(ctx, etcd.Under(s.Root, copied))
+// ReadAll reads all records; copied is content with one node's copy.
+func (s Store[R, S]) ReadAll(ctx context.Context, serializable bool) (View[R, S], error) {
+	r, err := s.Range(ctx, etcd.Under(s.Prefix, serializable))
 	if err != nil {
-		return View[R, S]{}, &StoreError{"read", s.Root, err}
+		return View[R, S]{}, &StoreError{"read", s.Prefix, err}
 	}
-	return s.Read(r), nil
+	return s.Decode(r), nil
 }
 
-// Alone reads the state without the reports, which in a large fleet are thousands of times as much; copied is content with one
+// ReadState reads the state without the reports, which in a large fleet are thousands of times as much; copied is content with one
 // node's copy.
-func (s Store[R, S]) Alone(ctx context.Context, copied bool) (View[R, S], error) {
-	r, err := s.Range(ctx, &pb.RangeRequest{Key: []byte(s.State()), Serializable: copied})
+func (s Store[R, S]) ReadState(ctx context.Context, serializable bool) (View[R, S], error) {
+	r, err := s.Range(ctx, &pb.RangeRequest{Key: []byte(s.StateKey()), Serializable: serializable})
 	if err != nil {
-		return View[R, S]{}, &StoreError{"read", s.State(), err}
+		return View[R, S]{}, &StoreError{"read", s.StateKey(), err}
 	}
-	return s.Read(r), nil
+	return s.Decode(r), nil
 }
 
-// With reads all records and other ranges at one revision.
-func (s Store[R, S]) With(ctx context.Context, others ...*pb.RangeRequest) (View[R, S], []*pb.RangeResponse, error) {
-	ops := []*pb.RequestOp{etcd.Get(etcd.Under(s.Root, false))}
-	for _, o := range others {
-		ops = append(ops, etcd.Get(o))
+// ReadAllWith reads all records and other ranges at one revision.
+func (s Store[R, S]) ReadAllWith(ctx context.Context, ranges ...*pb.RangeRequest) (View[R, S], []*pb.RangeResponse, error) {
+	requests := []*pb.RequestOp{etcd.Get(etcd.Under(s.Prefix, false))}
+	for _, o := range ranges {
+		requests = append(requests, etcd.Get(o))
 	}
-	t, err := s.Look(ctx, &pb.TxnRequest{Success: ops})
+	txn, err := s.Look(ctx, &pb.TxnRequest{Success: requests})
 	if err != nil {
-		return View[R, S]{}, nil, &StoreError{"read", s.Root, err}
+		return View[R, S]{}, nil, &StoreError{"read", s.Prefix, err}
 	}
-	var out []*pb.RangeResponse
-	for _, r := range t.Responses {
-		one := r.GetResponseRange()
-		one.Header = t.Header
-		out = append(out, one)
+	var responses []*pb.RangeResponse
+	for _, r := range txn.Responses {
+		response := r.GetResponseRange()
+		response.Header = txn.Header
+		responses = append(responses, response)
 	}
-	return s.Read(out[0]), out[1:], nil
+	return s.Decode(responses[0]), responses[1:], nil
 }
 
-// Say writes a router's report.
-func (s Store[R, S]) Say(ctx context.Context, router string, r R) error {
-	data, err := json.Marshal(r)
+// WriteReport writes a router's report.
+func (s Store[R, S]) WriteReport(ctx context.Context, router string, report R) error {
+	data, err := json.Marshal(report)
 	if err != nil {
 		return err
 	}
-	key := s.Reports() + router
+	key := s.ReportPrefix() + router
 	if _, err = s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(key, data, 0)}}); err != nil {
 		return &StoreError{"report", key, err}
 	}
 	return nil
 }
 
-// Move writes a state in the place of the one at a revision, with whatever else goes along in the same transaction, and
+// ReplaceState writes a state in the place of the one at a revision, with whatever else goes along in the same transaction, and
 // gives the revision of the write. fence holds what else must be as it was; without any it is an operator's write. It
 // fails with *MovedError where another was quicker and with *FencedError where this router's registration has ended.
-func (s Store[R, S]) Move(ctx context.Context, from int64, next *S, fence []*pb.Compare, along ...*pb.RequestOp) (int64, error) {
+func (s Store[R, S]) ReplaceState(ctx context.Context, revision int64, next *S, fence []*pb.Compare, extra ...*pb.RequestOp) (int64, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
 		return 0, err
 	}
-	r, err := s.Txn(ctx, &pb.TxnRequest{Compare: append([]*pb.Compare{etcd.At(s.State(), from)}, fence...),
-		Success: append([]*pb.RequestOp{etcd.Put(s.State(), data, 0)}, along...),
-		Failure: []*pb.RequestOp{etcd.Get(&pb.RangeRequest{Key: []byte(s.State())})}})
+	r, err := s.Txn(ctx, &pb.TxnRequest{Compare: append([]*pb.Compare{etcd.At(s.StateKey(), revision)}, fence...),
+		Success: append([]*pb.RequestOp{etcd.Put(s.StateKey(), data, 0)}, extra...),
+		Failure: []*pb.RequestOp{etcd.Get(&pb.RangeRequest{Key: []byte(s.StateKey())})}})
 	switch {
 	case err != nil:
-		return 0, &StoreError{"write", s.State(), err}
+		return 0, &StoreError{"write", s.StateKey(), err}
 	case r.Succeeded:
 		return r.Header.Revision, nil
 	}
-	now := int64(0)
+	current := int64(0)
 	if kvs := r.Responses[0].GetResponseRange().GetKvs(); len(kvs) > 0 {
-		now = kvs[0].ModRevision
+		current = kvs[0].ModRevision
 	}
-	if now == from {
-		return 0, &FencedError{Key: s.State()}
+	if current == revision {
+		return 0, &FencedError{Key: s.StateKey()}
 	}
-	return 0, &MovedError{Key: s.State(), Read: from, Now: now}
+	return 0, &MovedError{Key: s.StateKey(), Read: revision, Now: current}
 }
 
-// Names are the routers that have reported.
-func (v View[R, S]) Names() []string { return slices.Sorted(maps.Keys(v.Reports)) }
+// Routers are the routers that have reported.
+func (v View[R, S]) Routers() []string { return slices.Sorted(maps.Keys(v.Reports)) }
 
 // RecordError says that a record can't be read. Decisions go on without it; of a state that can't be read none are made.
 type RecordError struct {
--- a/internal/fleet/outage/agent.go
+++ b/internal/fleet/outage/agent.go
@@ -46,7 +46,7 @@
 	store Store
 	meter *meter
 	zero  time.Time
-	says  loop.Complaints
+	says  loop.FaultLogger
 	part  readers
 	on    atomic.Bool // without a budget no request costs anything here
 
@@ -72,11 +72,11 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, store: NewStore(client), zero: time.Now(), says: loop.Complaints{Log: o.Log}}
+	a := &Agent{o: o, store: NewStore(client), zero: time.Now(), says: loop.FaultLogger{Log: o.Log}}
 	a.meter = &meter{asked: map[string]bool{}, silent: map[string]time.Duration{}, now: a.now}
-	o.Roster.Shape(a.shape)
-	o.Roster.Forget(a.meter.forget)
-	o.Roster.Probing(a.probing())
+	o.Roster.AdjustWorker(a.shape)
+	o.Roster.PruneRemoved(a.meter.forget)
+	o.Roster.SubscribeProbes(a.probing())
 	return a, nil
 }
 
@@ -101,7 +101,7 @@
 	a.mu.Unlock()
 	if first {
 		ctx, done := context.WithTimeout(context.Background(), firstLook)
-		if all, err := a.store.Alone(ctx, false); err == nil {
+		if all, err := a.store.ReadState(ctx, false); err == nil {
 			a.follow(all)
 		}
 		done()
@@ -121,7 +121,7 @@
 	}
 	ctx, done := context.WithTimeout(ctx, firstLook)
 	defer done()
-	all, err := a.store.Alone(ctx, false)
+	all, err := a.store.ReadState(ctx, false)
 	if err == nil {
 		a.follow(all)
 	}
@@ -180,7 +180,7 @@
 	a.ducked = mine
 	a.mu.Unlock()
 	a.meter.count(run, sides, kinds, worse)
-	a.o.Roster.Again()
+	a.o.Roster.Refresh()
 	if (was != 0) != (mine != 0) && a.duck.Set != nil {
 		a.o.Log.WithFields(logrus.Fields{"permit": mine, "router": a.o.Name}).Warn("outage: this router is let out, or serves again")
 		a.duck.Set(mine != 0)
@@ -203,7 +203,7 @@
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	decider := &outage.Decider{Me: a.o.Name, Broken: a.o.Broken}
-	loop.Steps{Client: a.store.Client, Watch: StateKey,
+	loop.Runner{Client: a.store.Client, WatchPrefix: StateKey,
 		Period: func() (time.Duration, bool) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
@@ -216,7 +216,7 @@
 				a.decide(ctx, decider, period)
 			}
 		},
-		Look: func(ctx context.Context, period time.Duration) {
+		Refresh: func(ctx context.Context, period time.Duration) {
 			a.look(ctx, period)
 			a.report(ctx, 0, period) // so that those who wait for it know that this router follows
 		},
@@ -260,8 +260,8 @@
 			Boot: strconv.FormatInt(int64(w.StartedAt/time.Millisecond), 10), SilentMs: silent[w.Name], Probed: asked[w.Name], Busy: busy[w.Name]}
 	}
 	a.mu.Unlock()
-	if err := a.store.Say(ctx, a.o.Name, r); ctx.Err() == nil {
-		a.says.Fault("outage report", err)
+	if err := a.store.WriteReport(ctx, a.o.Name, r); ctx.Err() == nil {
+		a.says.Report("outage report", err)
 	}
 }
 
@@ -269,7 +269,7 @@
 func (a *Agent) look(ctx context.Context, period time.Duration) {
 	ctx, done := context.WithTimeout(ctx, patience(period))
 	defer done()
-	all, err := a.store.Alone(ctx, true)
+	all, err := a.store.ReadState(ctx, true)
 	if err != nil {
 		return
 	}
@@ -279,7 +279,7 @@
 // follow takes up a state that is newer than the one it has.
 func (a *Agent) follow(all loop.View[outage.Report, outage.State]) {
 	for _, f := range all.Faults {
-		a.says.Fault(f.Key, f)
+		a.says.Report(f.Key, f)
 	}
 	next := seen(all).Last
 	a.mu.Lock()
@@ -299,12 +299,12 @@
 	ctx, done := context.WithTimeout(ctx, patience(period))
 	defer done()
 	v, all, err := a.store.View(ctx)
-	a.says.Fault("outage", err)
+	a.says.Report("outage", err)
 	if err != nil {
 		return
 	}
 	a.follow(all)
-	a.says.Fault("outage format", all.Refuses())
+	a.says.Report("outage format", all.FormatErr())
 	a.mu.Lock()
 	v.Model = a.model
 	current := a.version == v.Version
@@ -326,7 +326,7 @@
 	}
 	rev, err := a.move(ctx, all.StateRev, next, fence)
 	if fenced := (*loop.FencedError)(nil); errors.As(err, &fenced) {
-		a.says.Fault("outage write", err)
+		a.says.Report("outage write", err)
 	}
 	if err != nil {
 		return
--- a/internal/fleet/outage/agent_test.go
+++ b/internal/fleet/outage/agent_test.go
@@ -23,7 +23,7 @@
 func TestEnterReadsWhatIsOut(t *testing.T) {
 	endpoint, _ := etcdtest.Serve(t, nil)
 	told := map[string]brain.Availability{}
-	keeper := roster.New(roster.Options{Retune: func(brain.Settings) {}, Listed: func(_ brain.ListKind, list []core.Worker) {
+	keeper := roster.New(roster.Options{UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(_ brain.ListKind, list []core.Worker) {
 		for _, w := range list {
 			told[w.Name] = w.Availability
 		}
@@ -42,11 +42,11 @@
 		for i, name := range names {
 			s.Permits[outage.ID(outage.Server, name)] = outage.Permit{ID: int64(i), For: outage.ByHand, Stage: outage.Acknowledged}
 		}
-		if rev, err = NewStore(client).Move(t.Context(), rev, s, nil); err != nil {
+		if rev, err = NewStore(client).ReplaceState(t.Context(), rev, s, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keeper.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}})
+	keeper.UpdateWorkers(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}})
 	if err := a.Enter(t.Context()); err != nil || told["s1"] != brain.Ready {
 		t.Errorf("without a budget: %v, %v", err, told)
 	}
@@ -82,7 +82,7 @@
 		if _, err := client.Txn(t.Context(), &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(key, []byte(`{"name":"`+name+`","boot":"1"}`), lease)}}); err != nil {
 			t.Fatal(err)
 		}
-		a, err := Open(Options{Name: name, Boot: "1", Endpoints: []string{endpoint}, Log: standin.Log(), Roster: roster.New(roster.Options{Retune: func(brain.Settings) {}, Listed: func(brain.ListKind, []core.Worker) {}})})
+		a, err := Open(Options{Name: name, Boot: "1", Endpoints: []string{endpoint}, Log: standin.Log(), Roster: roster.New(roster.Options{UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/outage/format_test.go
+++ b/internal/fleet/outage/format_test.go
@@ -15,10 +15,10 @@
 // report; one of this format is decided on.
 func TestStatesOfOtherFormats(t *testing.T) {
 	read := func(state string) (v outage.View, refused error, writable bool) {
-		all := NewStore(nil).Read(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{
+		all := NewStore(nil).Decode(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{
 			{Key: []byte(StateKey), Value: []byte(state), ModRevision: 7},
 			{Key: []byte(Root + "reports/d1"), Value: []byte(`{"router":"d1","boot":"b","sees":{}}`), ModRevision: 8}}})
-		return seen(all), all.Refuses(), all.Writable()
+		return seen(all), all.FormatErr(), all.Writable()
 	}
 	decided := func(v outage.View) bool {
 		v.Model = outage.Model{Workers: 1, Routers: 1}
--- a/internal/fleet/outage/leaving_test.go
+++ b/internal/fleet/outage/leaving_test.go
@@ -37,7 +37,7 @@
 	if _, err = client.Txn(t.Context(), &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(policy.Routers+"r", me, lease)}}); err != nil {
 		t.Fatal(err)
 	}
-	keeper := roster.New(roster.Options{Zones: []string{"a", "b"}, Retune: func(brain.Settings) {}, Listed: func(brain.ListKind, []core.Worker) {}})
+	keeper := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	fence := func() ([]*pb.Compare, bool) { return nil, true }
 	var copies *fleetreuse.Agent
 	out, err := Open(Options{Name: "r", Boot: "1", Endpoints: []string{endpoint}, Log: standin.Log(), Fence: fence, Roster: keeper,
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	out.Took(outage.Model{Workers: 2, ReportMs: 50, CopyWaitMs: 60_000}, 0)
-	keeper.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}, {Engine: brain.Engine{ID: 3}, Name: "s3"}})
+	keeper.UpdateWorkers(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1}, Name: "s1"}, {Engine: brain.Engine{ID: 2}, Name: "s2"}, {Engine: brain.Engine{ID: 3}, Name: "s3"}})
 	ctx, end := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
 	for _, run := range []func(context.Context){out.Run, copies.Run} {
--- a/internal/fleet/outage/probe.go
+++ b/internal/fleet/outage/probe.go
@@ -16,9 +16,9 @@
 const probed = 32
 
 // probing has the servers asked for a sign of life, again and again: one that is let out gets no requests that would tell.
-func (a *Agent) probing() roster.Probing {
-	return roster.Probing{
-		Every: func() time.Duration {
+func (a *Agent) probing() roster.ProbeSubscription {
+	return roster.ProbeSubscription{
+		Interval: func() time.Duration {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if !a.model.On() {
@@ -26,14 +26,14 @@
 			}
 			return time.Duration(a.model.WithDefaults().ReportMs/2) * time.Millisecond
 		},
-		Pick: func(list []core.Worker) []core.Worker {
+		Select: func(list []core.Worker) []core.Worker {
 			if n := len(list); n > probed {
 				list = slices.Concat(list, list)[a.turn%n:][:probed]
 				a.turn += probed
 			}
 			return list
 		},
-		Heard: func(w core.Worker, heard bool, _ error) {
+		OnResult: func(w core.Worker, heard bool, _ error) {
 			a.meter.mu.Lock()
 			defer a.meter.mu.Unlock()
 			a.meter.saw(w.Name, heard)
@@ -51,11 +51,11 @@
 		var done context.CancelFunc
 		ctx, done = context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer done()
-		all, err := a.store.Store.View(ctx, false)
+		all, err := a.store.Store.ReadAll(ctx, false)
 		if err != nil {
 			return 0, err
 		}
 		from = all.StateRev
 	}
-	return a.store.Move(ctx, from, next, fence)
+	return a.store.ReplaceState(ctx, from, next, fence)
 }
--- a/internal/fleet/outage/records.go
+++ b/internal/fleet/outage/records.go
@@ -33,12 +33,12 @@
 
 // NewStore makes one over a client.
 func NewStore(client *etcd.Client) Store {
-	return Store{loop.Store[outage.Report, outage.State]{Client: client, Root: Root, Name: "state", Format: outage.Format}}
+	return Store{loop.Store[outage.Report, outage.State]{Client: client, Prefix: Root, StateName: "state", Format: outage.Format}}
 }
 
 // View reads all that a decision is made on, at one revision.
 func (s Store) View(ctx context.Context) (outage.View, loop.View[outage.Report, outage.State], error) {
-	all, others, err := s.With(ctx, policy.Live(), siting.All(), reuse.Agreed())
+	all, others, err := s.ReadAllWith(ctx, policy.Live(), siting.All(), reuse.Agreed())
 	if err != nil {
 		return outage.View{}, all, err
 	}
@@ -73,7 +73,7 @@
 	if v.Last != nil {
 		v.Last.Rev = all.StateRev
 	}
-	for _, name := range all.Names() {
+	for _, name := range all.Routers() {
 		one := all.Reports[name].Value
 		one.Rev = all.Reports[name].Rev
 		v.Reports = append(v.Reports, one)
@@ -82,7 +82,7 @@
 }
 
 // Read reads a state out of an answer to a range over Root; nil: there is none.
-func Read(r *pb.RangeResponse) *outage.State { return seen(NewStore(nil).Read(r)).Last }
+func Read(r *pb.RangeResponse) *outage.State { return seen(NewStore(nil).Decode(r)).Last }
 
 // Change has an operator change the state: how is given what is known and gives the next state, or nil where there is
 // nothing to do. It is asked again when the state was changed by another meanwhile.
@@ -100,7 +100,7 @@
 		if err != nil || next == nil {
 			return v.Last, err
 		}
-		rev, err := s.Move(ctx, all.StateRev, next, nil)
+		rev, err := s.ReplaceState(ctx, all.StateRev, next, nil)
 		if err == nil {
 			next.Rev = rev
 			return next, nil
--- a/internal/fleet/outage/reload.go
+++ b/internal/fleet/outage/reload.go
@@ -30,7 +30,7 @@
 	if !registered {
 		return nil
 	}
-	_, err = a.store.Move(ctx, all.StateRev, next, fence)
+	_, err = a.store.ReplaceState(ctx, all.StateRev, next, fence)
 	if moved := (*loop.MovedError)(nil); errors.As(err, &moved) {
 		return nil // by another decision; it is asked again
 	}
--- a/internal/fleet/outage/standing_test.go
+++ b/internal/fleet/outage/standing_test.go
@@ -35,7 +35,7 @@
 	put(policy.Routers+"r", `{"name":"r","boot":"1"}`, lease)
 	put(string(policy.Standing(0).Key), `{"version":1}`, 0)
 	change := true
-	keeper := roster.New(roster.Options{Retune: func(brain.Settings) {}, Listed: func(brain.ListKind, []core.Worker) {}})
+	keeper := roster.New(roster.Options{UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	a, err := Open(Options{Name: "r", Boot: "1", Endpoints: []string{endpoint}, Log: standin.Log(), Roster: keeper, Fence: func() ([]*pb.Compare, bool) {
 		if change { // after the reading, before the write
 			put(string(policy.Standing(0).Key), `{"version":1,"note":"another text"}`, 0)
@@ -81,12 +81,12 @@
 			t.Fatalf("version %d: %v", v.Version, err)
 		}
 		next := &outage.State{Format: outage.Format, Seq: int64(i + 1)}
-		if rev, err = store.Move(ctx, rev, next, []*pb.Compare{policy.Standing(v.VersionRev)}); err != nil {
+		if rev, err = store.ReplaceState(ctx, rev, next, []*pb.Compare{policy.Standing(v.VersionRev)}); err != nil {
 			t.Fatalf("by the current version: %v", err)
 		}
 		apply(`{"version":9}`)
 		var fenced *loop.FencedError
-		if _, err := store.Move(ctx, rev, next, []*pb.Compare{policy.Standing(v.VersionRev)}); !errors.As(err, &fenced) {
+		if _, err := store.ReplaceState(ctx, rev, next, []*pb.Compare{policy.Standing(v.VersionRev)}); !errors.As(err, &fenced) {
 			t.Errorf("by version %d, which was replaced: %v", i, err)
 		}
 	}
--- a/internal/fleet/reuse/agent.go
+++ b/internal/fleet/reuse/agent.go
@@ -68,7 +68,7 @@
 
 // Records is the loop's store over a client.
 func Records(c *etcd.Client) loop.Store[reuse.Report, Record] {
-	return loop.Store[reuse.Report, Record]{Client: c, Root: root, Name: "state", Format: format}
+	return loop.Store[reuse.Report, Record]{Client: c, Prefix: root, StateName: "state", Format: format}
 }
 
 // record is a decider's next state as it is to stand in the place of the last.
@@ -85,7 +85,7 @@
 type Agent struct {
 	o       Options
 	client  *etcd.Client
-	says    loop.Complaints
+	says    loop.FaultLogger
 	zero    time.Time
 	on      atomic.Bool
 	again   atomic.Bool                                // the state is to be followed though it is not new
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, client: client, says: loop.Complaints{Log: o.Log}, zero: time.Now(), words: map[int64]reuse.CopyStatus{}, heard: map[string]heard{},
+	a := &Agent{o: o, client: client, says: loop.FaultLogger{Log: o.Log}, zero: time.Now(), words: map[int64]reuse.CopyStatus{}, heard: map[string]heard{},
 		sending: map[int64]context.CancelFunc{}, mine: map[int64]reuse.Copy{}, ordered: map[int64]time.Duration{}}
 	a.further.Store(&map[reuse.Key][]reuse.Copy{})
 	return a, nil
@@ -229,7 +229,7 @@
 	defer carrying.Wait()
 	a.carrying = &carrying
 	decider := &reuse.Decider{Router: a.o.Name, Broken: a.o.Broken}
-	loop.Steps{Client: a.client, Watch: Records(a.client).State(),
+	loop.Runner{Client: a.client, WatchPrefix: Records(a.client).StateKey(),
 		Period: func() (time.Duration, bool) {
 			m := a.terms()
 			return time.Duration(m.ReportMs * float64(time.Millisecond)), a.on.Load()
@@ -239,7 +239,7 @@
 			a.look(ctx, decider, period)
 			a.carryDue(ctx, period)
 		},
-		Look: func(ctx context.Context, period time.Duration) {
+		Refresh: func(ctx context.Context, period time.Duration) {
 			a.look(ctx, nil, period)
 			a.carryDue(ctx, period)
 		},
@@ -273,7 +273,7 @@
 	a.mu.Unlock()
 	ctx, done := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
 	defer done()
-	if err := Records(a.client).Say(ctx, a.o.Name, r); err != nil {
+	if err := Records(a.client).WriteReport(ctx, a.o.Name, r); err != nil {
 		a.mu.Lock()
 		for _, w := range r.Copies {
 			a.say(w)
@@ -287,12 +287,12 @@
 func (a *Agent) look(ctx context.Context, d *reuse.Decider, period time.Duration) {
 	short, done := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
 	defer done()
-	all, err := Records(a.client).View(short, true)
+	all, err := Records(a.client).ReadAll(short, true)
 	if err != nil {
 		return
 	}
 	v := a.view(all, period)
-	a.says.Fault("reuse format", all.Refuses())
+	a.says.Report("reuse format", all.FormatErr())
 	if all.State != nil && v.Last == nil { // it can't be used: nothing is believed in, and it is not written over
 		a.follow(ctx, &reuse.State{})
 		return
@@ -324,16 +324,16 @@
 	from := all.StateRev
 	if a.o.Broken == reuse.NoFence { // over whatever stands
 		fence = nil
-		if now, err := Records(a.client).View(short, false); err == nil {
+		if now, err := Records(a.client).ReadAll(short, false); err == nil {
 			from = now.StateRev
 		}
 	}
-	rev, err := Records(a.client).Move(short, from, record(all.State, next), fence)
+	rev, err := Records(a.client).ReplaceState(short, from, record(all.State, next), fence)
 	var moved *loop.MovedError
 	if errors.As(err, &moved) {
 		return
 	}
-	a.says.Fault("reuse", err)
+	a.says.Report("reuse", err)
 	if err == nil {
 		next.Rev = rev
 		a.log(v.Last, next)
@@ -356,18 +356,18 @@
 	}
 	if all.State != nil {
 		if err := all.State.Check(); err != nil {
-			fault = errors.Join(fault, &loop.RecordError{Key: Records(a.client).State(), Rev: all.StateRev, Err: err})
+			fault = errors.Join(fault, &loop.RecordError{Key: Records(a.client).StateKey(), Rev: all.StateRev, Err: err})
 		} else {
 			v.Last = &all.State.State
 			v.Last.Rev = all.StateRev
 		}
 	}
 	var busy []reuse.Busy
-	for _, name := range all.Names() {
+	for _, name := range all.Routers() {
 		one := all.Reports[name].Value
 		one.Rev = all.Reports[name].Rev
 		if err := one.Check(); err != nil {
-			fault = errors.Join(fault, &loop.RecordError{Key: Records(a.client).Reports() + name, Rev: one.Rev, Err: err})
+			fault = errors.Join(fault, &loop.RecordError{Key: Records(a.client).ReportPrefix() + name, Rev: one.Rev, Err: err})
 			continue
 		}
 		v.Reports = append(v.Reports, one)
@@ -379,7 +379,7 @@
 	a.mu.Lock()
 	a.busy, a.viewed = busy, a.now()
 	a.mu.Unlock()
-	a.says.Fault("reuse records", fault)
+	a.says.Report("reuse records", fault)
 	return v
 }
 
--- a/internal/fleet/reuse/format_test.go
+++ b/internal/fleet/reuse/format_test.go
@@ -21,8 +21,8 @@
 		{`{"format":2,"seq":1,"orders":1,"copies":[{"id":1,"prefix":15,"tokens":9,"from":"a","to":"b","server":"s1","phase":"of tomorrow"}]}`, "format 2", 1, false, false},
 		{`{"format":2,"copies":{}}`, "format 2", 0, false, false},
 	} {
-		all := store.Read(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{{Key: []byte(store.State()), Value: []byte(c.state), ModRevision: 7}}})
-		err := all.Refuses()
+		all := store.Decode(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{{Key: []byte(store.StateKey()), Value: []byte(c.state), ModRevision: 7}}})
+		err := all.FormatErr()
 		if all.Writable() != c.writeable || (err != nil) != (c.refused != "") || err != nil && !strings.Contains(err.Error(), c.refused) {
 			t.Errorf("%s: writable %v, refused as %v", c.state, all.Writable(), err)
 		}
--- a/internal/fleet/reuse/servers.go
+++ b/internal/fleet/reuse/servers.go
@@ -24,7 +24,7 @@
 func NewServers(r *roster.Roster) *Servers {
 	s := &Servers{}
 	s.list.Store(&[]reuse.Server{})
-	r.ShapeAll(func(_ roster.Terms, list []core.Worker) {
+	r.AdjustWorkers(func(_ roster.Policy, list []core.Worker) {
 		out := make([]reuse.Server, 0, len(list))
 		for _, w := range list {
 			out = append(out, reuse.Server{ID: w.Name, Region: r.Site(w), Boot: strconv.FormatInt(int64(w.StartedAt/time.Millisecond), 10), Draining: w.Availability != brain.Ready})
@@ -61,7 +61,7 @@
 }
 
 // Agreed is the request for the state that is agreed on; Held and Emptied read its answer.
-func Agreed() *pb.RangeRequest { return &pb.RangeRequest{Key: []byte(Records(nil).State())} }
+func Agreed() *pb.RangeRequest { return &pb.RangeRequest{Key: []byte(Records(nil).StateKey())} }
 
 func agreed(r *pb.RangeResponse) *reuse.State {
 	if len(r.GetKvs()) == 0 {
--- a/internal/fleet/reuse/warm_test.go
+++ b/internal/fleet/reuse/warm_test.go
@@ -72,7 +72,7 @@
 	}()
 	t.Cleanup(func() { end(); ask.Wait() })
 	ordered := func() bool {
-		all, err := Records(agents["a1"].client).View(ctx, false)
+		all, err := Records(agents["a1"].client).ReadAll(ctx, false)
 		return err == nil && all.State != nil && len(all.State.Copies) > 0
 	}
 	standin.Eventually(t, 15*time.Second, "it is ordered", ordered)
@@ -115,28 +115,28 @@
 	f := start(t, "")
 	records := Records(f.agents[0].client)
 	standin.Eventually(t, 15*time.Second, "all know the further home", f.everywhere("b-s"))
-	all, err := records.View(t.Context(), false)
+	all, err := records.ReadAll(t.Context(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	newer := *all.State
 	newer.Seq, newer.Version, newer.Copies = newer.Seq+1, 2, nil
-	rev, err := records.Move(t.Context(), all.StateRev, &newer, nil)
+	rev, err := records.ReplaceState(t.Context(), all.StateRev, &newer, nil)
 	for err != nil { // a decider was quicker
-		if all, err = records.View(t.Context(), false); err == nil {
+		if all, err = records.ReadAll(t.Context(), false); err == nil {
 			newer.Seq = all.State.Seq + 1
-			rev, err = records.Move(t.Context(), all.StateRev, &newer, nil)
+			rev, err = records.ReplaceState(t.Context(), all.StateRev, &newer, nil)
 		}
 	}
 	time.Sleep(time.Second) // twenty reports in which the opening is used
-	if all, err = records.View(t.Context(), false); err != nil || all.StateRev != rev {
+	if all, err = records.ReadAll(t.Context(), false); err != nil || all.StateRev != rev {
 		t.Fatalf("it was written over, %v", err)
 	}
 	if err := f.agents[1].Took(f.agents[1].terms(), 2); err != nil {
 		t.Fatal(err)
 	}
 	standin.Eventually(t, 15*time.Second, "the router that has the policy decides", func() bool {
-		all, err := records.View(t.Context(), false)
+		all, err := records.ReadAll(t.Context(), false)
 		return err == nil && all.StateRev > rev && all.State.By == f.agents[1].o.Name && all.State.Version == 2
 	})
 }
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -23,78 +23,84 @@
 // Options set up a keeper.
 type Options struct {
 	Zones []string // names by the module's places
-	// Listed and Retune reach the module.
-	Listed func(kind brain.ListKind, list []core.Worker)
-	Retune func(set brain.Settings)
-	Probe  func(ctx context.Context, w core.Worker) error
+	// UpdateWorkers and Retune reach the module.
+	UpdateWorkers  func(kind brain.ListKind, list []core.Worker)
+	UpdateSettings func(settings brain.Settings)
+	Probe          func(ctx context.Context, w core.Worker) error
 }
 
-// Terms are what the policy in force says of the module.
-type Terms struct {
-	Settings brain.Settings
-	Places   map[string]int // of classes in the module, by name
-	Version  int64          // 0: none is in force yet
+// Policy are what the policy in force says of the module.
+type Policy struct {
+	Settings   brain.Settings
+	ClassIndex map[string]int // of classes in the module, by name
+	Version    int64          // 0: none is in force yet
 }
 
 // Roster keeps the list. Rooms register with Tune, Shape, ShapeAll, Forget and Probing before it is used.
 type Roster struct {
-	o       Options
-	tunes   []func(set *brain.Settings, places map[string]int)
-	shapes  []func(t Terms, list []core.Worker)
-	forgets []func(listed func(name string) bool)
-	asks    []Probing
+	options       Options
+	settingsFuncs []func(settings *brain.Settings, classIndex map[string]int)
+	workersFuncs  []func(policy Policy, list []core.Worker)
+	pruneFuncs    []func(listed func(name string) bool)
+	subscriptions []ProbeSubscription
 
 	mu      sync.Mutex // a leaf: nothing is called under it
 	workers map[brain.EngineID]core.Worker
 	sorted  []core.Worker // the workers by name
-	terms   Terms
+	policy  Policy
 
-	pass  sync.Mutex // what follows, and the order in which the module is told
-	told  map[brain.EngineID]core.Worker
-	tuned Terms // as the module was told
+	publishMu        sync.Mutex // what follows, and the order in which the module is told
+	publishedWorkers map[brain.EngineID]core.Worker
+	publishedPolicy  Policy // as the module was told
 }
 
 // New makes a keeper without workers.
 func New(o Options) *Roster {
-	return &Roster{o: o, workers: map[brain.EngineID]core.Worker{}, told: map[brain.EngineID]core.Worker{}}
+	return &Roster{options: o, workers: map[brain.EngineID]core.Worker{}, publishedWorkers: map[brain.EngineID]core.Worker{}}
 }
 
-// Tune registers how a room shows the settings. What rooms say of Admitted is multiplied: see Admit.
-func (r *Roster) Tune(f func(set *brain.Settings, places map[string]int)) {
-	r.tunes = append(r.tunes, f)
+// AdjustSettings registers how a room shows the settings. What rooms say of Admitted is multiplied: see Admit.
+func (r *Roster) AdjustSettings(f func(settings *brain.Settings, classIndex map[string]int)) {
+	r.settingsFuncs = append(r.settingsFuncs, f)
 }
 
-// Shape registers how a room shows a worker. It changes what it is given, which is a copy; Parts are multiplied: see Scale.
-func (r *Roster) Shape(f func(w *core.Worker)) {
-	r.ShapeAll(func(_ Terms, list []core.Worker) {
+// AdjustWorker registers how a room shows a worker. It changes what it is given, which is a copy; Parts are multiplied: see Scale.
+func (r *Roster) AdjustWorker(f func(w *core.Worker)) {
+	r.AdjustWorkers(func(_ Policy, list []core.Worker) {
 		for i := range list {
 			f(&list[i])
 		}
 	})
 }
 
-// ShapeAll registers how a room shows the workers where that follows from all of them. Rooms shape one after another, as
+// AdjustWorkers registers how a room shows the workers where that follows from all of them. Rooms shape one after another, as
 // they registered: each is given what those before it made of the list, by name, under the terms in force.
-func (r *Roster) ShapeAll(f func(t Terms, list []core.Worker)) { r.shapes = append(r.shapes, f) }
+func (r *Roster) AdjustWorkers(f func(policy Policy, list []core.Worker)) {
+	r.workersFuncs = append(r.workersFuncs, f)
+}
 
-// Forget registers who lets go of what it keeps of workers that the list does not name any more. It is asked at all news.
-func (r *Roster) Forget(f func(listed func(name string) bool)) { r.forgets = append(r.forgets, f) }
+// PruneRemoved registers who lets go of what it keeps of workers that the list does not name any more. It is asked at all news.
+func (r *Roster) PruneRemoved(f func(listed func(name string) bool)) {
+	r.pruneFuncs = append(r.pruneFuncs, f)
+}
 
-// Scale multiplies the share of a class that a worker gets.
-func Scale(w *core.Worker, place int, by float64) { w.ClassWeights = scaled(w.ClassWeights, place, by) }
+// ScaleClassWeight multiplies the share of a class that a worker gets.
+func ScaleClassWeight(w *core.Worker, class int, factor float64) {
+	w.ClassWeights = multiplyAt(w.ClassWeights, class, factor)
+}
 
-// Admit multiplies the part of a class that is taken.
-func Admit(set *brain.Settings, place int, by float64) {
-	set.Admitted = scaled(set.Admitted, place, by)
+// ScaleAdmitted multiplies the part of a class that is taken.
+func ScaleAdmitted(settings *brain.Settings, class int, factor float64) {
+	settings.Admitted = multiplyAt(settings.Admitted, class, factor)
 }
 
-// scaled gives the list with one place multiplied; what is past its end is 1.
-func scaled(list []float64, place int, by float64) []float64 {
-	for len(list) <= place {
-		list = append(list, 1)
+// multiplyAt gives the list with one place multiplied; what is past its end is 1.
+func multiplyAt(values []float64, index int, factor float64) []float64 {
+	for len(values) <= index {
+		values = append(values, 1)
 	}
-	list[place] *= by
-	return list
+	values[index] *= factor
+	return values
 }
 
 // Workers are the workers as discovery lists them, by name. None of what they hold is to be changed.
@@ -104,54 +110,54 @@
 	return slices.Clone(r.sorted)
 }
 
-// Terms are those in force.
-func (r *Roster) Terms() Terms {
+// Policy are those in force.
+func (r *Roster) Policy() Policy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.terms
+	return r.policy
 }
 
 // Site is the name of a worker's zone; "" where it has none.
 func (r *Roster) Site(w core.Worker) string { return r.Zone(w.Zone) }
 
 // Zone is the name of a place; "" where there is none.
-func (r *Roster) Zone(place int) string {
-	if place < 0 || place >= len(r.o.Zones) {
+func (r *Roster) Zone(zone int) string {
+	if zone < 0 || zone >= len(r.options.Zones) {
 		return ""
 	}
-	return r.o.Zones[place]
+	return r.options.Zones[zone]
 }
 
-// Listed takes news of the workers on their way to the module.
-func (r *Roster) Listed(kind brain.ListKind, list []core.Worker) {
-	r.pass.Lock()
-	defer r.pass.Unlock()
-	names := r.keep(kind, list)
-	for _, f := range r.forgets {
+// UpdateWorkers takes news of the workers on their way to the module.
+func (r *Roster) UpdateWorkers(kind brain.ListKind, list []core.Worker) {
+	r.publishMu.Lock()
+	defer r.publishMu.Unlock()
+	names := r.storeWorkers(kind, list)
+	for _, f := range r.pruneFuncs {
 		f(func(name string) bool { return names[name] })
 	}
-	set, shown := r.show()
-	news := slices.Clone(list)
-	for i, w := range news {
+	policy, adjusted := r.adjusted()
+	update := slices.Clone(list)
+	for i, w := range update {
 		if w.Availability == brain.Removed {
 			continue
 		}
-		if as, kept := shown[w.ID]; kept {
-			news[i] = as
-			r.told[w.ID] = as
+		if worker, listed := adjusted[w.ID]; listed {
+			update[i] = worker
+			r.publishedWorkers[w.ID] = worker
 		}
 	}
-	for id := range r.told {
-		if _, kept := shown[id]; !kept {
-			delete(r.told, id)
+	for id := range r.publishedWorkers {
+		if _, listed := adjusted[id]; !listed {
+			delete(r.publishedWorkers, id)
 		}
 	}
-	r.o.Listed(kind, news)
-	r.tell(set, shown) // the others may follow from how many there are
+	r.options.UpdateWorkers(kind, update)
+	r.publish(policy, adjusted) // the others may follow from how many there are
 }
 
-// keep takes news into the list and gives the names on it.
-func (r *Roster) keep(kind brain.ListKind, list []core.Worker) (names map[string]bool) {
+// storeWorkers takes news into the list and gives the names on it.
+func (r *Roster) storeWorkers(kind brain.ListKind, list []core.Worker) (names map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if kind == brain.ListComplete || kind == brain.ListCached {
@@ -173,58 +179,58 @@
 	return names
 }
 
-// Took takes the policy in force. Rooms have been told of it before.
-func (r *Roster) Took(set brain.Settings, places map[string]int, version int64) {
+// SetPolicy takes the policy in force. Rooms have been told of it before.
+func (r *Roster) SetPolicy(settings brain.Settings, classIndex map[string]int, version int64) {
 	r.mu.Lock()
-	r.terms = Terms{set, places, version}
+	r.policy = Policy{settings, classIndex, version}
 	r.mu.Unlock()
-	r.Again()
+	r.Refresh()
 }
 
-// Again has the module follow what the rooms make of workers and settings by now. It is told only what differs.
-func (r *Roster) Again() {
-	r.pass.Lock()
-	defer r.pass.Unlock()
-	r.tell(r.show())
+// Refresh has the module follow what the rooms make of workers and settings by now. It is told only what differs.
+func (r *Roster) Refresh() {
+	r.publishMu.Lock()
+	defer r.publishMu.Unlock()
+	r.publish(r.adjusted())
 }
 
-// show asks the rooms for what the module is to see; the pass is ours.
-func (r *Roster) show() (Terms, map[brain.EngineID]core.Worker) {
+// adjusted asks the rooms for what the module is to see; the pass is ours.
+func (r *Roster) adjusted() (Policy, map[brain.EngineID]core.Worker) {
 	r.mu.Lock()
-	t, list := r.terms, slices.Clone(r.sorted)
+	policy, list := r.policy, slices.Clone(r.sorted)
 	r.mu.Unlock()
-	t.Settings.Admitted = slices.Clone(t.Settings.Admitted)
-	for _, f := range r.tunes {
-		f(&t.Settings, t.Places)
+	policy.Settings.Admitted = slices.Clone(policy.Settings.Admitted)
+	for _, f := range r.settingsFuncs {
+		f(&policy.Settings, policy.ClassIndex)
 	}
 	for i := range list {
 		list[i].ClassWeights = slices.Clone(list[i].ClassWeights)
 	}
-	for _, f := range r.shapes {
-		f(t, list)
+	for _, f := range r.workersFuncs {
+		f(policy, list)
 	}
-	shown := make(map[brain.EngineID]core.Worker, len(list))
+	adjusted := make(map[brain.EngineID]core.Worker, len(list))
 	for _, w := range list {
-		shown[w.ID] = w
+		adjusted[w.ID] = w
 	}
-	return t, shown
+	return policy, adjusted
 }
 
-// tell gives the module what differs from what it was told; the pass is ours.
-func (r *Roster) tell(t Terms, shown map[brain.EngineID]core.Worker) {
-	if t.Version != 0 && (t.Version != r.tuned.Version || !reflect.DeepEqual(t.Settings, r.tuned.Settings)) {
-		r.tuned = t
-		r.o.Retune(t.Settings)
+// publish gives the module what differs from what it was told; the pass is ours.
+func (r *Roster) publish(policy Policy, adjusted map[brain.EngineID]core.Worker) {
+	if policy.Version != 0 && (policy.Version != r.publishedPolicy.Version || !reflect.DeepEqual(policy.Settings, r.publishedPolicy.Settings)) {
+		r.publishedPolicy = policy
+		r.options.UpdateSettings(policy.Settings)
 	}
 	var changed []core.Worker
-	for id, w := range shown {
-		if as, was := r.told[id]; !was || !reflect.DeepEqual(as, w) {
-			r.told[id] = w
+	for id, w := range adjusted {
+		if published, known := r.publishedWorkers[id]; !known || !reflect.DeepEqual(published, w) {
+			r.publishedWorkers[id] = w
 			changed = append(changed, w)
 		}
 	}
 	if len(changed) > 0 {
 		slices.SortFunc(changed, func(x, y core.Worker) int { return cmp.Compare(x.Name, y.Name) })
-		r.o.Listed(brain.ListDelta, changed)
+		r.options.UpdateWorkers(brain.ListDelta, changed)
 	}
 }
--- a/internal/fleet/samples/agent.go
+++ b/internal/fleet/samples/agent.go
@@ -38,7 +38,7 @@
 	o     Options
 	store Store
 	zero  time.Time
-	says  loop.Complaints
+	says  loop.FaultLogger
 	stood turn.RevisionAges
 	due   turn.WriteDelay
 	made  makers
@@ -67,10 +67,10 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, store: NewStore(client), zero: time.Now(), says: loop.Complaints{Log: o.Log}, first: 1, taken: map[uint64]string{}}
+	a := &Agent{o: o, store: NewStore(client), zero: time.Now(), says: loop.FaultLogger{Log: o.Log}, first: 1, taken: map[uint64]string{}}
 	a.met.now = a.now
-	o.Roster.Tune(a.tune)
-	o.Roster.ShapeAll(a.shape)
+	o.Roster.AdjustSettings(a.tune)
+	o.Roster.AdjustWorkers(a.shape)
 	return a, nil
 }
 
@@ -151,7 +151,7 @@
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	decider := &samples.Decider{Me: a.o.Name, Broken: a.o.Broken}
-	loop.Steps{Client: a.store.Client, Watch: BoardKey,
+	loop.Runner{Client: a.store.Client, WatchPrefix: BoardKey,
 		Period: func() (time.Duration, bool) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
@@ -162,7 +162,7 @@
 			a.drop(ctx)
 			a.decide(ctx, decider, period)
 		},
-		Look: a.look,
+		Refresh: a.look,
 	}.Run(ctx)
 }
 
@@ -177,8 +177,8 @@
 	a.mu.Lock()
 	r := samples.Report{Router: a.o.Name, Boot: a.o.Boot, First: a.first, Samples: slices.Clone(a.ended[:min(len(a.ended), samples.MaxSamples)]), InFlight: a.inHand, Interactive: a.met.seen()}
 	a.mu.Unlock()
-	if err := a.store.Say(ctx, a.name(), r); ctx.Err() == nil {
-		a.says.Fault("samples report", err)
+	if err := a.store.WriteReport(ctx, a.name(), r); ctx.Err() == nil {
+		a.says.Report("samples report", err)
 	}
 }
 
@@ -190,7 +190,7 @@
 	if err != nil {
 		return
 	}
-	all := a.store.Read(r)
+	all := a.store.Decode(r)
 	if all.State != nil {
 		all.State.Rev = all.StateRev
 		a.follow(all.State)
@@ -216,7 +216,7 @@
 	if !newer {
 		return
 	}
-	a.o.Roster.Again()
+	a.o.Roster.Refresh()
 	if a.o.Changed != nil {
 		a.o.Changed(next)
 	}
@@ -235,14 +235,14 @@
 	defer done()
 	v, all, faults, err := a.store.board(ctx)
 	_, unsound := v.Sanitize()
-	a.says.Fault("samples", errors.Join(append(append(faults, unsound...), err)...))
+	a.says.Report("samples", errors.Join(append(append(faults, unsound...), err)...))
 	if err != nil {
 		return
 	}
 	if v.Last != nil {
 		a.follow(v.Last)
 	}
-	a.says.Fault("samples format", all.Refuses())
+	a.says.Report("samples format", all.FormatErr())
 	if !all.Writable() {
 		return
 	}
@@ -292,7 +292,7 @@
 	}
 	rev, err := a.store.move(ctx, all.StateRev, v.Last, next, fence, a.o.Broken)
 	if fenced := (*loop.FencedError)(nil); errors.As(err, &fenced) {
-		a.says.Fault("samples write", err)
+		a.says.Report("samples write", err)
 	}
 	if err != nil {
 		return
@@ -313,7 +313,7 @@
 		if !one.Silent || v.Last == nil || a.stood.Age(key, all.Reports[key].Rev, a.now()) <= clearFor*period || v.Last.Watermarks[one.Router+" "+one.Boot].Seq < one.First+int64(len(one.Samples))-1 {
 			continue
 		}
-		full := a.store.Reports() + key
+		full := a.store.ReportPrefix() + key
 		if _, err := a.store.Txn(ctx, &pb.TxnRequest{Compare: []*pb.Compare{etcd.At(full, all.Reports[key].Rev)}, Success: []*pb.RequestOp{etcd.Del(full)}}); err != nil {
 			return
 		}
--- a/internal/fleet/samples/ended.go
+++ b/internal/fleet/samples/ended.go
@@ -87,7 +87,7 @@
 		}
 		var s samples.Sample
 		if err := json.Unmarshal(data, &s); err != nil {
-			a.says.Fault(name, &samples.RecordError{What: name, Why: "no sample", Err: err})
+			a.says.Report(name, &samples.RecordError{What: name, Why: "no sample", Err: err})
 			continue
 		}
 		a.mu.Lock()
--- a/internal/fleet/samples/ended_test.go
+++ b/internal/fleet/samples/ended_test.go
@@ -57,12 +57,12 @@
 	var set brain.Settings
 	told := map[string][]float64{}
 	var wanted []outage.Reload
-	r := roster.New(roster.Options{Zones: []string{"x"}, Retune: func(s brain.Settings) { set = s }, Listed: func(_ brain.ListKind, list []core.Worker) {
+	r := roster.New(roster.Options{Zones: []string{"x"}, UpdateSettings: func(s brain.Settings) { set = s }, UpdateWorkers: func(_ brain.ListKind, list []core.Worker) {
 		for _, w := range list {
 			told[w.Name] = w.ClassWeights
 		}
 	}})
-	r.Tune(func(set *brain.Settings, _ map[string]int) { roster.Admit(set, 1, 0.5) })
+	r.AdjustSettings(func(set *brain.Settings, _ map[string]int) { roster.ScaleAdmitted(set, 1, 0.5) })
 	a, err := Open(Options{Name: "a", Boot: "1", Endpoints: []string{"127.0.0.1:1"}, Roster: r, Log: standin.Log(),
 		Reload: func(_ context.Context, list []outage.Reload) error { wanted = list; return nil }})
 	if err != nil {
@@ -70,8 +70,8 @@
 	}
 	defer a.Close()
 	places := map[string]int{"query": 0, "rollout": 1}
-	r.Listed(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1, ClassWeights: []float64{1, 0.5, 0}}, Name: "w1", Label: "v2-w7"}, {Engine: brain.Engine{ID: 2}, Name: "w2", Label: "none"}})
-	r.Took(brain.Settings{Classes: make([]brain.Class, 3)}, places, 1)
+	r.UpdateWorkers(brain.ListComplete, []core.Worker{{Engine: brain.Engine{ID: 1, ClassWeights: []float64{1, 0.5, 0}}, Name: "w1", Label: "v2-w7"}, {Engine: brain.Engine{ID: 2}, Name: "w2", Label: "none"}})
+	r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 3)}, places, 1)
 	if len(told["w2"]) != 0 || set.Admitted[1] != 0.5 || a.Arrived("rollout") != 0 {
 		t.Fatalf("without a table: %+v %+v", told, set)
 	}
--- a/internal/fleet/samples/format_test.go
+++ b/internal/fleet/samples/format_test.go
@@ -22,8 +22,8 @@
 		{`{"format":1,"seq":4,"open":{"number":3}}`, "", true, true},
 		{`{"format":2,"open":[3]}`, "format 2", false, false},
 	} {
-		all := store.Read(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{{Key: []byte(BoardKey), Value: []byte(c.board), ModRevision: 7}}})
-		err := all.Refuses()
+		all := store.Decode(&pb.RangeResponse{Header: &pb.ResponseHeader{}, Kvs: []*mvccpb.KeyValue{{Key: []byte(BoardKey), Value: []byte(c.board), ModRevision: 7}}})
+		err := all.FormatErr()
 		if all.Writable() != c.decided || (err != nil) != (c.refused != "") || err != nil && !strings.Contains(err.Error(), c.refused) || (all.State != nil) != c.read {
 			t.Errorf("%s: writable %v, refused as %v, read as %+v", c.board, all.Writable(), err, all.State)
 		}
--- a/internal/fleet/samples/module.go
+++ b/internal/fleet/samples/module.go
@@ -24,13 +24,13 @@
 	}
 	for class := range a.classes {
 		if at, is := places[class]; is {
-			roster.Admit(set, at, a.state.AdmitFraction)
+			roster.ScaleAdmitted(set, at, a.state.AdmitFraction)
 		}
 	}
 }
 
 // shape shows the workers.
-func (a *Agent) shape(t roster.Terms, list []core.Worker) {
+func (a *Agent) shape(t roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.on || a.state == nil {
@@ -42,8 +42,8 @@
 			continue
 		}
 		for class := range a.classes {
-			if at, is := t.Places[class]; is {
-				roster.Scale(&list[i], at, share)
+			if at, is := t.ClassIndex[class]; is {
+				roster.ScaleClassWeight(&list[i], at, share)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	if err := a.o.Reload(ctx, wanted); ctx.Err() == nil {
-		a.says.Fault("samples reload", err)
+		a.says.Report("samples reload", err)
 	}
 }
 
--- a/internal/fleet/samples/records.go
+++ b/internal/fleet/samples/records.go
@@ -41,12 +41,12 @@
 
 // NewStore makes one of a client.
 func NewStore(c *etcd.Client) Store {
-	return Store{loop.Store[samples.Report, samples.State]{Client: c, Root: root, Name: "board", Format: samples.Format}}
+	return Store{loop.Store[samples.Report, samples.State]{Client: c, Prefix: root, StateName: "board", Format: samples.Format}}
 }
 
 // board reads all that decides but the model and the workers; faults are those of records that were left out.
 func (s Store) board(ctx context.Context) (v samples.View, all loop.View[samples.Report, samples.State], faults []error, err error) {
-	all, more, err := s.With(ctx, &pb.RangeRequest{Key: []byte(VersionKey)})
+	all, more, err := s.ReadAllWith(ctx, &pb.RangeRequest{Key: []byte(VersionKey)})
 	if err != nil {
 		return v, all, nil, err
 	}
@@ -59,7 +59,7 @@
 			return v, all, nil, err // of a board that can't be read nothing is decided
 		}
 	}
-	for _, name := range all.Names() {
+	for _, name := range all.Routers() {
 		v.Reports = append(v.Reports, all.Reports[name].Value)
 	}
 	for _, pair := range more[0].Kvs {
@@ -105,7 +105,7 @@
 		r, err := s.Txn(ctx, &pb.TxnRequest{Success: append([]*pb.RequestOp{etcd.Put(BoardKey, data, 0)}, along...)})
 		return r.GetHeader().GetRevision(), err
 	}
-	return s.Move(ctx, from, next, fence, along...)
+	return s.ReplaceState(ctx, from, next, fence, along...)
 }
 
 // Workers are those of a list that make samples: their label ends in the number of the version that they run. zone names a
--- a/internal/fleet/samples/samples_test.go
+++ b/internal/fleet/samples/samples_test.go
@@ -20,7 +20,7 @@
 )
 
 func keeper() *roster.Roster {
-	return roster.New(roster.Options{Zones: []string{"a", "b"}, Listed: func(brain.ListKind, []core.Worker) {}, Retune: func(brain.Settings) {}})
+	return roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}, UpdateSettings: func(brain.Settings) {}})
 }
 
 // listed has an agent's list name the workers.
@@ -29,7 +29,7 @@
 	for i, w := range workers {
 		list = append(list, core.Worker{Engine: brain.Engine{ID: brain.EngineID(i + 1), Zone: i / 2, StartedAt: time.Millisecond}, Name: w.Name, Label: fmt.Sprint(w.Label), Role: w.Kind})
 	}
-	a.o.Roster.Listed(brain.ListComplete, list)
+	a.o.Roster.UpdateWorkers(brain.ListComplete, list)
 }
 
 // fleet is a store, routers and what a tuner and workers need.
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -37,7 +37,7 @@
 	store Store
 	meter *Meter
 	zero  time.Time
-	says  loop.Complaints
+	says  loop.FaultLogger
 	// planned tells whether there is a plan: without one no request costs anything here.
 	planned atomic.Bool
 
@@ -63,11 +63,11 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, store: Store{client}, meter: NewMeter(), zero: time.Now(), says: loop.Complaints{Log: o.Log},
+	a := &Agent{o: o, store: Store{client}, meter: NewMeter(), zero: time.Now(), says: loop.FaultLogger{Log: o.Log},
 		missed: map[string]time.Duration{}, turn: map[string]int{}}
-	o.Roster.Tune(a.tune)
-	o.Roster.ShapeAll(a.shape)
-	o.Roster.Probing(a.probing())
+	o.Roster.AdjustSettings(a.tune)
+	o.Roster.AdjustWorkers(a.shape)
+	o.Roster.SubscribeProbes(a.probing())
 	return a, nil
 }
 
@@ -131,12 +131,12 @@
 		set.Zone = -1
 	}
 	for class, at := range places {
-		roster.Admit(set, at, a.posture.Admitted(class, a.o.Zone))
+		roster.ScaleAdmitted(set, at, a.posture.Admitted(class, a.o.Zone))
 	}
 }
 
 // shape gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
-func (a *Agent) shape(t roster.Terms, list []core.Worker) {
+func (a *Agent) shape(t roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	weight, here := map[string]float64{}, map[string]bool{}
@@ -174,9 +174,9 @@
 			w.ClassWeights = make([]float64, len(t.Settings.Classes))
 			continue
 		}
-		for class, at := range t.Places {
+		for class, at := range t.ClassIndex {
 			if row, named := p.Shares[class][a.o.Zone]; named {
-				roster.Scale(w, at, row[site]/max(weight[site], 1))
+				roster.ScaleClassWeight(w, at, row[site]/max(weight[site], 1))
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	decider := &sites.Decider{Router: a.o.Name, Fault: a.o.Broken}
-	loop.Steps{Client: a.store.Client, Watch: postureKey,
+	loop.Runner{Client: a.store.Client, WatchPrefix: postureKey,
 		Period: func() (time.Duration, bool) {
 			m := a.model()
 			return time.Duration(m.ReportMs) * time.Millisecond, len(m.Sites) > 0
@@ -209,7 +209,7 @@
 			a.report(ctx, a.model(), since, period)
 			a.look(ctx, decider, period)
 		},
-		Look: func(ctx context.Context, period time.Duration) { a.look(ctx, nil, period) },
+		Refresh: func(ctx context.Context, period time.Duration) { a.look(ctx, nil, period) },
 	}.Run(ctx)
 }
 
@@ -244,7 +244,7 @@
 	}
 	ctx, done := context.WithTimeout(ctx, period)
 	defer done()
-	if err := a.store.records().Say(ctx, a.o.Name, r); err != nil && ctx.Err() == nil {
+	if err := a.store.records().WriteReport(ctx, a.o.Name, r); err != nil && ctx.Err() == nil {
 		a.o.Log.WithError(err).Debug("sites: the report was not taken")
 	}
 }
@@ -252,15 +252,15 @@
 // look reads what is agreed on, has the module follow it, and writes what should take its place if that is this
 // router's turn. Without a decider it only reads.
 func (a *Agent) look(ctx context.Context, d *sites.Decider, period time.Duration) {
-	defer a.o.Roster.Again() // what this router alone sees counts without the store too
+	defer a.o.Roster.Refresh() // what this router alone sees counts without the store too
 	ctx, done := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
 	defer done()
-	all, err := a.store.records().View(ctx, true)
+	all, err := a.store.records().ReadAll(ctx, true)
 	if err != nil {
 		return
 	}
 	v, err := viewOf(all)
-	a.says.Fault("sites", err)
+	a.says.Report("sites", err)
 	a.mu.Lock()
 	v.Model, v.Version = a.terms.Model, a.terms.Version
 	a.orders = v.Orders
@@ -283,7 +283,7 @@
 			return
 		}
 	}
-	if rev, err := a.store.records().Move(ctx, all.StateRev, next, fence); err == nil {
+	if rev, err := a.store.records().ReplaceState(ctx, all.StateRev, next, fence); err == nil {
 		next.Rev = rev
 		a.mu.Lock()
 		a.say(a.posture, next)
--- a/internal/fleet/siting/probe.go
+++ b/internal/fleet/siting/probe.go
@@ -15,17 +15,17 @@
 
 // probing has some servers of each site asked for a sign of life, again and again: a router that sends nothing to a site
 // would else know nothing of it.
-func (a *Agent) probing() roster.Probing {
-	return roster.Probing{
-		Every: func() time.Duration {
+func (a *Agent) probing() roster.ProbeSubscription {
+	return roster.ProbeSubscription{
+		Interval: func() time.Duration {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if len(a.terms.Model.Sites) == 0 {
 				return 0
 			}
-			return min(roster.ProbeLimit, time.Duration(a.terms.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
+			return min(roster.ProbeTimeout, time.Duration(a.terms.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
 		},
-		Pick: func(list []core.Worker) (out []core.Worker) {
+		Select: func(list []core.Worker) (out []core.Worker) {
 			by := map[string][]core.Worker{}
 			for _, w := range list {
 				by[a.o.Roster.Site(w)] = append(by[a.o.Roster.Site(w)], w)
@@ -38,7 +38,7 @@
 			}
 			return out
 		},
-		Heard: func(w core.Worker, heard bool, err error) {
+		OnResult: func(w core.Worker, heard bool, err error) {
 			a.meter.Saw(a.o.Roster.Site(w), func(s *sites.Observation) {
 				s.Attempts++
 				switch {
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -24,12 +24,12 @@
 type Store struct{ *etcd.Client }
 
 func (s Store) records() loop.Store[sites.Report, sites.Decision] {
-	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Root: root, Name: "posture"}
+	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Prefix: root, StateName: "posture"}
 }
 
 // View reads all records; copied is content with one node's copy.
 func (s Store) View(ctx context.Context, copied bool) (v sites.View, err error) {
-	all, err := s.records().View(ctx, copied)
+	all, err := s.records().ReadAll(ctx, copied)
 	if err != nil {
 		return v, err
 	}
@@ -40,7 +40,7 @@
 func All() *pb.RangeRequest { return etcd.Under(root, true) }
 
 // Read reads the records of an answer.
-func Read(r *pb.RangeResponse) (sites.View, error) { return viewOf(Store{}.records().Read(r)) }
+func Read(r *pb.RangeResponse) (sites.View, error) { return viewOf(Store{}.records().Decode(r)) }
 
 // viewOf is what a decider works with. The view stands without the records that can't be read, which err names.
 func viewOf(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
@@ -48,7 +48,7 @@
 	if v.Last = all.State; v.Last != nil {
 		v.Last.Rev = all.StateRev
 	}
-	for _, name := range all.Names() {
+	for _, name := range all.Routers() {
 		one := all.Reports[name].Value
 		one.Rev = all.Reports[name].Rev
 		v.Reports = append(v.Reports, one)
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -59,7 +59,7 @@
 	var modules []*module
 	for _, name := range []string{"a", "b"} {
 		m := &module{parts: map[string][]float64{}}
-		r := roster.New(roster.Options{Zones: []string{"a", "b"}, Retune: m.retune, Listed: m.listed,
+		r := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: m.retune, UpdateWorkers: m.listed,
 			Probe: func(_ context.Context, w core.Worker) error {
 				if _, gone := dead.Load(w.Zone); gone {
 					return errGone
@@ -70,14 +70,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Listed(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
+		r.UpdateWorkers(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
 		a.Took(Terms{Model: model, Version: 1})
-		r.Took(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
+		r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 		ctx, end := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); a.Run(ctx) }()
 		probed := make(chan struct{})
-		go func() { defer close(probed); r.Probes(ctx) }()
+		go func() { defer close(probed); r.RunProbes(ctx) }()
 		t.Cleanup(func() { end(); <-ended; <-probed; _ = a.Close() })
 		agents, modules = append(agents, a), append(modules, m)
 	}
@@ -147,14 +147,14 @@
 
 // Without a plan nothing is counted and no session remembered.
 func TestNoPlanCostsNothing(t *testing.T) {
-	r := roster.New(roster.Options{Zones: []string{"a"}, Retune: func(brain.Settings) {}, Listed: func(brain.ListKind, []core.Worker) {}})
+	r := roster.New(roster.Options{Zones: []string{"a"}, UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	a, err := Open(Options{Endpoints: []string{"127.0.0.1:1"}, Zone: "a", Roster: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
 	a.Took(Terms{})
-	r.Took(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
+	r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 	rank := a.Arrived("q", 7)
 	a.Tried(0, true, true, 7)
 	a.Refused("q", 0)
--- a/internal/lab/copies.go
+++ b/internal/lab/copies.go
@@ -256,7 +256,7 @@
 func (f *CopiesFleet) Copies(ctx context.Context) *reuse.State {
 	ctx, done := context.WithTimeout(ctx, time.Second)
 	defer done()
-	r, err := f.kv.Range(ctx, &pb.RangeRequest{Key: []byte(fleetreuse.Records(f.kv).State())})
+	r, err := f.kv.Range(ctx, &pb.RangeRequest{Key: []byte(fleetreuse.Records(f.kv).StateKey())})
 	if err != nil || len(r.Kvs) == 0 {
 		return nil
 	}
@@ -292,7 +292,7 @@
 	for i := range f.o.Servers {
 		a.Regions[serverName(i)] = f.o.site(i, f.o.Servers)
 	}
-	return a, history(ctx, f.kv, fleetreuse.Records(f.kv).State(), func(value []byte) error {
+	return a, history(ctx, f.kv, fleetreuse.Records(f.kv).StateKey(), func(value []byte) error {
 		s, err := reuse.Decode(value)
 		if err == nil {
 			a.Observe(s)
--- a/internal/lab/jointsite.go
+++ b/internal/lab/jointsite.go
@@ -83,7 +83,7 @@
 func (d *jointDay) reporter() (*Daemon, bool) {
 	ctx, done := context.WithTimeout(d.ctx, time.Second)
 	defer done()
-	all, _, err := fleetsamples.NewStore(d.kv).With(ctx)
+	all, _, err := fleetsamples.NewStore(d.kv).ReadAllWith(ctx)
 	if err != nil || all.State == nil {
 		return nil, false
 	}
--- a/internal/lab/mixed.go
+++ b/internal/lab/mixed.go
@@ -229,7 +229,7 @@
 
 // mixedStates are the keys of the three states.
 func mixedStates(c *etcd.Client) []string {
-	return []string{fleetoutage.StateKey, fleetreuse.Records(c).State(), fleetsamples.BoardKey}
+	return []string{fleetoutage.StateKey, fleetreuse.Records(c).StateKey(), fleetsamples.BoardKey}
 }
 
 // over waits until the release has come to its end.
