--- a/internal/fleet/outage/agent.go
+++ b/internal/fleet/outage/agent.go
@@ -75,7 +75,7 @@
 	a := &Agent{o: o, store: NewStore(client), zero: time.Now(), says: loop.FaultLogger{Log: o.Log}}
 	a.meter = &meter{asked: map[string]bool{}, silent: map[string]time.Duration{}, now: a.now}
 	o.Roster.AdjustWorker(a.shape)
-	o.Roster.PruneRemoved(a.meter.forget)
+	o.Roster.OnPrune(a.meter.forget)
 	o.Roster.SubscribeProbes(a.probing())
 	return a, nil
 }
--- a/internal/fleet/roster/probe.go
+++ b/internal/fleet/roster/probe.go
@@ -10,26 +10,24 @@
 	"sumacloft/internal/core"
 )
 
-// ProbeTimeout is how long a probe of a server is waited for.
+// ProbeTimeout bounds one probe of a server.
 const ProbeTimeout = 250 * time.Millisecond
 
-// ProbeSubscription is what a room wants to hear of servers that it may send nothing to.
+// ProbeSubscription describes which servers a component wants probed, including servers that get no requests from it.
 type ProbeSubscription struct {
-	// Interval is how often it asks; 0: not at all just now.
+	// Interval returns the time between probes; 0 pauses the subscription.
 	Interval func() time.Duration
-	// Select chooses, of the workers as listed, by name, those that are asked this time.
+	// Select returns the workers to probe in this round. The list is sorted by name.
 	Select func(list []core.Worker) []core.Worker
-	// OnResult is told of each of them: it answered, whatever it said, or err tells why not.
+	// OnResult receives the result of each probe. responded is true for any answer, also a refusal; else err has the cause.
 	OnResult func(w core.Worker, responded bool, err error)
 }
 
-// SubscribeProbes registers a room that has servers probed.
-func (r *Roster) SubscribeProbes(subscription ProbeSubscription) {
-	r.subscriptions = append(r.subscriptions, subscription)
-}
+// SubscribeProbes adds a subscription.
+func (r *Roster) SubscribeProbes(p ProbeSubscription) { r.subscriptions = append(r.subscriptions, p) }
 
-// RunProbes asks servers for a sign of life, again and again, until ctx ends. A server that several rooms ask for at a time
-// is asked once.
+// RunProbes probes the selected servers periodically until ctx ends. A server that several subscriptions select in the
+// same round is probed once.
 func (r *Roster) RunProbes(ctx context.Context) {
 	var probes sync.WaitGroup
 	defer probes.Wait()
@@ -46,7 +44,7 @@
 		case <-timer.C:
 		}
 		list, now := r.Workers(), time.Now()
-		next := now.Add(ProbeTimeout) // a room that asks for nothing may do so soon
+		next := now.Add(ProbeTimeout) // a paused subscription may resume before the next timer
 		subscribers := map[brain.EngineID][]int{}
 		for i, subscription := range r.subscriptions {
 			period := subscription.Interval()
@@ -54,7 +52,7 @@
 				due[i] = now
 				continue
 			}
-			if now.Add(period / 4).After(due[i]) { // rooms of about one time ask together
+			if now.Add(period / 4).After(due[i]) { // subscriptions that are due at nearly the same time share a round
 				due[i] = now.Add(period)
 				for _, w := range subscription.Select(list) {
 					subscribers[w.ID] = append(subscribers[w.ID], i)
@@ -73,7 +71,7 @@
 	}
 }
 
-// probe asks a server and tells the rooms that asked for it.
+// probe probes a server and passes the result to the subscriptions with the given indexes.
 func (r *Roster) probe(ctx context.Context, w core.Worker, indexes []int) {
 	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -1,11 +1,11 @@
-// Package roster keeps the list of workers for all rooms of the fleet (internal/fleet/outage, siting and the like): it
-// takes the news of discovery and the settings of the policy in force, lets each room show workers and settings as its
-// decisions want them, and tells the module what differs from what it was told last.
+// Package roster keeps the list of workers that discovery reports and the settings of the current policy. The fleet
+// components (internal/fleet/outage, siting and others) register functions that adjust workers and settings. The roster
+// publishes the adjusted values to the decision module, and only what changed since the last publication.
 //
-// Locks. One pass at a time is under way, from Listed, Took or Again; it calls the rooms' functions and the module while
-// it holds the passes' own lock and no other of the keeper's. Rooms' functions take their rooms' locks, so a room calls
-// Listed, Took and Again without holding a lock that its functions take. Workers, Terms and Site may be called anywhere,
-// by the rooms' functions too.
+// Locking: UpdateWorkers, SetPolicy and Refresh are serialized. They call the registered functions and the module while
+// they hold the publish lock and no other lock of the roster. Registered functions take the locks of their components, so
+// a component must not hold such a lock when it calls UpdateWorkers, SetPolicy or Refresh. Workers, Policy and Site may be
+// called from anywhere, also from registered functions.
 package roster
 
 import (
@@ -20,51 +20,54 @@
 	"sumacloft/internal/core"
 )
 
-// Options set up a keeper.
+// Options configure a roster.
 type Options struct {
-	Zones []string // names by the module's places
-	// UpdateWorkers and Retune reach the module.
+	Zones []string // zone names by the module's zone index
+	// UpdateWorkers and UpdateSettings pass changes to the module.
 	UpdateWorkers  func(kind brain.ListKind, list []core.Worker)
 	UpdateSettings func(settings brain.Settings)
 	Probe          func(ctx context.Context, w core.Worker) error
 }
 
-// Policy are what the policy in force says of the module.
+// Policy is the part of the current policy that concerns the module.
 type Policy struct {
 	Settings   brain.Settings
-	ClassIndex map[string]int // of classes in the module, by name
-	Version    int64          // 0: none is in force yet
+	ClassIndex map[string]int // index of each class in the module, by class name
+	Version    int64          // 0: no policy yet
 }
 
-// Roster keeps the list. Rooms register with Tune, Shape, ShapeAll, Forget and Probing before it is used.
+// Roster holds the workers and the policy. Components register with AdjustSettings, AdjustWorker, AdjustWorkers, OnPrune
+// and SubscribeProbes before the roster is used.
 type Roster struct {
 	options       Options
 	settingsFuncs []func(settings *brain.Settings, classIndex map[string]int)
-	workersFuncs  []func(policy Policy, list []core.Worker)
-	pruneFuncs    []func(listed func(name string) bool)
+	adjust        []func(policy Policy, list []core.Worker)
+	pruners       []func(listed func(name string) bool)
 	subscriptions []ProbeSubscription
 
-	mu      sync.Mutex // a leaf: nothing is called under it
+	mu      sync.Mutex // leaf lock: no function is called while it is held
 	workers map[brain.EngineID]core.Worker
-	sorted  []core.Worker // the workers by name
+	sorted  []core.Worker // the workers, sorted by name
 	policy  Policy
 
-	publishMu        sync.Mutex // what follows, and the order in which the module is told
+	publishMu        sync.Mutex // guards the fields below and serializes the calls to the module
 	publishedWorkers map[brain.EngineID]core.Worker
-	publishedPolicy  Policy // as the module was told
+	publishedPolicy  Policy // as last passed to the module
 }
 
-// New makes a keeper without workers.
+// New returns a roster without workers.
 func New(o Options) *Roster {
 	return &Roster{options: o, workers: map[brain.EngineID]core.Worker{}, publishedWorkers: map[brain.EngineID]core.Worker{}}
 }
 
-// AdjustSettings registers how a room shows the settings. What rooms say of Admitted is multiplied: see Admit.
+// AdjustSettings registers a function that adjusts the settings before they are published. Functions change Admitted only
+// through ScaleAdmitted, so that their factors multiply.
 func (r *Roster) AdjustSettings(f func(settings *brain.Settings, classIndex map[string]int)) {
 	r.settingsFuncs = append(r.settingsFuncs, f)
 }
 
-// AdjustWorker registers how a room shows a worker. It changes what it is given, which is a copy; Parts are multiplied: see Scale.
+// AdjustWorker registers a function that adjusts a copy of each worker before it is published. Functions change
+// ClassWeights only through ScaleWeight, so that their factors multiply.
 func (r *Roster) AdjustWorker(f func(w *core.Worker)) {
 	r.AdjustWorkers(func(_ Policy, list []core.Worker) {
 		for i := range list {
@@ -73,54 +76,48 @@
 	})
 }
 
-// AdjustWorkers registers how a room shows the workers where that follows from all of them. Rooms shape one after another, as
-// they registered: each is given what those before it made of the list, by name, under the terms in force.
-func (r *Roster) AdjustWorkers(f func(policy Policy, list []core.Worker)) {
-	r.workersFuncs = append(r.workersFuncs, f)
-}
+// AdjustWorkers registers a function that adjusts the workers where the result depends on the whole list. Functions run in
+// the order of registration. Each gets the current policy and the list, sorted by name, as adjusted by those before it.
+func (r *Roster) AdjustWorkers(f func(p Policy, list []core.Worker)) { r.adjust = append(r.adjust, f) }
 
-// PruneRemoved registers who lets go of what it keeps of workers that the list does not name any more. It is asked at all news.
-func (r *Roster) PruneRemoved(f func(listed func(name string) bool)) {
-	r.pruneFuncs = append(r.pruneFuncs, f)
-}
+// OnPrune registers a function that drops state about workers that are no longer listed. It runs at each UpdateWorkers.
+func (r *Roster) OnPrune(f func(listed func(name string) bool)) { r.pruners = append(r.pruners, f) }
 
-// ScaleClassWeight multiplies the share of a class that a worker gets.
-func ScaleClassWeight(w *core.Worker, class int, factor float64) {
-	w.ClassWeights = multiplyAt(w.ClassWeights, class, factor)
-}
+// ScaleWeight multiplies a worker's weight for the class with the given index.
+func ScaleWeight(w *core.Worker, at int, by float64) { w.ClassWeights = scale(w.ClassWeights, at, by) }
 
-// ScaleAdmitted multiplies the part of a class that is taken.
-func ScaleAdmitted(settings *brain.Settings, class int, factor float64) {
-	settings.Admitted = multiplyAt(settings.Admitted, class, factor)
+// ScaleAdmitted multiplies the admitted fraction of the class with the given index.
+func ScaleAdmitted(settings *brain.Settings, at int, by float64) {
+	settings.Admitted = scale(settings.Admitted, at, by)
 }
 
-// multiplyAt gives the list with one place multiplied; what is past its end is 1.
-func multiplyAt(values []float64, index int, factor float64) []float64 {
+// scale multiplies the value at an index and returns the list. A short list is extended with ones.
+func scale(values []float64, index int, by float64) []float64 {
 	for len(values) <= index {
 		values = append(values, 1)
 	}
-	values[index] *= factor
+	values[index] *= by
 	return values
 }
 
-// Workers are the workers as discovery lists them, by name. None of what they hold is to be changed.
+// Workers returns the workers as discovery lists them, sorted by name. Callers must not modify their slices.
 func (r *Roster) Workers() []core.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.sorted)
 }
 
-// Policy are those in force.
+// Policy returns the current policy.
 func (r *Roster) Policy() Policy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.policy
 }
 
-// Site is the name of a worker's zone; "" where it has none.
+// Site returns the name of a worker's zone, or "" if it has none.
 func (r *Roster) Site(w core.Worker) string { return r.Zone(w.Zone) }
 
-// Zone is the name of a place; "" where there is none.
+// Zone returns the name of the zone with an index, or "" if there is none.
 func (r *Roster) Zone(zone int) string {
 	if zone < 0 || zone >= len(r.options.Zones) {
 		return ""
@@ -128,12 +125,12 @@
 	return r.options.Zones[zone]
 }
 
-// UpdateWorkers takes news of the workers on their way to the module.
+// UpdateWorkers applies an update from discovery and passes it on to the module with the workers adjusted.
 func (r *Roster) UpdateWorkers(kind brain.ListKind, list []core.Worker) {
 	r.publishMu.Lock()
 	defer r.publishMu.Unlock()
 	names := r.storeWorkers(kind, list)
-	for _, f := range r.pruneFuncs {
+	for _, f := range r.pruners {
 		f(func(name string) bool { return names[name] })
 	}
 	policy, adjusted := r.adjusted()
@@ -153,10 +150,10 @@
 		}
 	}
 	r.options.UpdateWorkers(kind, update)
-	r.publish(policy, adjusted) // the others may follow from how many there are
+	r.publish(policy, adjusted) // adjustments of other workers may depend on the number of workers
 }
 
-// storeWorkers takes news into the list and gives the names on it.
+// storeWorkers applies an update to the list and returns the names of the listed workers.
 func (r *Roster) storeWorkers(kind brain.ListKind, list []core.Worker) (names map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +176,7 @@
 	return names
 }
 
-// SetPolicy takes the policy in force. Rooms have been told of it before.
+// SetPolicy sets the current policy. The caller passes the policy to the components first.
 func (r *Roster) SetPolicy(settings brain.Settings, classIndex map[string]int, version int64) {
 	r.mu.Lock()
 	r.policy = Policy{settings, classIndex, version}
@@ -187,14 +184,14 @@
 	r.Refresh()
 }
 
-// Refresh has the module follow what the rooms make of workers and settings by now. It is told only what differs.
+// Refresh runs the registered functions again and publishes what changed.
 func (r *Roster) Refresh() {
 	r.publishMu.Lock()
 	defer r.publishMu.Unlock()
 	r.publish(r.adjusted())
 }
 
-// adjusted asks the rooms for what the module is to see; the pass is ours.
+// adjusted returns the policy and the workers after all adjustments. The caller holds publishMu.
 func (r *Roster) adjusted() (Policy, map[brain.EngineID]core.Worker) {
 	r.mu.Lock()
 	policy, list := r.policy, slices.Clone(r.sorted)
@@ -206,7 +203,7 @@
 	for i := range list {
 		list[i].ClassWeights = slices.Clone(list[i].ClassWeights)
 	}
-	for _, f := range r.workersFuncs {
+	for _, f := range r.adjust {
 		f(policy, list)
 	}
 	adjusted := make(map[brain.EngineID]core.Worker, len(list))
@@ -216,7 +213,7 @@
 	return policy, adjusted
 }
 
-// publish gives the module what differs from what it was told; the pass is ours.
+// publish passes to the module what differs from the last publication. The caller holds publishMu.
 func (r *Roster) publish(policy Policy, adjusted map[brain.EngineID]core.Worker) {
 	if policy.Version != 0 && (policy.Version != r.publishedPolicy.Version || !reflect.DeepEqual(policy.Settings, r.publishedPolicy.Settings)) {
 		r.publishedPolicy = policy
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -18,13 +18,13 @@
 	"sumacloft/internal/standin"
 )
 
-// module takes what it is told as internal/core does.
+// module applies updates as internal/core does.
 type module struct {
 	mu        sync.Mutex
 	workers   map[brain.EngineID]core.Worker
 	settings  brain.Settings
 	calls     int
-	lastDelta []core.Worker // of the last delta
+	lastDelta []core.Worker // the workers of the last delta update
 }
 
 func (m *module) updateWorkers(kind brain.ListKind, list []core.Worker) {
@@ -52,7 +52,7 @@
 	m.settings = s
 }
 
-// component is one whose decisions are drawn: what is out drains, and a place's part follows from how many are ready.
+// component makes random decisions: it drains workers, weighs class 1 and admits a fraction of each class.
 type component struct {
 	mu       sync.Mutex
 	draining map[string]bool
@@ -66,9 +66,10 @@
 	if r.draining[w.Name] {
 		w.Availability = brain.Draining
 	}
-	ScaleClassWeight(w, 1, r.weight)
+	ScaleWeight(w, 1, r.weight)
 }
 
+// splitWeight divides the weight of class 0 among the ready workers.
 func splitWeight(_ Policy, list []core.Worker) {
 	ready := 0
 	for _, w := range list {
@@ -77,20 +78,20 @@
 		}
 	}
 	for i := range list {
-		ScaleClassWeight(&list[i], 0, 1/float64(max(ready, 1)))
+		ScaleWeight(&list[i], 0, 1/float64(max(ready, 1)))
 	}
 }
 
-func (r *component) adjustSettings(set *brain.Settings, places map[string]int) {
+func (r *component) adjustSettings(settings *brain.Settings, classIndex map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, at := range places {
-		ScaleAdmitted(set, at, r.admitted)
+	for _, at := range classIndex {
+		ScaleAdmitted(settings, at, r.admitted)
 	}
 }
 
-// In any order of news, decisions and policies the module sees what the rooms make of the list; the list stays as
-// discovery has it; and where nothing differs nothing is told.
+// In any order of discovery updates, component decisions and policies, the module gets the adjusted workers and settings.
+// The roster's own list stays as discovery reported it, and a refresh without a change calls nothing.
 func TestModuleReceivesAdjustedWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, c := &module{workers: map[brain.EngineID]core.Worker{}}, &component{draining: map[string]bool{}, weight: 1, admitted: 1}
@@ -99,7 +100,7 @@
 		r.AdjustWorkers(splitWeight)
 		r.AdjustSettings(c.adjustSettings)
 		pruned := map[string]bool{}
-		r.PruneRemoved(func(listed func(string) bool) {
+		r.OnPrune(func(listed func(string) bool) {
 			clear(pruned)
 			for id := range 6 {
 				pruned[fmt.Sprint("s", id)] = !listed(fmt.Sprint("s", id))
@@ -119,23 +120,23 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"news": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]brain.ListKind{brain.ListComplete, brain.ListCached, brain.ListDelta, brain.ListDelta, brain.ListFailed}).Draw(t, "kind")
-				var news []core.Worker
+				var update []core.Worker
 				if kind != brain.ListFailed {
-					news = rapid.SliceOfN(rapid.Custom(func(*rapid.T) core.Worker { return draw() }), 0, 5).Draw(t, "news")
+					update = rapid.SliceOfN(rapid.Custom(func(*rapid.T) core.Worker { return draw() }), 0, 5).Draw(t, "news")
 				}
 				if kind == brain.ListComplete || kind == brain.ListCached {
 					clear(list)
 				}
-				for _, w := range news {
+				for _, w := range update {
 					list[w.ID] = w
 					if w.Availability == brain.Removed {
 						delete(list, w.ID)
 					}
 				}
-				r.UpdateWorkers(kind, news)
+				r.UpdateWorkers(kind, update)
 				for id := range 6 {
-					if _, on := list[brain.EngineID(id+1)]; on == pruned[fmt.Sprint("s", id)] {
-						t.Fatalf("s%d listed: %v, forgotten: %v", id, on, pruned)
+					if _, listed := list[brain.EngineID(id+1)]; listed == pruned[fmt.Sprint("s", id)] {
+						t.Fatalf("s%d listed: %v, pruned: %v", id, listed, pruned)
 					}
 				}
 			},
@@ -157,16 +158,16 @@
 				}
 				splitWeight(Policy{}, want)
 				for _, w := range want {
-					if got, on := m.workers[w.ID]; !on || !reflect.DeepEqual(got, w) {
-						t.Fatalf("the module has %+v, the rooms want %+v", got, w)
+					if got, listed := m.workers[w.ID]; !listed || !reflect.DeepEqual(got, w) {
+						t.Fatalf("the module has %+v, want %+v", got, w)
 					}
 				}
 				if len(want) != len(m.workers) || !slices.Equal(weights, []float64{1, 0.5}) {
-					t.Fatalf("%d workers at the module, %d listed; a list's own parts: %v", len(m.workers), len(want), weights)
+					t.Fatalf("module has %d workers, %d listed; class weights of the original list: %v", len(m.workers), len(want), weights)
 				}
 				for _, w := range r.Workers() {
 					if !reflect.DeepEqual(list[w.ID], w) {
-						t.Fatalf("kept %+v, listed %+v", w, list[w.ID])
+						t.Fatalf("roster has %+v, discovery listed %+v", w, list[w.ID])
 					}
 				}
 				wantSettings := policySettings
@@ -177,15 +178,15 @@
 				}
 				callsBefore := m.calls
 				if r.Refresh(); m.calls != callsBefore {
-					t.Fatal("the module was told what it knew")
+					t.Fatal("a refresh without a change called the module")
 				}
 			},
 		})
 	})
 }
 
-// Only what a decision changed is told; rooms of which one asks under its own lock what is listed, while another's
-// decision is shown, don't lock each other out.
+// Only changed workers are published. A component that reads the roster under its own lock does not deadlock with
+// another component's refresh.
 func TestPublishesOnlyChangesWithoutDeadlock(t *testing.T) {
 	m, a, b := &module{workers: map[brain.EngineID]core.Worker{}}, &component{draining: map[string]bool{}, weight: 1, admitted: 1}, &component{draining: map[string]bool{}, weight: 0.5, admitted: 1}
 	r := New(Options{Zones: []string{"z0"}, UpdateWorkers: m.updateWorkers, UpdateSettings: m.updateSettings})
@@ -198,7 +199,7 @@
 	r.UpdateWorkers(brain.ListComplete, all)
 	a.draining["s3"] = true
 	if r.Refresh(); len(m.lastDelta) != 1 || m.lastDelta[0].Name != "s3" || m.lastDelta[0].Availability != brain.Draining || m.workers[3].ClassWeights[1] != 0.5 {
-		t.Fatalf("told %+v", m.lastDelta)
+		t.Fatalf("published delta: %+v", m.lastDelta)
 	}
 	var workers sync.WaitGroup
 	for _, component := range []*component{a, b} {
@@ -217,17 +218,17 @@
 	workers.Wait()
 	for _, w := range m.workers {
 		if w.Availability != brain.Ready {
-			t.Errorf("%+v", w)
+			t.Errorf("not ready: %+v", w)
 		}
 	}
 }
 
-// A server that two rooms ask for is asked once and both are told; one that only one asks for is told to that one; a
-// room that wants nothing just now is told nothing.
+// A server that two subscriptions select is probed once per round, and both get the result. Other subscriptions, and those
+// that are paused, get no result for it.
 func TestSubscribersShareProbes(t *testing.T) {
 	var mu sync.Mutex
 	probes, results := map[string]int{}, map[string]int{}
-	errNoResponse := errors.New("no answer")
+	errNoResponse := errors.New("no response")
 	r := New(Options{UpdateWorkers: func(brain.ListKind, []core.Worker) {}, Probe: func(_ context.Context, w core.Worker) error {
 		mu.Lock()
 		defer mu.Unlock()
@@ -248,7 +249,7 @@
 				defer mu.Unlock()
 				results[name+" "+w.Name]++
 				if responded != (w.Name != "s1") || w.Name != "s0" && !errors.Is(err, errNoResponse) {
-					t.Errorf("%s is told of %s: %v %v", name, w.Name, responded, err)
+					t.Errorf("subscription %s, result of %s: responded %v, error %v", name, w.Name, responded, err)
 				}
 			}})
 	}
@@ -262,7 +263,7 @@
 	for _, name := range []string{"s0", "s1", "s2"} {
 		partial := results["few "+name]
 		if results["all "+name] != probes[name] || name != "s2" && partial != probes[name] || name == "s2" && partial != 0 || results["off "+name] != 0 {
-			t.Errorf("asked %v, heard %v", probes, results)
+			t.Errorf("probes %v, results %v", probes, results)
 		}
 	}
 }
--- a/internal/fleet/samples/module.go
+++ b/internal/fleet/samples/module.go
@@ -43,7 +43,7 @@
 		}
 		for class := range a.classes {
 			if at, is := t.ClassIndex[class]; is {
-				roster.ScaleClassWeight(&list[i], at, share)
+				roster.ScaleWeight(&list[i], at, share)
 			}
 		}
 	}
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -176,7 +176,7 @@
 		}
 		for class, at := range t.ClassIndex {
 			if row, named := p.Shares[class][a.o.Zone]; named {
-				roster.ScaleClassWeight(w, at, row[site]/max(weight[site], 1))
+				roster.ScaleWeight(w, at, row[site]/max(weight[site], 1))
 			}
 		}
 	}
