--- a/internal/fleet/loop/loop_test.go
+++ b/internal/fleet/loop/loop_test.go
@@ -37,8 +37,8 @@
 	return r.Header.Revision
 }
 
-// A decider that was stopped between reading and writing finds its registration gone and writes nothing, even where the
-// state has not moved; while it is registered it writes, and only in the place of what it read.
+// A router that was paused between read and write, and whose registration has ended, writes nothing even if the state has
+// not changed. A registered router replaces only the revision that it read.
 func TestWritesAreFenced(t *testing.T) {
 	s, ctx := openStore(t), context.Background()
 	fence := []*pb.Compare{etcd.At("/registered/d1", put(t, s, "/registered/d1", "boot 1"))}
@@ -48,21 +48,20 @@
 	}
 	var moved *loop.MovedError
 	if _, err := s.ReplaceState(ctx, 0, &record{Text: "late"}, fence); !errors.As(err, &moved) || moved.Now != rev {
-		t.Fatalf("a write over another's: %v", err)
+		t.Fatalf("write over another router's state: %v", err)
 	}
-	put(t, s, "/registered/d1", "")       // its lease ends
-	put(t, s, "/registered/d1", "boot 2") // it registers again; what it read before counts no more
+	put(t, s, "/registered/d1", "")       // the lease expires
+	put(t, s, "/registered/d1", "boot 2") // registers again, at a new revision
 	var fenced *loop.FencedError
 	if _, err := s.ReplaceState(ctx, rev, &record{Text: "from the past"}, fence); !errors.As(err, &fenced) {
-		t.Fatalf("a write of a router that was passed over: %v", err)
+		t.Fatalf("write under an expired registration: %v", err)
 	}
 	if v, err := s.ReadAll(ctx, false); err != nil || v.State.Text != "first" || v.StateRev != rev {
-		t.Fatalf("%+v %v", v.State, err)
+		t.Fatalf("state after the fenced write: %+v %v", v.State, err)
 	}
 }
 
-// A state of a newer format is followed and not to be written; a record that can't be read is named, and all others are
-// there.
+// A state in a newer format is read but not writable. An unreadable record is listed as a fault, and all others are read.
 func TestNewerAndUnreadableRecords(t *testing.T) {
 	s, ctx := openStore(t), context.Background()
 	if err := s.WriteReport(ctx, "d1", record{Text: "well"}); err != nil {
@@ -73,16 +72,16 @@
 	put(t, s, "/loop/wishes/x", "y")
 	v, err := s.ReadAll(ctx, false)
 	if err != nil || v.State == nil || v.State.Text != "of tomorrow" || !v.Newer || v.Writable() {
-		t.Fatalf("%+v %v", v, err)
+		t.Fatalf("newer state: %+v %v", v, err)
 	}
 	if len(v.Faults) != 1 || v.Faults[0].Key != "/loop/reports/d2" || v.Reports["d1"].Value.Text != "well" || string(v.Others["wishes/x"]) != "y" {
 		t.Fatalf("%+v", v)
 	}
 	if state, err := s.ReadState(ctx, true); err != nil || state.StateRev != v.StateRev || state.State.Text != v.State.Text || !state.Newer || len(state.Reports) != 0 {
-		t.Fatalf("the state alone: %+v %v", state, err)
+		t.Fatalf("read without reports: %+v %v", state, err)
 	}
 	put(t, s, "/loop/state", "{torn")
 	if v, err = s.ReadAll(ctx, false); err != nil || v.State != nil || v.Writable() || len(v.Faults) != 2 {
-		t.Fatalf("a state that can't be read is not to be written over: %+v %v", v, err)
+		t.Fatalf("unreadable state must not be writable: %+v %v", v, err)
 	}
 }
--- a/internal/fleet/loop/records.go
+++ b/internal/fleet/loop/records.go
@@ -1,10 +1,10 @@
-// Package loop carries a decision of the fleet as a whole between the store and its routers: each router writes a
-// report, a pure decider makes the next state of what is agreed on out of them, and whoever's turn it is writes it in
-// the place of the last. All records of a loop lie under one prefix, so that one read shows them at one revision.
+// Package loop stores fleet-wide decisions in etcd. Each router writes a report, a pure decider derives the next shared
+// state from all reports, and the router whose turn it is replaces the stored state. All records of a loop have one key
+// prefix, so one read returns them at one revision.
 //
-// A write is fenced: it compares the revision of the state that was read and the registration of the router that
-// writes, so one that was stopped for long and goes on writes nothing. A state of a newer format than this program's is
-// followed and never written; a record that can't be read is named and stands in the way of nothing but itself.
+// Writes are fenced: a transaction compares the revision of the state that was read and the router's registration. A
+// router that resumes after a long pause therefore writes nothing. A state in a newer format than this program supports is
+// applied but never written. An unreadable record is reported and does not affect the other records.
 package loop
 
 import (
@@ -20,43 +20,43 @@
 	"sumacloft/internal/etcd"
 )
 
-// Fence gives the comparisons that hold while this router is registered; false: it is not.
+// Fence returns comparisons that hold while this router is registered, or false if it is not registered.
 type Fence func() ([]*pb.Compare, bool)
 
-// Store reads and writes the records of one loop: R is a router's report, S the state that is agreed on.
+// Store reads and writes the records of one loop. R is the type of a router's report, S that of the shared state.
 type Store[R, S any] struct {
 	*etcd.Client
-	Prefix    string // the prefix, with its last slash
-	StateName string // of the state's key under it
-	Format    int    // of states that this program writes; newer ones it leaves alone
+	Prefix    string // key prefix of all records, with the trailing slash
+	StateName string // key of the state below Prefix
+	Format    int    // state format that this program writes; newer states are not written
 }
 
-// StateKey and Reports are the keys of the state and the prefix of the reports.
+// StateKey returns the key of the state, ReportPrefix the key prefix of the reports.
 func (s Store[R, S]) StateKey() string     { return s.Prefix + s.StateName }
 func (s Store[R, S]) ReportPrefix() string { return s.Prefix + "reports/" }
 
-// Report is a router's report as it stands in the store.
+// Report is a router's stored report.
 type Report[R any] struct {
 	Value R
-	Rev   int64 // the store's revision of it
+	Rev   int64 // revision of its last modification
 }
 
-// View is what the store has of a loop at one revision.
+// View holds the records of a loop at one revision.
 type View[R, S any] struct {
 	Revision int64
-	State    *S                   // nil: none was written, or it can't be read
-	StateRev int64                // 0: none was written
-	Format   int                  // of the state
-	Newer    bool                 // the state's format is newer than this program's: it is followed, never written
-	Reports  map[string]Report[R] // by router
-	Others   map[string][]byte    // what else lies under the prefix, by the rest of its key
-	Faults   []*RecordError       // records that can't be read
+	State    *S                   // nil: missing or unreadable
+	StateRev int64                // 0: missing
+	Format   int                  // format of the state
+	Newer    bool                 // the state's format is newer than this program supports: it is applied, never written
+	Reports  map[string]Report[R] // by router name
+	Others   map[string][]byte    // other values under the prefix, by key without the prefix
+	Faults   []*RecordError       // unreadable records
 
 	stateKey  string
-	supported int // the format that this program writes
+	supported int // the newest format that this program supports
 }
 
-// FormatErr tells that this program decides nothing on the state since it is of a newer format, as a *NewerError.
+// FormatErr returns a *NewerError if the state's format is newer than this program supports, so that it makes no decisions.
 func (v View[R, S]) FormatErr() error {
 	if !v.Newer {
 		return nil
@@ -64,10 +64,10 @@
 	return &NewerError{Key: v.stateKey, Format: v.Format, Knows: v.supported}
 }
 
-// Writable tells whether the state may be written by this program.
+// Writable reports whether this program may replace the state.
 func (v View[R, S]) Writable() bool { return !v.Newer && (v.StateRev == 0 || v.State != nil) }
 
-// Decode reads the records of an answer.
+// Decode decodes the records of a range response.
 func (s Store[R, S]) Decode(response *pb.RangeResponse) View[R, S] {
 	v := View[R, S]{Revision: response.Header.GetRevision(), Reports: map[string]Report[R]{}, Others: map[string][]byte{}, stateKey: s.StateKey(), supported: s.Format}
 	for _, pair := range response.Kvs {
@@ -101,7 +101,7 @@
 	return v
 }
 
-// ReadAll reads all records; copied is content with one node's copy.
+// ReadAll reads all records. With serializable set, one store member's copy is enough, which may be stale.
 func (s Store[R, S]) ReadAll(ctx context.Context, serializable bool) (View[R, S], error) {
 	r, err := s.Range(ctx, etcd.Under(s.Prefix, serializable))
 	if err != nil {
@@ -110,8 +110,8 @@
 	return s.Decode(r), nil
 }
 
-// ReadState reads the state without the reports, which in a large fleet are thousands of times as much; copied is content with one
-// node's copy.
+// ReadState reads the state without the reports, which are thousands of times larger in a large fleet. With serializable
+// set, one store member's copy is enough, which may be stale.
 func (s Store[R, S]) ReadState(ctx context.Context, serializable bool) (View[R, S], error) {
 	r, err := s.Range(ctx, &pb.RangeRequest{Key: []byte(s.StateKey()), Serializable: serializable})
 	if err != nil {
@@ -120,7 +120,7 @@
 	return s.Decode(r), nil
 }
 
-// ReadAllWith reads all records and other ranges at one revision.
+// ReadAllWith reads all records and the given other ranges at one revision.
 func (s Store[R, S]) ReadAllWith(ctx context.Context, ranges ...*pb.RangeRequest) (View[R, S], []*pb.RangeResponse, error) {
 	requests := []*pb.RequestOp{etcd.Get(etcd.Under(s.Prefix, false))}
 	for _, o := range ranges {
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// ReplaceState writes a state in the place of the one at a revision, with whatever else goes along in the same transaction, and
-// gives the revision of the write. fence holds what else must be as it was; without any it is an operator's write. It
-// fails with *MovedError where another was quicker and with *FencedError where this router's registration has ended.
+// ReplaceState replaces the state that was read at a revision, runs the extra operations in the same transaction, and
+// returns the revision of the write. fence holds further comparisons; operators write without a fence. It fails with a
+// *MovedError if the state has changed meanwhile, and with a *FencedError if the fence no longer holds.
 func (s Store[R, S]) ReplaceState(ctx context.Context, revision int64, next *S, fence []*pb.Compare, extra ...*pb.RequestOp) (int64, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -179,10 +179,11 @@
 	return 0, &MovedError{Key: s.StateKey(), Read: revision, Now: current}
 }
 
-// Routers are the routers that have reported.
+// Routers returns the sorted names of the routers with a report.
 func (v View[R, S]) Routers() []string { return slices.Sorted(maps.Keys(v.Reports)) }
 
-// RecordError says that a record can't be read. Decisions go on without it; of a state that can't be read none are made.
+// RecordError means that a record can't be decoded. Decisions go on without it, except that none are made on an unreadable
+// state.
 type RecordError struct {
 	Key string
 	Rev int64
@@ -190,34 +191,34 @@
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("%s at revision %d can't be read: %v", e.Key, e.Rev, e.Err)
+	return fmt.Sprintf("can't decode record %s at revision %d: %v", e.Key, e.Rev, e.Err)
 }
 
-// Unwrap serves errors.Is.
+// Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *RecordError) Advice() string {
-	return "a report is written anew by its router; anything else: look who wrote it ('sumactl get " + e.Key + "') and remove it ('sumactl del " + e.Key + "')"
+	return "a report is rewritten by its router; for any other record, find out who wrote it ('sumactl get " + e.Key + "') and remove it ('sumactl del " + e.Key + "')"
 }
 
-// NewerError says that a state is of a newer format than this program knows. It is followed as far as it is understood, and this
-// program neither decides on it nor writes it, which would take away what it does not know.
+// NewerError means that a state has a newer format than this program supports. The program applies the fields that it
+// knows, but neither decides on the state nor writes it, since a write would drop the fields that it does not know.
 type NewerError struct {
 	Key           string
 	Format, Knows int
 }
 
 func (e *NewerError) Error() string {
-	return fmt.Sprintf("%s is of format %d, this program knows formats up to %d: it is followed and nothing is decided on it here", e.Key, e.Format, e.Knows)
+	return fmt.Sprintf("%s has format %d, newer than the supported format %d: the state is applied, but this router makes no decisions on it", e.Key, e.Format, e.Knows)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *NewerError) Advice() string {
-	return "the routers of the newer program decide: go on with its release, or start one of them again; a fleet of this program alone decides nothing on " + e.Key
+	return "routers with the newer version make the decisions: continue its rollout or restart one of them; routers with this version make no decisions on " + e.Key
 }
 
-// StoreError says that the store did not answer a loop.
+// StoreError means that a request to the store failed.
 type StoreError struct {
 	Did string // read, report or write
 	Key string
@@ -226,36 +227,37 @@
 
 func (e *StoreError) Error() string { return fmt.Sprintf("%s %s: %v", e.Did, e.Key, e.Err) }
 
-// Unwrap serves errors.Is.
+// Unwrap returns the cause.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *StoreError) Advice() string {
-	return "the store has no leader or can't be reached: nothing is decided until it answers; see that a majority of its members runs"
+	return "the store has no leader or can't be reached; no decisions are made until it responds. Check that a majority of its members is running"
 }
 
-// MovedError says that a state was written by another meanwhile. Nothing is to be done: the next view has it.
+// MovedError means that another router or an operator replaced the state after it was read. The next read returns the new
+// state, so routers need no action.
 type MovedError struct {
 	Key       string
 	Read, Now int64 // revisions
 }
 
 func (e *MovedError) Error() string {
-	return fmt.Sprintf("%s was read at revision %d and is at %d by now", e.Key, e.Read, e.Now)
+	return fmt.Sprintf("write conflict on %s: read at revision %d, now at revision %d", e.Key, e.Read, e.Now)
 }
 
-// Advice says what an operator can do.
-func (e *MovedError) Advice() string { return "look at what was made meanwhile, then ask again" }
+// Advice returns what an operator can do about the error.
+func (e *MovedError) Advice() string { return "look at the current state, then try again" }
 
-// FencedError says that a router's registration has ended, so that it decides nothing until it has registered again, or that the
-// policy that its decision was made by is not the current one any more.
+// FencedError means that the router's registration has ended, so that it makes no decisions until it has registered again,
+// or that its decision was made under a policy that is no longer current.
 type FencedError struct{ Key string }
 
 func (e *FencedError) Error() string {
-	return e.Key + ": not written: this router's registration has ended, or the policy that it decided by"
+	return e.Key + ": write fenced off: this router's registration has ended or its policy is no longer current"
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *FencedError) Advice() string {
-	return "the router registers again by itself; where it does not, see its log for why the store refuses it"
+	return "the router registers again by itself; if it does not, its log has the reason why the store rejects it"
 }
--- a/internal/fleet/loop/run.go
+++ b/internal/fleet/loop/run.go
@@ -11,20 +11,19 @@
 	"sumacloft/internal/etcd"
 )
 
-// Runner is what a loop does at a router.
+// Runner runs one loop on a router.
 type Runner struct {
 	Client      *etcd.Client
-	WatchPrefix string // a change under this prefix has the state looked at, within milliseconds
-	// Period is how often a report is written and decisions are made; false: not at all just now.
+	WatchPrefix string // a change under this prefix triggers Refresh within milliseconds
+	// Period returns the time between ticks, or false while the loop is off.
 	Period func() (time.Duration, bool)
-	// Tick reports and decides; since is the time since the last tick.
+	// Tick writes a report and makes decisions. since is the time since the last tick.
 	Tick func(ctx context.Context, since, period time.Duration)
-	// Refresh follows the state.
+	// Refresh reads and applies the state.
 	Refresh func(ctx context.Context, period time.Duration)
 }
 
-// Run keeps a loop until ctx ends. Ticks and looks are made by one goroutine, so that they need no lock against each
-// other.
+// Run runs the loop until ctx ends. One goroutine calls Tick and Refresh, so they need no lock against each other.
 func (s Runner) Run(ctx context.Context) {
 	changed := make(chan struct{}, 1)
 	var watcher sync.WaitGroup
@@ -35,7 +34,7 @@
 		s.Client.Notify(ctx, s.WatchPrefix, func(int) {
 			select {
 			case changed <- struct{}{}:
-			default: // one that waits already reads it all
+			default: // a pending refresh reads this change too
 			}
 		})
 	}()
@@ -63,16 +62,16 @@
 	}
 }
 
-// FaultLogger says each fault of a loop once, not at every look.
+// FaultLogger logs a repeated fault of a loop only once.
 type FaultLogger struct {
 	Log  logrus.FieldLogger
 	last map[string]string
 }
 
-// adviser is an error that says what an operator can do.
+// adviser is an error with advice for the operator.
 type adviser interface{ Advice() string }
 
-// Report logs an error under a topic, unless it was the topic's last; nil says that the topic is well again.
+// Report logs an error under a topic unless its text equals the topic's last error. nil clears the topic.
 func (c *FaultLogger) Report(topic string, err error) {
 	if c.last == nil {
 		c.last = map[string]string{}
@@ -90,5 +89,5 @@
 	if errors.As(err, &a) {
 		log = log.WithField("advice", a.Advice())
 	}
-	log.Warn("a decision of the fleet is in trouble")
+	log.Warn("fleet decision loop failed")
 }
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -218,7 +218,7 @@
 	workers.Wait()
 	for _, w := range m.workers {
 		if w.Availability != brain.Ready {
-			t.Errorf("not ready: %+v", w)
+			t.Errorf("%+v", w)
 		}
 	}
 }
