--- a/cmd/sumacloft/openings.go
+++ b/cmd/sumacloft/openings.go
@@ -38,7 +38,7 @@
 
 // conditions are those of regions by the plan of sites: nothing is copied into one that is lost, returns or is held.
 func conditions(plan *siting.Agent) map[string]reuse.Condition {
-	verdicts, orders := plan.Standing()
+	verdicts, orders := plan.Verdicts()
 	out := map[string]reuse.Condition{}
 	for name, v := range verdicts {
 		switch v.State {
--- a/cmd/sumacloft/policy.go
+++ b/cmd/sumacloft/policy.go
@@ -118,7 +118,7 @@
 				weighed.Model, weighed.On = *tuned, true
 			}
 			f.samples.Took(weighed)
-			f.sites.Took(siting.Terms{Model: plan, Version: v.Version})
+			f.sites.SetPolicy(siting.Policy{Model: plan, Version: v.Version})
 			f.outage.Took(budget, v.Version)
 			f.roster.SetPolicy(brain, named(set, places), v.Version)
 			return chat.NewTerms(set, places, v.Version), nil
--- a/cmd/sumactl/site.go
+++ b/cmd/sumactl/site.go
@@ -117,7 +117,7 @@
 	}
 	ctx, done := c.call()
 	defer done()
-	if err := c.sites().Order(ctx, site, o); err != nil {
+	if err := c.sites().SetOrders(ctx, site, o); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(c.notes, "%s: %s; 'sumactl site' shows what the routers make of it\n", site, orNothing(ordered(o)))
--- a/internal/fleet/outage/records.go
+++ b/internal/fleet/outage/records.go
@@ -38,7 +38,7 @@
 
 // View reads all that a decision is made on, at one revision.
 func (s Store) View(ctx context.Context) (outage.View, loop.View[outage.Report, outage.State], error) {
-	all, others, err := s.ReadAllWith(ctx, policy.Live(), siting.All(), reuse.Agreed())
+	all, others, err := s.ReadAllWith(ctx, policy.Live(), siting.RangeAll(), reuse.Agreed())
 	if err != nil {
 		return outage.View{}, all, err
 	}
@@ -56,7 +56,7 @@
 	}
 	v.VersionRev = policy.StandingAt(others[0])
 	v.LostSites = map[string]bool{}
-	if posture, err := siting.Read(others[1]); err == nil && posture.Last != nil {
+	if posture, err := siting.Decode(others[1]); err == nil && posture.Last != nil {
 		for name, verdict := range posture.Last.Sites {
 			if verdict.State == sites.Lost {
 				v.LostSites[name] = true
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -33,25 +33,25 @@
 
 // Agent has a router take part in its fleet's plan for the loss of a site. Use Open, then Run. It serves chat.Meter.
 type Agent struct {
-	o     Options
-	store Store
-	meter *Meter
-	zero  time.Time
-	says  loop.FaultLogger
+	options Options
+	store   Store
+	meter   *Meter
+	start   time.Time
+	faults  loop.FaultLogger
 	// planned tells whether there is a plan: without one no request costs anything here.
 	planned atomic.Bool
 
-	mu      sync.Mutex
-	terms   Terms
-	posture *sites.Decision
-	orders  map[string]sites.Orders
-	ready   map[string]int           // servers by site
-	missed  map[string]time.Duration // since when a site's servers have not answered this router
-	turn    map[string]int           // which servers of a site are probed next
+	mu              sync.Mutex
+	policy          Policy
+	decision        *sites.Decision
+	orders          map[string]sites.Orders
+	ready           map[string]int           // servers by site
+	unansweredSince map[string]time.Duration // since when a site's servers have not answered this router
+	nextProbe       map[string]int           // which servers of a site are probed next
 }
 
-// Terms are what the policy in force says.
-type Terms struct {
+// Policy are what the policy in force says.
+type Policy struct {
 	Model   sites.Model // without sites: there is no plan
 	Version int64
 }
@@ -63,18 +63,18 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, store: Store{client}, meter: NewMeter(), zero: time.Now(), says: loop.FaultLogger{Log: o.Log},
-		missed: map[string]time.Duration{}, turn: map[string]int{}}
-	o.Roster.AdjustSettings(a.tune)
-	o.Roster.AdjustWorkers(a.shape)
-	o.Roster.SubscribeProbes(a.probing())
+	a := &Agent{options: o, store: Store{client}, meter: NewMeter(), start: time.Now(), faults: loop.FaultLogger{Log: o.Log},
+		unansweredSince: map[string]time.Duration{}, nextProbe: map[string]int{}}
+	o.Roster.AdjustSettings(a.adjustSettings)
+	o.Roster.AdjustWorkers(a.adjustWorkers)
+	o.Roster.SubscribeProbes(a.probeSubscription())
 	return a, nil
 }
 
 // Close ends the agent's connections.
 func (a *Agent) Close() error { return a.store.Close() }
 
-func (a *Agent) now() time.Duration { return time.Since(a.zero) }
+func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
 // Arrived gives a request's rank.
 func (a *Agent) Arrived(class string, session uint64) float64 {
@@ -87,7 +87,7 @@
 // Tried counts an attempt at a site.
 func (a *Agent) Tried(zone int, heard, inTime bool, session uint64) {
 	if a.planned.Load() {
-		a.meter.Tried(a.o.Roster.Zone(zone), heard, inTime, session)
+		a.meter.Tried(a.options.Roster.Zone(zone), heard, inTime, session)
 	}
 }
 
@@ -97,52 +97,52 @@
 		return
 	}
 	a.mu.Lock()
-	main, admit := a.o.Zone, a.posture.Admitted(class, a.o.Zone)
-	if p := a.posture; p != nil {
+	main, admit := a.options.Zone, a.decision.Admitted(class, a.options.Zone)
+	if p := a.decision; p != nil {
 		most := 0.0
-		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.o.Zone])) {
-			if part := p.Shares[class][a.o.Zone][name]; part > most {
+		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.options.Zone])) {
+			if part := p.Shares[class][a.options.Zone][name]; part > most {
 				main, most = name, part
 			}
 		}
 	}
 	a.mu.Unlock()
 	if rank < admit {
-		a.meter.Saw(main, func(s *sites.Observation) { s.Rejected++ })
+		a.meter.Observe(main, func(s *sites.Observation) { s.Rejected++ })
 	}
 }
 
-// Took has the agent follow another policy; the keeper of the list takes it next and tells the module.
-func (a *Agent) Took(t Terms) {
+// SetPolicy has the agent follow another policy; the keeper of the list takes it next and tells the module.
+func (a *Agent) SetPolicy(t Policy) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.terms = t
+	a.policy = t
 	a.planned.Store(len(t.Model.Sites) > 0)
 }
 
-// tune shows the settings as what is agreed on has them: the plan says what goes where, and what is taken.
-func (a *Agent) tune(set *brain.Settings, places map[string]int) {
+// adjustSettings shows the settings as what is agreed on has them: the plan says what goes where, and what is taken.
+func (a *Agent) adjustSettings(set *brain.Settings, places map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.terms.Model.Sites) == 0 {
+	if len(a.policy.Model.Sites) == 0 {
 		return
 	}
-	if a.posture != nil && len(a.posture.Shares) > 0 {
+	if a.decision != nil && len(a.decision.Shares) > 0 {
 		set.Zone = -1
 	}
 	for class, at := range places {
-		roster.ScaleAdmitted(set, at, a.posture.Admitted(class, a.o.Zone))
+		roster.ScaleAdmitted(set, at, a.decision.Admitted(class, a.options.Zone))
 	}
 }
 
-// shape gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
-func (a *Agent) shape(t roster.Policy, list []core.Worker) {
+// adjustWorkers gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
+func (a *Agent) adjustWorkers(t roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	weight, here := map[string]float64{}, map[string]bool{}
 	a.ready = map[string]int{}
 	for _, w := range list {
-		site := a.o.Roster.Site(w)
+		site := a.options.Roster.Site(w)
 		switch {
 		case w.Availability != brain.Ready:
 		case w.Weight > 0:
@@ -153,20 +153,20 @@
 			a.ready[site]++
 		}
 	}
-	m := a.terms.Model
+	m := a.policy.Model
 	if len(m.Sites) == 0 {
 		return
 	}
 	for _, s := range m.Sites {
 		here[s.Name] = true
 	}
-	p := a.posture
+	p := a.decision
 	if p == nil {
 		p = &sites.Decision{}
 	}
-	dead := a.unreachable(m.WithDefaults())
+	dead := a.unreachableSites(m.WithDefaults())
 	for i := range list {
-		w, site := &list[i], a.o.Roster.Site(list[i])
+		w, site := &list[i], a.options.Roster.Site(list[i])
 		if !here[site] {
 			continue
 		}
@@ -175,18 +175,18 @@
 			continue
 		}
 		for class, at := range t.ClassIndex {
-			if row, named := p.Shares[class][a.o.Zone]; named {
+			if row, named := p.Shares[class][a.options.Zone]; named {
 				roster.ScaleWeight(w, at, row[site]/max(weight[site], 1))
 			}
 		}
 	}
 }
 
-// unreachable are the sites that this router alone finds dead: nothing goes there from here, whatever the others see,
+// unreachableSites are the sites that this router alone finds dead: nothing goes there from here, whatever the others see,
 // unless it can reach none.
-func (a *Agent) unreachable(m sites.Model) map[string]bool {
+func (a *Agent) unreachableSites(m sites.Model) map[string]bool {
 	out := map[string]bool{}
-	for name, since := range a.missed {
+	for name, since := range a.unansweredSince {
 		if float64(a.now()-since)/float64(time.Millisecond) >= m.LostAfterMs {
 			out[name] = true
 		}
@@ -199,17 +199,17 @@
 
 // Run keeps the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	decider := &sites.Decider{Router: a.o.Name, Fault: a.o.Broken}
+	decider := &sites.Decider{Router: a.options.Name, Fault: a.options.Broken}
 	loop.Runner{Client: a.store.Client, WatchPrefix: postureKey,
 		Period: func() (time.Duration, bool) {
 			m := a.model()
 			return time.Duration(m.ReportMs) * time.Millisecond, len(m.Sites) > 0
 		},
 		Tick: func(ctx context.Context, since, period time.Duration) {
-			a.report(ctx, a.model(), since, period)
-			a.look(ctx, decider, period)
+			a.writeReport(ctx, a.model(), since, period)
+			a.refresh(ctx, decider, period)
 		},
-		Refresh: func(ctx context.Context, period time.Duration) { a.look(ctx, nil, period) },
+		Refresh: func(ctx context.Context, period time.Duration) { a.refresh(ctx, nil, period) },
 	}.Run(ctx)
 }
 
@@ -217,56 +217,56 @@
 func (a *Agent) model() sites.Model {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.terms.Model.WithDefaults()
+	return a.policy.Model.WithDefaults()
 }
 
-// report writes what was seen since the last one.
-func (a *Agent) report(ctx context.Context, m sites.Model, since, period time.Duration) {
-	offered, seen := a.meter.Cut()
-	r := sites.Report{Router: a.o.Name, Boot: a.o.Boot, Site: a.o.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
+// writeReport writes what was seen since the last one.
+func (a *Agent) writeReport(ctx context.Context, m sites.Model, since, period time.Duration) {
+	offered, seen := a.meter.Drain()
+	r := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
 		WindowMs: float64(max(since, period)) / float64(time.Millisecond)}
 	a.mu.Lock()
 	for _, s := range m.Sites {
 		one := seen[s.Name]
 		one.Ready = a.ready[s.Name]
 		r.Observations[s.Name] = one
-		_, was := a.missed[s.Name]
+		_, was := a.unansweredSince[s.Name]
 		switch {
 		case one.Answered > 0:
-			delete(a.missed, s.Name)
+			delete(a.unansweredSince, s.Name)
 		case one.Attempts > 0 && !was && !r.Stopped:
-			a.missed[s.Name] = a.now()
+			a.unansweredSince[s.Name] = a.now()
 		}
 	}
 	a.mu.Unlock()
 	for class, n := range offered {
 		r.Offered[class] = float64(n) / max(since, period).Seconds()
 	}
-	ctx, done := context.WithTimeout(ctx, period)
-	defer done()
-	if err := a.store.records().WriteReport(ctx, a.o.Name, r); err != nil && ctx.Err() == nil {
-		a.o.Log.WithError(err).Debug("sites: the report was not taken")
+	ctx, cancel := context.WithTimeout(ctx, period)
+	defer cancel()
+	if err := a.store.records().WriteReport(ctx, a.options.Name, r); err != nil && ctx.Err() == nil {
+		a.options.Log.WithError(err).Debug("sites: the report was not taken")
 	}
 }
 
-// look reads what is agreed on, has the module follow it, and writes what should take its place if that is this
+// refresh reads what is agreed on, has the module follow it, and writes what should take its place if that is this
 // router's turn. Without a decider it only reads.
-func (a *Agent) look(ctx context.Context, d *sites.Decider, period time.Duration) {
-	defer a.o.Roster.Refresh() // what this router alone sees counts without the store too
-	ctx, done := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
-	defer done()
+func (a *Agent) refresh(ctx context.Context, d *sites.Decider, period time.Duration) {
+	defer a.options.Roster.Refresh() // what this router alone sees counts without the store too
+	ctx, cancel := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
+	defer cancel()
 	all, err := a.store.records().ReadAll(ctx, true)
 	if err != nil {
 		return
 	}
-	v, err := viewOf(all)
-	a.says.Report("sites", err)
+	v, err := toView(all)
+	a.faults.Report("sites", err)
 	a.mu.Lock()
-	v.Model, v.Version = a.terms.Model, a.terms.Version
+	v.Model, v.Version = a.policy.Model, a.policy.Version
 	a.orders = v.Orders
-	if v.Last != nil && (a.posture == nil || v.Last.Rev > a.posture.Rev) {
-		a.say(a.posture, v.Last)
-		a.posture = v.Last
+	if v.Last != nil && (a.decision == nil || v.Last.Rev > a.decision.Rev) {
+		a.logChanges(a.decision, v.Last)
+		a.decision = v.Last
 	}
 	a.mu.Unlock()
 	if d == nil || !all.Writable() {
@@ -277,33 +277,33 @@
 		return
 	}
 	var fence []*pb.Compare
-	if a.o.Fence != nil {
+	if a.options.Fence != nil {
 		var registered bool
-		if fence, registered = a.o.Fence(); !registered {
+		if fence, registered = a.options.Fence(); !registered {
 			return
 		}
 	}
 	if rev, err := a.store.records().ReplaceState(ctx, all.StateRev, next, fence); err == nil {
 		next.Rev = rev
 		a.mu.Lock()
-		a.say(a.posture, next)
-		a.posture = next
+		a.logChanges(a.decision, next)
+		a.decision = next
 		a.mu.Unlock()
 	}
 }
 
-// say logs what changed between two postures.
-func (a *Agent) say(from, to *sites.Decision) {
+// logChanges logs what changed between two postures.
+func (a *Agent) logChanges(from, to *sites.Decision) {
 	if from == nil {
 		from = &sites.Decision{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(to.Sites)) {
 		v, w := to.Sites[name], from.Sites[name]
 		if v.State != w.State && (w.State != "" || v.State != sites.Up) || v.Kind != w.Kind {
-			a.o.Log.WithFields(logrus.Fields{"site": name, "state": v.State, "kind": v.Kind, "ramp": v.Ramp, "losses": v.Losses, "reason": v.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
+			a.options.Log.WithFields(logrus.Fields{"site": name, "state": v.State, "kind": v.Kind, "ramp": v.Ramp, "losses": v.Losses, "reason": v.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
 		}
 	}
 	if (len(from.Admit) == 0) != (len(to.Admit) == 0) {
-		a.o.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: classes that are taken in part")
+		a.options.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: classes that are taken in part")
 	}
 }
--- a/internal/fleet/siting/meter.go
+++ b/internal/fleet/siting/meter.go
@@ -11,29 +11,29 @@
 
 // Meter counts what this router takes and sees between two reports.
 type Meter struct {
-	mu      sync.Mutex
-	offered map[string]int
-	seen    map[string]sites.Observation
-	known   [2]map[uint64]bool   // sessions that were taken lately, in two generations
-	lately  map[string]*arrivals // by class
+	mu           sync.Mutex
+	offered      map[string]int
+	observations map[string]sites.Observation
+	sessions     [2]map[uint64]bool   // sessions that were taken lately, in two generations
+	arrivals     map[string]*arrivals // by class
 }
 
-// sessions bounds a generation of sessions that are remembered.
-const sessions = 1 << 16
+// maxSessions bounds a generation of maxSessions that are remembered.
+const maxSessions = 1 << 16
 
-// recent is how many arrivals of its class a new one is ranked among: few, so that clients who come again after a change
+// rankWindow is how many arrivals of its class a new one is ranked among: few, so that clients who come again after a change
 // are soon ranked among their like, and enough that a session's place is kept.
-const recent = 128
+const rankWindow = 128
 
 // arrivals are the scores of a class's last arrivals.
 type arrivals struct {
-	scores [recent]float64
-	n      int // how many there were
+	scores [rankWindow]float64
+	count  int // how many there were
 }
 
 // NewMeter makes a meter.
 func NewMeter() *Meter {
-	return &Meter{offered: map[string]int{}, seen: map[string]sites.Observation{}, known: [2]map[uint64]bool{{}, {}}, lately: map[string]*arrivals{}}
+	return &Meter{offered: map[string]int{}, observations: map[string]sites.Observation{}, sessions: [2]map[uint64]bool{{}, {}}, arrivals: map[string]*arrivals{}}
 }
 
 // Arrived counts a request and gives its rank among those of its class that came lately: sessions under way come before new ones,
@@ -45,16 +45,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offered[class]++
-	score := spread(session)
-	if !m.known[0][session] && !m.known[1][session] {
+	score := hashFraction(session)
+	if !m.sessions[0][session] && !m.sessions[1][session] {
 		score++
 	}
-	l := m.lately[class]
+	l := m.arrivals[class]
 	if l == nil {
 		l = &arrivals{}
-		m.lately[class] = l
+		m.arrivals[class] = l
 	}
-	before, equal, n := 0, 0, min(l.n, recent)
+	before, equal, n := 0, 0, min(l.count, rankWindow)
 	for _, other := range l.scores[:n] {
 		if other < score {
 			before++
@@ -62,27 +62,27 @@
 			equal++
 		}
 	}
-	l.scores[l.n%recent] = score
-	l.n++
+	l.scores[l.count%rankWindow] = score
+	l.count++
 	if n == 0 {
 		return 0
 	}
 	return (float64(before) + float64(equal)/2) / float64(n+1) // below 1: a class that is taken whole is
 }
 
-// took remembers a session that is under way.
-func (m *Meter) took(session uint64) {
+// remember remembers a session that is under way.
+func (m *Meter) remember(session uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.known[0]) >= sessions {
-		m.known = [2]map[uint64]bool{{}, m.known[0]}
+	if len(m.sessions[0]) >= maxSessions {
+		m.sessions = [2]map[uint64]bool{{}, m.sessions[0]}
 	}
-	m.known[0][session] = true
+	m.sessions[0][session] = true
 }
 
 // Tried counts an attempt at a site that ended by itself.
 func (m *Meter) Tried(site string, heard, inTime bool, session uint64) {
-	m.Saw(site, func(s *sites.Observation) {
+	m.Observe(site, func(s *sites.Observation) {
 		s.Attempts++
 		if heard {
 			s.Answered, s.Served = s.Answered+1, s.Served+1
@@ -94,30 +94,30 @@
 		}
 	})
 	if inTime {
-		m.took(session)
+		m.remember(session)
 	}
 }
 
-// Saw changes what was seen of a site.
-func (m *Meter) Saw(site string, change func(*sites.Observation)) {
+// Observe changes what was seen of a site.
+func (m *Meter) Observe(site string, change func(*sites.Observation)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.seen[site]
+	s := m.observations[site]
 	change(&s)
-	m.seen[site] = s
+	m.observations[site] = s
 }
 
-// Cut gives what was counted, and begins anew.
-func (m *Meter) Cut() (offered map[string]int, seen map[string]sites.Observation) {
+// Drain gives what was counted, and begins anew.
+func (m *Meter) Drain() (offered map[string]int, seen map[string]sites.Observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	offered, seen = m.offered, m.seen
-	m.offered, m.seen = map[string]int{}, map[string]sites.Observation{}
+	offered, seen = m.offered, m.observations
+	m.offered, m.observations = map[string]int{}, map[string]sites.Observation{}
 	return offered, seen
 }
 
-// spread hashes a session to a number from 0 to 1 (splitmix64's finalizer).
-func spread(x uint64) float64 {
+// hashFraction hashes a session to a number from 0 to 1 (splitmix64's finalizer).
+func hashFraction(x uint64) float64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -15,9 +15,9 @@
 
 // The keys. All of it lies under one prefix, so that one read shows it at one revision.
 const (
-	root       = "/sumacloft/sites/"
-	postureKey = root + "posture"
-	orders     = root + "orders/"
+	root         = "/sumacloft/sites/"
+	postureKey   = root + "posture"
+	ordersPrefix = root + "orders/"
 )
 
 // Store reads and writes the records.
@@ -29,21 +29,21 @@
 
 // View reads all records; copied is content with one node's copy.
 func (s Store) View(ctx context.Context, copied bool) (v sites.View, err error) {
-	all, err := s.records().ReadAll(ctx, copied)
+	records, err := s.records().ReadAll(ctx, copied)
 	if err != nil {
 		return v, err
 	}
-	return viewOf(all)
+	return toView(records)
 }
 
-// All is the request for all records, from one node's copy.
-func All() *pb.RangeRequest { return etcd.Under(root, true) }
+// RangeAll is the request for all records, from one node's copy.
+func RangeAll() *pb.RangeRequest { return etcd.Under(root, true) }
 
-// Read reads the records of an answer.
-func Read(r *pb.RangeResponse) (sites.View, error) { return viewOf(Store{}.records().Decode(r)) }
+// Decode reads the records of an answer.
+func Decode(r *pb.RangeResponse) (sites.View, error) { return toView(Store{}.records().Decode(r)) }
 
-// viewOf is what a decider works with. The view stands without the records that can't be read, which err names.
-func viewOf(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
+// toView is what a decider works with. The view stands without the records that can't be read, which err names.
+func toView(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
 	v.Orders = map[string]sites.Orders{}
 	if v.Last = all.State; v.Last != nil {
 		v.Last.Rev = all.StateRev
@@ -55,7 +55,7 @@
 	}
 	faults := all.Faults
 	for key, value := range all.Others {
-		name, is := strings.CutPrefix(root+key, orders)
+		name, is := strings.CutPrefix(root+key, ordersPrefix)
 		if !is {
 			continue
 		}
@@ -72,16 +72,16 @@
 	return v, err
 }
 
-// Order writes what an operator says of a site; no orders take back what was said.
-func (s Store) Order(ctx context.Context, site string, o sites.Orders) error {
+// SetOrders writes what an operator says of a site; no orders take back what was said.
+func (s Store) SetOrders(ctx context.Context, site string, o sites.Orders) error {
 	if o == (sites.Orders{}) {
-		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(orders + site)}})
+		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(ordersPrefix + site)}})
 		return err
 	}
 	data, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
-	_, err = s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(orders+site, data, 0)}})
+	_, err = s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(ordersPrefix+site, data, 0)}})
 	return err
 }
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -18,39 +18,39 @@
 
 // module takes what an agent tells the module.
 type module struct {
-	mu    sync.Mutex
-	set   brain.Settings
-	parts map[string][]float64 // by server
+	mu       sync.Mutex
+	settings brain.Settings
+	weights  map[string][]float64 // by server
 }
 
-func (m *module) retune(s brain.Settings) {
+func (m *module) updateSettings(s brain.Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.set = s
+	m.settings = s
 }
 
-func (m *module) listed(_ brain.ListKind, list []core.Worker) {
+func (m *module) updateWorkers(_ brain.ListKind, list []core.Worker) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range list {
-		m.parts[w.Name] = w.ClassWeights
+		m.weights[w.Name] = w.ClassWeights
 	}
 }
 
-func (m *module) part(server string) float64 {
+func (m *module) weight(server string) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.parts[server]) == 0 {
+	if len(m.weights[server]) == 0 {
 		return 1
 	}
-	return m.parts[server][0]
+	return m.weights[server][0]
 }
 
-var errGone = &core.AttemptError{Stage: core.NotConnected, Err: errors.New("refused")}
+var errUnreachable = &core.AttemptError{Stage: core.NotConnected, Err: errors.New("refused")}
 
 // Two routers agree on a site's loss and its return, an operator's word goes before what they see, and what they agree on
 // reaches the module; with the store gone each still leaves out what it finds dead itself.
-func TestAgents(t *testing.T) {
+func TestAgentsAgreeOnSiteLossAndReturn(t *testing.T) {
 	endpoint, stop := etcdtest.Serve(t, nil)
 	var dead sync.Map
 	model := sites.Model{LostAfterMs: 200, BackAfterMs: 200, WarmMs: 500, ReportMs: 50, Classes: []sites.Class{{Name: "q"}},
@@ -58,11 +58,11 @@
 	var agents []*Agent
 	var modules []*module
 	for _, name := range []string{"a", "b"} {
-		m := &module{parts: map[string][]float64{}}
-		r := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: m.retune, UpdateWorkers: m.listed,
+		m := &module{weights: map[string][]float64{}}
+		r := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: m.updateSettings, UpdateWorkers: m.updateWorkers,
 			Probe: func(_ context.Context, w core.Worker) error {
 				if _, gone := dead.Load(w.Zone); gone {
-					return errGone
+					return errUnreachable
 				}
 				return nil
 			}})
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		r.UpdateWorkers(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
-		a.Took(Terms{Model: model, Version: 1})
+		a.SetPolicy(Policy{Model: model, Version: 1})
 		r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 		ctx, end := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -89,7 +89,7 @@
 	}
 	parts := func(want float64) func() bool {
 		return func() bool {
-			return (modules[0].part("s1") > 0) == (want > 0) && (modules[1].part("s1") > 0) == (want > 0)
+			return (modules[0].weight("s1") > 0) == (want > 0) && (modules[1].weight("s1") > 0) == (want > 0)
 		}
 	}
 	standin.Eventually(t, 5*time.Second, "both are up", state("b", sites.Up))
@@ -99,11 +99,11 @@
 	dead.Delete(1)
 	standin.Eventually(t, 10*time.Second, "b is back", state("b", sites.Up))
 	standin.Eventually(t, 5*time.Second, "work goes there", parts(1))
-	if err := agents[0].store.Order(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
+	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
 		t.Fatal(err)
 	}
 	standin.Eventually(t, 5*time.Second, "b is declared lost", state("b", sites.Lost))
-	if err := agents[0].store.Order(t.Context(), "b", sites.Orders{}); err != nil {
+	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{}); err != nil {
 		t.Fatal(err)
 	}
 	standin.Eventually(t, 10*time.Second, "b is up again", state("b", sites.Up))
@@ -114,7 +114,7 @@
 }
 
 // Ranks are even whatever sessions there are, sessions under way come first, and one session's requests have one place.
-func TestRanks(t *testing.T) {
+func TestArrivalRanks(t *testing.T) {
 	m := NewMeter()
 	for i := range 3000 {
 		s := uint64(i % 300)
@@ -123,7 +123,7 @@
 			t.Fatalf("request %d of a class that is taken whole has rank %v", i, rank)
 		}
 		if rank < 0.5 {
-			m.took(s)
+			m.remember(s)
 		}
 	}
 	taken, n := 0, 3000
@@ -136,7 +136,7 @@
 		if rank < 0.3 {
 			taken++
 		}
-		if known := m.known[0][s]; known && rank > 0.75 {
+		if known := m.sessions[0][s]; known && rank > 0.75 {
 			t.Fatalf("a session under way has rank %v", rank)
 		}
 	}
@@ -146,19 +146,19 @@
 }
 
 // Without a plan nothing is counted and no session remembered.
-func TestNoPlanCostsNothing(t *testing.T) {
+func TestNoPlanCountsNothing(t *testing.T) {
 	r := roster.New(roster.Options{Zones: []string{"a"}, UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	a, err := Open(Options{Endpoints: []string{"127.0.0.1:1"}, Zone: "a", Roster: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
-	a.Took(Terms{})
+	a.SetPolicy(Policy{})
 	r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 	rank := a.Arrived("q", 7)
 	a.Tried(0, true, true, 7)
 	a.Refused("q", 0)
-	if offered, seen := a.meter.Cut(); rank != 0 || len(offered)+len(seen)+len(a.meter.known[0]) > 0 {
+	if offered, seen := a.meter.Drain(); rank != 0 || len(offered)+len(seen)+len(a.meter.sessions[0]) > 0 {
 		t.Errorf("rank %v, %v, %v", rank, offered, seen)
 	}
 }
--- a/internal/lab/sites.go
+++ b/internal/lab/sites.go
@@ -236,11 +236,11 @@
 		if !d.Running() {
 			continue
 		}
-		r, err := d.Ask(ctx, siting.All())
+		r, err := d.Ask(ctx, siting.RangeAll())
 		if err != nil {
 			continue
 		}
-		if v, err := siting.Read(r); err == nil && v.Last != nil && (newest.Last == nil || v.Last.Rev > newest.Last.Rev) {
+		if v, err := siting.Decode(r); err == nil && v.Last != nil && (newest.Last == nil || v.Last.Rev > newest.Last.Rev) {
 			newest = v
 		}
 	}
--- a/internal/world/router.go
+++ b/internal/world/router.go
@@ -182,7 +182,7 @@
 	c := q.client
 	if r.w.set.Plan {
 		if q.rank < r.posture.Admitted(Classes[c.class].Name, siteName(r.site)) {
-			r.meter.Saw(siteName(r.site), func(s *sites.Observation) { s.Rejected++ })
+			r.meter.Observe(siteName(r.site), func(s *sites.Observation) { s.Rejected++ })
 			r.w.count(func(t *tracing) { t.turned++ })
 		}
 	}
