--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -97,59 +97,59 @@
 		return
 	}
 	a.mu.Lock()
-	main, admit := a.options.Zone, a.decision.Admitted(class, a.options.Zone)
+	mainSite, admitted := a.options.Zone, a.decision.Admitted(class, a.options.Zone)
 	if p := a.decision; p != nil {
-		most := 0.0
+		largest := 0.0
 		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.options.Zone])) {
-			if part := p.Shares[class][a.options.Zone][name]; part > most {
-				main, most = name, part
+			if fraction := p.Shares[class][a.options.Zone][name]; fraction > largest {
+				mainSite, largest = name, fraction
 			}
 		}
 	}
 	a.mu.Unlock()
-	if rank < admit {
-		a.meter.Observe(main, func(s *sites.Observation) { s.Rejected++ })
+	if rank < admitted {
+		a.meter.Observe(mainSite, func(s *sites.Observation) { s.Rejected++ })
 	}
 }
 
 // SetPolicy has the agent follow another policy; the keeper of the list takes it next and tells the module.
-func (a *Agent) SetPolicy(t Policy) {
+func (a *Agent) SetPolicy(policy Policy) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.policy = t
-	a.planned.Store(len(t.Model.Sites) > 0)
+	a.policy = policy
+	a.planned.Store(len(policy.Model.Sites) > 0)
 }
 
 // adjustSettings shows the settings as what is agreed on has them: the plan says what goes where, and what is taken.
-func (a *Agent) adjustSettings(set *brain.Settings, places map[string]int) {
+func (a *Agent) adjustSettings(settings *brain.Settings, classIndex map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.policy.Model.Sites) == 0 {
 		return
 	}
 	if a.decision != nil && len(a.decision.Shares) > 0 {
-		set.Zone = -1
+		settings.Zone = -1
 	}
-	for class, at := range places {
-		roster.ScaleAdmitted(set, at, a.decision.Admitted(class, a.options.Zone))
+	for class, at := range classIndex {
+		roster.ScaleAdmitted(settings, at, a.decision.Admitted(class, a.options.Zone))
 	}
 }
 
 // adjustWorkers gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
-func (a *Agent) adjustWorkers(t roster.Policy, list []core.Worker) {
+func (a *Agent) adjustWorkers(policy roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	weight, here := map[string]float64{}, map[string]bool{}
+	weights, planned := map[string]float64{}, map[string]bool{}
 	a.ready = map[string]int{}
 	for _, w := range list {
 		site := a.options.Roster.Site(w)
 		switch {
 		case w.Availability != brain.Ready:
 		case w.Weight > 0:
-			weight[site] += w.Weight
+			weights[site] += w.Weight
 			a.ready[site]++
 		default:
-			weight[site]++
+			weights[site]++
 			a.ready[site]++
 		}
 	}
@@ -158,25 +158,25 @@
 		return
 	}
 	for _, s := range m.Sites {
-		here[s.Name] = true
+		planned[s.Name] = true
 	}
 	p := a.decision
 	if p == nil {
 		p = &sites.Decision{}
 	}
-	dead := a.unreachableSites(m.WithDefaults())
+	unreachable := a.unreachableSites(m.WithDefaults())
 	for i := range list {
 		w, site := &list[i], a.options.Roster.Site(list[i])
-		if !here[site] {
+		if !planned[site] {
 			continue
 		}
-		if dead[site] {
-			w.ClassWeights = make([]float64, len(t.Settings.Classes))
+		if unreachable[site] {
+			w.ClassWeights = make([]float64, len(policy.Settings.Classes))
 			continue
 		}
-		for class, at := range t.ClassIndex {
-			if row, named := p.Shares[class][a.options.Zone]; named {
-				roster.ScaleWeight(w, at, row[site]/max(weight[site], 1))
+		for class, at := range policy.ClassIndex {
+			if fractions, found := p.Shares[class][a.options.Zone]; found {
+				roster.ScaleWeight(w, at, fractions[site]/max(weights[site], 1))
 			}
 		}
 	}
@@ -222,19 +222,19 @@
 
 // writeReport writes what was seen since the last one.
 func (a *Agent) writeReport(ctx context.Context, m sites.Model, since, period time.Duration) {
-	offered, seen := a.meter.Drain()
+	offered, observations := a.meter.Drain()
 	r := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
 		WindowMs: float64(max(since, period)) / float64(time.Millisecond)}
 	a.mu.Lock()
 	for _, s := range m.Sites {
-		one := seen[s.Name]
-		one.Ready = a.ready[s.Name]
-		r.Observations[s.Name] = one
-		_, was := a.unansweredSince[s.Name]
+		observation := observations[s.Name]
+		observation.Ready = a.ready[s.Name]
+		r.Observations[s.Name] = observation
+		_, marked := a.unansweredSince[s.Name]
 		switch {
-		case one.Answered > 0:
+		case observation.Answered > 0:
 			delete(a.unansweredSince, s.Name)
-		case one.Attempts > 0 && !was && !r.Stopped:
+		case observation.Attempts > 0 && !marked && !r.Stopped:
 			a.unansweredSince[s.Name] = a.now()
 		}
 	}
@@ -255,11 +255,11 @@
 	defer a.options.Roster.Refresh() // what this router alone sees counts without the store too
 	ctx, cancel := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
 	defer cancel()
-	all, err := a.store.records().ReadAll(ctx, true)
+	records, err := a.store.records().ReadAll(ctx, true)
 	if err != nil {
 		return
 	}
-	v, err := toView(all)
+	v, err := toView(records)
 	a.faults.Report("sites", err)
 	a.mu.Lock()
 	v.Model, v.Version = a.policy.Model, a.policy.Version
@@ -269,7 +269,7 @@
 		a.decision = v.Last
 	}
 	a.mu.Unlock()
-	if d == nil || !all.Writable() {
+	if d == nil || !records.Writable() {
 		return
 	}
 	next := d.Next(v, a.now())
@@ -283,7 +283,7 @@
 			return
 		}
 	}
-	if rev, err := a.store.records().ReplaceState(ctx, all.StateRev, next, fence); err == nil {
+	if rev, err := a.store.records().ReplaceState(ctx, records.StateRev, next, fence); err == nil {
 		next.Rev = rev
 		a.mu.Lock()
 		a.logChanges(a.decision, next)
@@ -298,9 +298,9 @@
 		from = &sites.Decision{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(to.Sites)) {
-		v, w := to.Sites[name], from.Sites[name]
-		if v.State != w.State && (w.State != "" || v.State != sites.Up) || v.Kind != w.Kind {
-			a.options.Log.WithFields(logrus.Fields{"site": name, "state": v.State, "kind": v.Kind, "ramp": v.Ramp, "losses": v.Losses, "reason": v.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
+		current, previous := to.Sites[name], from.Sites[name]
+		if current.State != previous.State && (previous.State != "" || current.State != sites.Up) || current.Kind != previous.Kind {
+			a.options.Log.WithFields(logrus.Fields{"site": name, "state": current.State, "kind": current.Kind, "ramp": current.Ramp, "losses": current.Losses, "reason": current.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
 		}
 	}
 	if (len(from.Admit) == 0) != (len(to.Admit) == 0) {
--- a/internal/fleet/siting/meter.go
+++ b/internal/fleet/siting/meter.go
@@ -49,25 +49,25 @@
 	if !m.sessions[0][session] && !m.sessions[1][session] {
 		score++
 	}
-	l := m.arrivals[class]
-	if l == nil {
-		l = &arrivals{}
-		m.arrivals[class] = l
+	recent := m.arrivals[class]
+	if recent == nil {
+		recent = &arrivals{}
+		m.arrivals[class] = recent
 	}
-	before, equal, n := 0, 0, min(l.count, rankWindow)
-	for _, other := range l.scores[:n] {
+	lower, equal, count := 0, 0, min(recent.count, rankWindow)
+	for _, other := range recent.scores[:count] {
 		if other < score {
-			before++
+			lower++
 		} else if other == score {
 			equal++
 		}
 	}
-	l.scores[l.count%rankWindow] = score
-	l.count++
-	if n == 0 {
+	recent.scores[recent.count%rankWindow] = score
+	recent.count++
+	if count == 0 {
 		return 0
 	}
-	return (float64(before) + float64(equal)/2) / float64(n+1) // below 1: a class that is taken whole is
+	return (float64(lower) + float64(equal)/2) / float64(count+1) // below 1: a class that is taken whole is
 }
 
 // remember remembers a session that is under way.
@@ -102,9 +102,9 @@
 func (m *Meter) Observe(site string, change func(*sites.Observation)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.observations[site]
-	change(&s)
-	m.observations[site] = s
+	observation := m.observations[site]
+	change(&observation)
+	m.observations[site] = observation
 }
 
 // Drain gives what was counted, and begins anew.
--- a/internal/fleet/siting/probe.go
+++ b/internal/fleet/siting/probe.go
@@ -26,23 +26,23 @@
 			return min(roster.ProbeTimeout, time.Duration(a.policy.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
 		},
 		Select: func(list []core.Worker) (out []core.Worker) {
-			by := map[string][]core.Worker{}
+			bySite := map[string][]core.Worker{}
 			for _, w := range list {
-				by[a.options.Roster.Site(w)] = append(by[a.options.Roster.Site(w)], w)
+				bySite[a.options.Roster.Site(w)] = append(bySite[a.options.Roster.Site(w)], w)
 			}
-			for site, at := range by {
-				for range min(probesPerSite, len(at)) {
+			for site, servers := range bySite {
+				for range min(probesPerSite, len(servers)) {
 					a.nextProbe[site]++
-					out = append(out, at[a.nextProbe[site]%len(at)])
+					out = append(out, servers[a.nextProbe[site]%len(servers)])
 				}
 			}
 			return out
 		},
-		OnResult: func(w core.Worker, heard bool, err error) {
+		OnResult: func(w core.Worker, responded bool, err error) {
 			a.meter.Observe(a.options.Roster.Site(w), func(s *sites.Observation) {
 				s.Attempts++
 				switch {
-				case heard:
+				case responded:
 					s.Answered++
 				case errors.Is(err, context.DeadlineExceeded):
 					s.NoReply++
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -28,8 +28,8 @@
 }
 
 // View reads all records; copied is content with one node's copy.
-func (s Store) View(ctx context.Context, copied bool) (v sites.View, err error) {
-	records, err := s.records().ReadAll(ctx, copied)
+func (s Store) View(ctx context.Context, serializable bool) (v sites.View, err error) {
+	records, err := s.records().ReadAll(ctx, serializable)
 	if err != nil {
 		return v, err
 	}
@@ -43,28 +43,28 @@
 func Decode(r *pb.RangeResponse) (sites.View, error) { return toView(Store{}.records().Decode(r)) }
 
 // toView is what a decider works with. The view stands without the records that can't be read, which err names.
-func toView(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
+func toView(records loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
 	v.Orders = map[string]sites.Orders{}
-	if v.Last = all.State; v.Last != nil {
-		v.Last.Rev = all.StateRev
+	if v.Last = records.State; v.Last != nil {
+		v.Last.Rev = records.StateRev
 	}
-	for _, name := range all.Routers() {
-		one := all.Reports[name].Value
-		one.Rev = all.Reports[name].Rev
-		v.Reports = append(v.Reports, one)
+	for _, name := range records.Routers() {
+		report := records.Reports[name].Value
+		report.Rev = records.Reports[name].Rev
+		v.Reports = append(v.Reports, report)
 	}
-	faults := all.Faults
-	for key, value := range all.Others {
-		name, is := strings.CutPrefix(root+key, ordersPrefix)
-		if !is {
+	faults := records.Faults
+	for key, value := range records.Others {
+		name, found := strings.CutPrefix(root+key, ordersPrefix)
+		if !found {
 			continue
 		}
-		var one sites.Orders
-		if err := json.Unmarshal(value, &one); err != nil {
+		var siteOrders sites.Orders
+		if err := json.Unmarshal(value, &siteOrders); err != nil {
 			faults = append(faults, &loop.RecordError{Key: root + key, Err: err})
 			continue
 		}
-		v.Orders[name] = one
+		v.Orders[name] = siteOrders
 	}
 	for _, f := range faults {
 		err = errors.Join(err, f)
@@ -73,12 +73,12 @@
 }
 
 // SetOrders writes what an operator says of a site; no orders take back what was said.
-func (s Store) SetOrders(ctx context.Context, site string, o sites.Orders) error {
-	if o == (sites.Orders{}) {
+func (s Store) SetOrders(ctx context.Context, site string, orders sites.Orders) error {
+	if orders == (sites.Orders{}) {
 		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(ordersPrefix + site)}})
 		return err
 	}
-	data, err := json.Marshal(o)
+	data, err := json.Marshal(orders)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -52,7 +52,7 @@
 // reaches the module; with the store gone each still leaves out what it finds dead itself.
 func TestAgentsAgreeOnSiteLossAndReturn(t *testing.T) {
 	endpoint, stop := etcdtest.Serve(t, nil)
-	var dead sync.Map
+	var deadZones sync.Map
 	model := sites.Model{LostAfterMs: 200, BackAfterMs: 200, WarmMs: 500, ReportMs: 50, Classes: []sites.Class{{Name: "q"}},
 		Sites: []sites.Site{{Name: "a", Capacity: 100, Routers: 1}, {Name: "b", Capacity: 100, Routers: 1}}}
 	var agents []*Agent
@@ -61,7 +61,7 @@
 		m := &module{weights: map[string][]float64{}}
 		r := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: m.updateSettings, UpdateWorkers: m.updateWorkers,
 			Probe: func(_ context.Context, w core.Worker) error {
-				if _, gone := dead.Load(w.Zone); gone {
+				if _, unreachable := deadZones.Load(w.Zone); unreachable {
 					return errUnreachable
 				}
 				return nil
@@ -73,12 +73,12 @@
 		r.UpdateWorkers(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
 		a.SetPolicy(Policy{Model: model, Version: 1})
 		r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); a.Run(ctx) }()
-		probed := make(chan struct{})
-		go func() { defer close(probed); r.RunProbes(ctx) }()
-		t.Cleanup(func() { end(); <-ended; <-probed; _ = a.Close() })
+		probesEnded := make(chan struct{})
+		go func() { defer close(probesEnded); r.RunProbes(ctx) }()
+		t.Cleanup(func() { cancel(); <-ended; <-probesEnded; _ = a.Close() })
 		agents, modules = append(agents, a), append(modules, m)
 	}
 	state := func(site string, want sites.State) func() bool {
@@ -87,18 +87,18 @@
 			return err == nil && v.Last != nil && v.Last.Sites[site].State == want
 		}
 	}
-	parts := func(want float64) func() bool {
+	weightsMatch := func(want float64) func() bool {
 		return func() bool {
 			return (modules[0].weight("s1") > 0) == (want > 0) && (modules[1].weight("s1") > 0) == (want > 0)
 		}
 	}
 	standin.Eventually(t, 5*time.Second, "both are up", state("b", sites.Up))
-	dead.Store(1, true)
+	deadZones.Store(1, true)
 	standin.Eventually(t, 10*time.Second, "b is lost", state("b", sites.Lost))
-	standin.Eventually(t, 5*time.Second, "nothing goes there", parts(0))
-	dead.Delete(1)
+	standin.Eventually(t, 5*time.Second, "nothing goes there", weightsMatch(0))
+	deadZones.Delete(1)
 	standin.Eventually(t, 10*time.Second, "b is back", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there", parts(1))
+	standin.Eventually(t, 5*time.Second, "work goes there", weightsMatch(1))
 	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +107,10 @@
 		t.Fatal(err)
 	}
 	standin.Eventually(t, 10*time.Second, "b is up again", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there again", parts(1))
+	standin.Eventually(t, 5*time.Second, "work goes there again", weightsMatch(1))
 	stop()
-	dead.Store(1, true)
-	standin.Eventually(t, 5*time.Second, "each leaves it out by itself", parts(0))
+	deadZones.Store(1, true)
+	standin.Eventually(t, 5*time.Second, "each leaves it out by itself", weightsMatch(0))
 }
 
 // Ranks are even whatever sessions there are, sessions under way come first, and one session's requests have one place.
@@ -126,22 +126,22 @@
 			m.remember(s)
 		}
 	}
-	taken, n := 0, 3000
-	for i := range n {
+	admitted, total := 0, 3000
+	for i := range total {
 		s := uint64(1000 + i%600) // half are new
 		if i%2 == 0 {
 			s = uint64(i % 300)
 		}
 		rank := m.Arrived("q", s)
 		if rank < 0.3 {
-			taken++
+			admitted++
 		}
 		if known := m.sessions[0][s]; known && rank > 0.75 {
 			t.Fatalf("a session under way has rank %v", rank)
 		}
 	}
-	if part := float64(taken) / float64(n); math.Abs(part-0.3) > 0.06 {
-		t.Errorf("%v of the requests have a rank below 0.3", part)
+	if fraction := float64(admitted) / float64(total); math.Abs(fraction-0.3) > 0.06 {
+		t.Errorf("%v of the requests have a rank below 0.3", fraction)
 	}
 }
 
