--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -19,45 +19,45 @@
 	"sumacloft/internal/fleet/roster"
 )
 
-// Options set up an agent.
+// Options configure an agent.
 type Options struct {
 	Name, Boot string // of the router
 	Endpoints  []string
 	Zone       string // of this router
 	Roster     *roster.Roster
-	// Fence holds a write to this router's registration; nil: writes are not fenced.
+	// Fence binds writes to this router's registration. If nil, writes are not fenced.
 	Fence  loop.Fence
 	Log    logrus.FieldLogger
 	Broken sites.Fault
 }
 
-// Agent has a router take part in its fleet's plan for the loss of a site. Use Open, then Run. It serves chat.Meter.
+// Agent takes part in the fleet's site failover plan for one router. Call Open, then Run. It implements chat.Meter.
 type Agent struct {
 	options Options
 	store   Store
 	meter   *Meter
 	start   time.Time
 	faults  loop.FaultLogger
-	// planned tells whether there is a plan: without one no request costs anything here.
+	// planned is set if there is a plan. Without one, requests are not counted and pay no cost.
 	planned atomic.Bool
 
 	mu              sync.Mutex
 	policy          Policy
 	decision        *sites.Decision
 	orders          map[string]sites.Orders
-	ready           map[string]int           // servers by site
-	unansweredSince map[string]time.Duration // since when a site's servers have not answered this router
-	nextProbe       map[string]int           // which servers of a site are probed next
+	ready           map[string]int           // number of ready servers by site
+	unansweredSince map[string]time.Duration // start of the time in which a site's servers answer no attempt of this router
+	nextProbe       map[string]int           // round-robin position of a site's probes
 }
 
-// Policy are what the policy in force says.
+// Policy is the part of the current policy that concerns sites.
 type Policy struct {
-	Model   sites.Model // without sites: there is no plan
+	Model   sites.Model // no plan if it has no sites
 	Version int64
 }
 
-// Open makes an agent and registers it with the keeper of the list. It comes after rooms that take servers out: what is
-// out has no weight in its site.
+// Open returns an agent and registers it with the roster. Call it after the components that drain servers have registered,
+// so that drained servers add no weight to their site.
 func Open(o Options) (*Agent, error) {
 	client, err := etcd.NewClient(o.Endpoints)
 	if err != nil {
@@ -71,12 +71,12 @@
 	return a, nil
 }
 
-// Close ends the agent's connections.
+// Close closes the connections to the store.
 func (a *Agent) Close() error { return a.store.Close() }
 
 func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// Arrived gives a request's rank.
+// Arrived counts a request and returns its rank, which is 0 without a plan.
 func (a *Agent) Arrived(class string, session uint64) float64 {
 	if !a.planned.Load() {
 		return 0
@@ -84,14 +84,15 @@
 	return a.meter.Arrived(class, session)
 }
 
-// Tried counts an attempt at a site.
+// Tried counts an attempt at a zone's servers.
 func (a *Agent) Tried(zone int, heard, inTime bool, session uint64) {
 	if a.planned.Load() {
 		a.meter.Tried(a.options.Roster.Zone(zone), heard, inTime, session)
 	}
 }
 
-// Refused counts what was turned away: what the plan has room for and the module turns away shows less room than was declared.
+// Refused counts a rejected request against the site with the largest share of its class. It counts only requests that the
+// plan admits: their rejection shows that the site has less capacity than declared.
 func (a *Agent) Refused(class string, rank float64) {
 	if !a.planned.Load() {
 		return
@@ -112,7 +113,7 @@
 	}
 }
 
-// SetPolicy has the agent follow another policy; the keeper of the list takes it next and tells the module.
+// SetPolicy sets the current policy. The caller then passes it to the roster, which updates the module.
 func (a *Agent) SetPolicy(policy Policy) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,7 +121,8 @@
 	a.planned.Store(len(policy.Model.Sites) > 0)
 }
 
-// adjustSettings shows the settings as what is agreed on has them: the plan says what goes where, and what is taken.
+// adjustSettings applies the shared decision to the settings. Site shares replace the module's own zone preference, and the
+// admitted fractions of classes are scaled.
 func (a *Agent) adjustSettings(settings *brain.Settings, classIndex map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,7 +137,7 @@
 	}
 }
 
-// adjustWorkers gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
+// adjustWorkers sets class weights from the shared decision. A site's share is divided among its servers by weight.
 func (a *Agent) adjustWorkers(policy roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,8 +184,8 @@
 	}
 }
 
-// unreachableSites are the sites that this router alone finds dead: nothing goes there from here, whatever the others see,
-// unless it can reach none.
+// unreachableSites returns the sites that this router itself can't reach. It sends them nothing, whatever other routers
+// see. If it can reach no site at all, none is excluded.
 func (a *Agent) unreachableSites(m sites.Model) map[string]bool {
 	out := map[string]bool{}
 	for name, since := range a.unansweredSince {
@@ -197,7 +199,7 @@
 	return out
 }
 
-// Run keeps the agent until ctx ends.
+// Run writes reports and applies decisions until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	decider := &sites.Decider{Router: a.options.Name, Fault: a.options.Broken}
 	loop.Runner{Client: a.store.Client, WatchPrefix: postureKey,
@@ -213,14 +215,14 @@
 	}.Run(ctx)
 }
 
-// model is the plan in force, with its defaults.
+// model returns the current plan with defaults filled in.
 func (a *Agent) model() sites.Model {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.policy.Model.WithDefaults()
 }
 
-// writeReport writes what was seen since the last one.
+// writeReport writes the observations since the last report and tracks which sites answer.
 func (a *Agent) writeReport(ctx context.Context, m sites.Model, since, period time.Duration) {
 	offered, observations := a.meter.Drain()
 	r := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
@@ -245,14 +247,14 @@
 	ctx, cancel := context.WithTimeout(ctx, period)
 	defer cancel()
 	if err := a.store.records().WriteReport(ctx, a.options.Name, r); err != nil && ctx.Err() == nil {
-		a.options.Log.WithError(err).Debug("sites: the report was not taken")
+		a.options.Log.WithError(err).Debug("sites: can't write the report")
 	}
 }
 
-// refresh reads what is agreed on, has the module follow it, and writes what should take its place if that is this
-// router's turn. Without a decider it only reads.
+// refresh reads the shared decision and applies it to the module. If it is this router's turn, it also writes the next
+// decision. Without a decider it only reads.
 func (a *Agent) refresh(ctx context.Context, d *sites.Decider, period time.Duration) {
-	defer a.options.Roster.Refresh() // what this router alone sees counts without the store too
+	defer a.options.Roster.Refresh() // this router's own observations apply even if the store is down
 	ctx, cancel := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
 	defer cancel()
 	records, err := a.store.records().ReadAll(ctx, true)
@@ -292,7 +294,7 @@
 	}
 }
 
-// logChanges logs what changed between two postures.
+// logChanges logs the differences between two decisions.
 func (a *Agent) logChanges(from, to *sites.Decision) {
 	if from == nil {
 		from = &sites.Decision{}
@@ -300,10 +302,10 @@
 	for _, name := range slices.Sorted(maps.Keys(to.Sites)) {
 		current, previous := to.Sites[name], from.Sites[name]
 		if current.State != previous.State && (previous.State != "" || current.State != sites.Up) || current.Kind != previous.Kind {
-			a.options.Log.WithFields(logrus.Fields{"site": name, "state": current.State, "kind": current.Kind, "ramp": current.Ramp, "losses": current.Losses, "reason": current.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
+			a.options.Log.WithFields(logrus.Fields{"site": name, "state": current.State, "kind": current.Kind, "ramp": current.Ramp, "losses": current.Losses, "reason": current.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: verdict changed")
 		}
 	}
 	if (len(from.Admit) == 0) != (len(to.Admit) == 0) {
-		a.options.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: classes that are taken in part")
+		a.options.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: partial admission of classes started or ended")
 	}
 }
--- a/internal/fleet/siting/fault.go
+++ b/internal/fleet/siting/fault.go
@@ -4,5 +4,5 @@
 
 import "sumacloft/internal/decide/sites"
 
-// Injected is the fault that this build has: none.
+// Injected returns no fault in regular builds.
 func Injected() sites.Fault { return "" }
--- a/internal/fleet/siting/fault_broken.go
+++ b/internal/fleet/siting/fault_broken.go
@@ -8,5 +8,5 @@
 	"sumacloft/internal/decide/sites"
 )
 
-// Injected is the fault that a build for the checkers' own proof has, as the environment says.
+// Injected returns the fault named by the environment. Such builds show that the checkers detect the fault.
 func Injected() sites.Fault { return sites.Fault(os.Getenv("SUMACLOFT_BROKEN")) }
--- a/internal/fleet/siting/meter.go
+++ b/internal/fleet/siting/meter.go
@@ -1,6 +1,6 @@
-// Package siting carries the plan for the loss of a site between the store and a router: what the router sees of each
-// site goes into the store as its report, and the posture that the fleet has agreed on reaches the decision module as
-// weights of servers and parts of classes that are taken. What is decided about sites is decided in internal/decide/sites.
+// Package siting applies the fleet's site failover plan on a router. It writes the router's observations of each site to
+// the store as a report. It passes the shared decision to the decision module as class weights of servers and admitted
+// fractions of classes. The decisions themselves are made in internal/decide/sites.
 package siting
 
 import (
@@ -9,38 +9,38 @@
 	"sumacloft/internal/decide/sites"
 )
 
-// Meter counts what this router takes and sees between two reports.
+// Meter counts this router's requests and its observations of sites between two reports.
 type Meter struct {
 	mu           sync.Mutex
 	offered      map[string]int
 	observations map[string]sites.Observation
-	sessions     [2]map[uint64]bool   // sessions that were taken lately, in two generations
-	arrivals     map[string]*arrivals // by class
+	sessions     [2]map[uint64]bool   // recently admitted sessions, in two generations
+	arrivals     map[string]*arrivals // recent arrivals by class
 }
 
-// maxSessions bounds a generation of maxSessions that are remembered.
+// maxSessions bounds a generation of recently admitted sessions.
 const maxSessions = 1 << 16
 
-// rankWindow is how many arrivals of its class a new one is ranked among: few, so that clients who come again after a change
-// are soon ranked among their like, and enough that a session's place is kept.
+// rankWindow is the number of recent arrivals of its class that a new arrival is ranked among. A small window soon ranks
+// clients that retry after a change among one another. It is large enough to keep a session's rank stable.
 const rankWindow = 128
 
-// arrivals are the scores of a class's last arrivals.
+// arrivals is a ring of the scores of a class's last arrivals.
 type arrivals struct {
 	scores [rankWindow]float64
-	count  int // how many there were
+	count  int // arrivals so far
 }
 
-// NewMeter makes a meter.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter {
 	return &Meter{offered: map[string]int{}, observations: map[string]sites.Observation{}, sessions: [2]map[uint64]bool{{}, {}}, arrivals: map[string]*arrivals{}}
 }
 
-// Arrived counts a request and gives its rank among those of its class that came lately: sessions under way come before new ones,
-// and among either the order is the sessions' own, so that what is taken of a session is taken whole. Ranks are even
-// from 0 to 1 whatever the sessions are, so a part of them is that part of what comes. Each class is ranked by itself:
-// the part that is taken is a class's own, and where one class is refused more its clients come again and would take the
-// other classes' places.
+// Arrived counts a request and returns its rank among the recent arrivals of its class. Active sessions rank before new
+// ones. Within both groups the order follows a hash of the session, so that all requests of a session are admitted or
+// rejected together. Ranks are uniform between 0 and 1 for any mix of sessions, so a limit on the rank admits that fraction
+// of the requests. Classes are ranked separately since each has its own admitted fraction. Otherwise retries of a class
+// that is rejected more often would displace other classes.
 func (m *Meter) Arrived(class string, session uint64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,10 +67,10 @@
 	if count == 0 {
 		return 0
 	}
-	return (float64(lower) + float64(equal)/2) / float64(count+1) // below 1: a class that is taken whole is
+	return (float64(lower) + float64(equal)/2) / float64(count+1) // below 1, so that a fully admitted class loses no request
 }
 
-// remember remembers a session that is under way.
+// remember marks a session as active.
 func (m *Meter) remember(session uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +80,7 @@
 	m.sessions[0][session] = true
 }
 
-// Tried counts an attempt at a site that ended by itself.
+// Tried counts an attempt at a site that was not cancelled. A session with an attempt in time becomes active.
 func (m *Meter) Tried(site string, heard, inTime bool, session uint64) {
 	m.Observe(site, func(s *sites.Observation) {
 		s.Attempts++
@@ -98,7 +98,7 @@
 	}
 }
 
-// Observe changes what was seen of a site.
+// Observe updates the observation of a site.
 func (m *Meter) Observe(site string, change func(*sites.Observation)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,7 @@
 	m.observations[site] = observation
 }
 
-// Drain gives what was counted, and begins anew.
+// Drain returns the counts and resets them.
 func (m *Meter) Drain() (offered map[string]int, seen map[string]sites.Observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +116,7 @@
 	return offered, seen
 }
 
-// hashFraction hashes a session to a number from 0 to 1 (splitmix64's finalizer).
+// hashFraction hashes a session to a number in [0, 1) with splitmix64's finalizer.
 func hashFraction(x uint64) float64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/fleet/siting/probe.go
+++ b/internal/fleet/siting/probe.go
@@ -10,11 +10,11 @@
 	"sumacloft/internal/fleet/roster"
 )
 
-// probesPerSite is how many servers of a site are probesPerSite at a time.
+// probesPerSite is the number of servers of a site that are probed per round.
 const probesPerSite = 4
 
-// probeSubscription has some servers of each site asked for a sign of life, again and again: a router that sends nothing to a site
-// would else know nothing of it.
+// probeSubscription probes some servers of each site periodically. Without probes, a router that sends no requests to a
+// site has no observations of it.
 func (a *Agent) probeSubscription() roster.ProbeSubscription {
 	return roster.ProbeSubscription{
 		Interval: func() time.Duration {
@@ -23,7 +23,7 @@
 			if len(a.policy.Model.Sites) == 0 {
 				return 0
 			}
-			return min(roster.ProbeTimeout, time.Duration(a.policy.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
+			return min(roster.ProbeTimeout, time.Duration(a.policy.Model.WithDefaults().ReportMs/2)*time.Millisecond) // at least two rounds per report
 		},
 		Select: func(list []core.Worker) (out []core.Worker) {
 			bySite := map[string][]core.Worker{}
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -13,21 +13,21 @@
 	"sumacloft/internal/fleet/loop"
 )
 
-// The keys. All of it lies under one prefix, so that one read shows it at one revision.
+// Keys. All records have one prefix, so that one read returns them at one revision.
 const (
 	root         = "/sumacloft/sites/"
 	postureKey   = root + "posture"
 	ordersPrefix = root + "orders/"
 )
 
-// Store reads and writes the records.
+// Store reads and writes the site records.
 type Store struct{ *etcd.Client }
 
 func (s Store) records() loop.Store[sites.Report, sites.Decision] {
 	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Prefix: root, StateName: "posture"}
 }
 
-// View reads all records; copied is content with one node's copy.
+// View reads all records. With serializable set, one store member's copy is enough, which may be stale.
 func (s Store) View(ctx context.Context, serializable bool) (v sites.View, err error) {
 	records, err := s.records().ReadAll(ctx, serializable)
 	if err != nil {
@@ -36,13 +36,13 @@
 	return toView(records)
 }
 
-// RangeAll is the request for all records, from one node's copy.
+// RangeAll returns the request for all records from one store member's copy, which may be stale.
 func RangeAll() *pb.RangeRequest { return etcd.Under(root, true) }
 
-// Decode reads the records of an answer.
+// Decode decodes the records of a range response.
 func Decode(r *pb.RangeResponse) (sites.View, error) { return toView(Store{}.records().Decode(r)) }
 
-// toView is what a decider works with. The view stands without the records that can't be read, which err names.
+// toView converts stored records to the decider's input. Unreadable records are left out of the view and joined in err.
 func toView(records loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
 	v.Orders = map[string]sites.Orders{}
 	if v.Last = records.State; v.Last != nil {
@@ -72,7 +72,7 @@
 	return v, err
 }
 
-// SetOrders writes what an operator says of a site; no orders take back what was said.
+// SetOrders writes an operator's orders for a site. Empty orders delete the record.
 func (s Store) SetOrders(ctx context.Context, site string, orders sites.Orders) error {
 	if orders == (sites.Orders{}) {
 		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(ordersPrefix + site)}})
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -16,11 +16,11 @@
 	"sumacloft/internal/standin"
 )
 
-// module takes what an agent tells the module.
+// module records the settings and class weights that it receives.
 type module struct {
 	mu       sync.Mutex
 	settings brain.Settings
-	weights  map[string][]float64 // by server
+	weights  map[string][]float64 // class weights by server
 }
 
 func (m *module) updateSettings(s brain.Settings) {
@@ -48,8 +48,8 @@
 
 var errUnreachable = &core.AttemptError{Stage: core.NotConnected, Err: errors.New("refused")}
 
-// Two routers agree on a site's loss and its return, an operator's word goes before what they see, and what they agree on
-// reaches the module; with the store gone each still leaves out what it finds dead itself.
+// Two routers agree on the loss and the return of a site, and the decision reaches their modules. An operator's order
+// overrides their observations. Without the store, each router still excludes the sites that it can't reach itself.
 func TestAgentsAgreeOnSiteLossAndReturn(t *testing.T) {
 	endpoint, stop := etcdtest.Serve(t, nil)
 	var deadZones sync.Map
@@ -92,35 +92,35 @@
 			return (modules[0].weight("s1") > 0) == (want > 0) && (modules[1].weight("s1") > 0) == (want > 0)
 		}
 	}
-	standin.Eventually(t, 5*time.Second, "both are up", state("b", sites.Up))
+	standin.Eventually(t, 5*time.Second, "site b is up", state("b", sites.Up))
 	deadZones.Store(1, true)
-	standin.Eventually(t, 10*time.Second, "b is lost", state("b", sites.Lost))
-	standin.Eventually(t, 5*time.Second, "nothing goes there", weightsMatch(0))
+	standin.Eventually(t, 10*time.Second, "site b is lost", state("b", sites.Lost))
+	standin.Eventually(t, 5*time.Second, "no weight on site b", weightsMatch(0))
 	deadZones.Delete(1)
-	standin.Eventually(t, 10*time.Second, "b is back", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there", weightsMatch(1))
+	standin.Eventually(t, 10*time.Second, "site b is up again after the failure", state("b", sites.Up))
+	standin.Eventually(t, 5*time.Second, "weight on site b after the failure", weightsMatch(1))
 	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, 5*time.Second, "b is declared lost", state("b", sites.Lost))
+	standin.Eventually(t, 5*time.Second, "site b is lost by order", state("b", sites.Lost))
 	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, 10*time.Second, "b is up again", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there again", weightsMatch(1))
+	standin.Eventually(t, 10*time.Second, "site b is up after the order is withdrawn", state("b", sites.Up))
+	standin.Eventually(t, 5*time.Second, "weight on site b after the order is withdrawn", weightsMatch(1))
 	stop()
 	deadZones.Store(1, true)
-	standin.Eventually(t, 5*time.Second, "each leaves it out by itself", weightsMatch(0))
+	standin.Eventually(t, 5*time.Second, "each router excludes site b without the store", weightsMatch(0))
 }
 
-// Ranks are even whatever sessions there are, sessions under way come first, and one session's requests have one place.
+// Ranks are uniform for any mix of sessions. Active sessions rank first, and a session's requests keep a stable rank.
 func TestArrivalRanks(t *testing.T) {
 	m := NewMeter()
 	for i := range 3000 {
 		s := uint64(i % 300)
 		rank := m.Arrived("q", s)
 		if rank >= 1 {
-			t.Fatalf("request %d of a class that is taken whole has rank %v", i, rank)
+			t.Fatalf("request %d has rank %v, want below 1", i, rank)
 		}
 		if rank < 0.5 {
 			m.remember(s)
@@ -137,15 +137,15 @@
 			admitted++
 		}
 		if known := m.sessions[0][s]; known && rank > 0.75 {
-			t.Fatalf("a session under way has rank %v", rank)
+			t.Fatalf("an active session has rank %v", rank)
 		}
 	}
 	if fraction := float64(admitted) / float64(total); math.Abs(fraction-0.3) > 0.06 {
-		t.Errorf("%v of the requests have a rank below 0.3", fraction)
+		t.Errorf("fraction of requests with a rank below 0.3: %v", fraction)
 	}
 }
 
-// Without a plan nothing is counted and no session remembered.
+// Without a plan no request is counted and no session is remembered.
 func TestNoPlanCountsNothing(t *testing.T) {
 	r := roster.New(roster.Options{Zones: []string{"a"}, UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	a, err := Open(Options{Endpoints: []string{"127.0.0.1:1"}, Zone: "a", Roster: r})
@@ -159,6 +159,6 @@
 	a.Tried(0, true, true, 7)
 	a.Refused("q", 0)
 	if offered, seen := a.meter.Drain(); rank != 0 || len(offered)+len(seen)+len(a.meter.sessions[0]) > 0 {
-		t.Errorf("rank %v, %v, %v", rank, offered, seen)
+		t.Errorf("rank %v, offered %v, observations %v", rank, offered, seen)
 	}
 }
--- a/internal/fleet/siting/verdicts.go
+++ b/internal/fleet/siting/verdicts.go
@@ -6,8 +6,8 @@
 	"sumacloft/internal/decide/sites"
 )
 
-// Verdicts is what is agreed on of sites, and what operators have ordered, as this router knows it; without a plan there is
-// nothing.
+// Verdicts returns the shared verdicts on sites and the operators' orders as this router last read them, or nil without a
+// plan.
 func (a *Agent) Verdicts() (verdicts map[string]sites.Verdict, orders map[string]sites.Orders) {
 	if !a.planned.Load() {
 		return nil, nil
