--- a/internal/fleet/loop/records.go
+++ b/internal/fleet/loop/records.go
@@ -75,12 +75,12 @@
 		var err error
 		switch {
 		case key == s.StateKey():
-			var head struct {
+			var header struct {
 				Format int `json:"format"`
 			}
 			v.StateRev = pair.ModRevision
-			if err = json.Unmarshal(pair.Value, &head); err == nil {
-				v.Format, v.Newer = head.Format, head.Format > s.Format
+			if err = json.Unmarshal(pair.Value, &header); err == nil {
+				v.Format, v.Newer = header.Format, header.Format > s.Format
 				state := new(S)
 				if err = json.Unmarshal(pair.Value, state); err == nil {
 					v.State = state
--- a/internal/fleet/loop/run.go
+++ b/internal/fleet/loop/run.go
@@ -84,10 +84,10 @@
 		return
 	}
 	c.last[topic] = err.Error()
-	log := c.Log.WithField("topic", topic).WithError(err)
-	var a adviser
-	if errors.As(err, &a) {
-		log = log.WithField("advice", a.Advice())
+	entry := c.Log.WithField("topic", topic).WithError(err)
+	var advised adviser
+	if errors.As(err, &advised) {
+		entry = entry.WithField("advice", advised.Advice())
 	}
-	log.Warn("fleet decision loop failed")
+	entry.Warn("fault in a fleet decision loop")
 }
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -129,9 +129,9 @@
 func (r *Roster) UpdateWorkers(kind brain.ListKind, list []core.Worker) {
 	r.publishMu.Lock()
 	defer r.publishMu.Unlock()
-	names := r.storeWorkers(kind, list)
+	listed := r.storeWorkers(kind, list)
 	for _, f := range r.pruners {
-		f(func(name string) bool { return names[name] })
+		f(func(name string) bool { return listed[name] })
 	}
 	policy, adjusted := r.adjusted()
 	update := slices.Clone(list)
--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -85,9 +85,9 @@
 }
 
 // Tried counts an attempt at a zone's servers.
-func (a *Agent) Tried(zone int, heard, inTime bool, session uint64) {
+func (a *Agent) Tried(zone int, responded, inTime bool, session uint64) {
 	if a.planned.Load() {
-		a.meter.Tried(a.options.Roster.Zone(zone), heard, inTime, session)
+		a.meter.Tried(a.options.Roster.Zone(zone), responded, inTime, session)
 	}
 }
 
@@ -99,10 +99,10 @@
 	}
 	a.mu.Lock()
 	mainSite, admitted := a.options.Zone, a.decision.Admitted(class, a.options.Zone)
-	if p := a.decision; p != nil {
+	if decision := a.decision; decision != nil {
 		largest := 0.0
-		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.options.Zone])) {
-			if fraction := p.Shares[class][a.options.Zone][name]; fraction > largest {
+		for _, name := range slices.Sorted(maps.Keys(decision.Shares[class][a.options.Zone])) {
+			if fraction := decision.Shares[class][a.options.Zone][name]; fraction > largest {
 				mainSite, largest = name, fraction
 			}
 		}
@@ -162,9 +162,9 @@
 	for _, s := range m.Sites {
 		planned[s.Name] = true
 	}
-	p := a.decision
-	if p == nil {
-		p = &sites.Decision{}
+	decision := a.decision
+	if decision == nil {
+		decision = &sites.Decision{}
 	}
 	unreachable := a.unreachableSites(m.WithDefaults())
 	for i := range list {
@@ -177,7 +177,7 @@
 			continue
 		}
 		for class, at := range policy.ClassIndex {
-			if fractions, found := p.Shares[class][a.options.Zone]; found {
+			if fractions, found := decision.Shares[class][a.options.Zone]; found {
 				roster.ScaleWeight(w, at, fractions[site]/max(weights[site], 1))
 			}
 		}
@@ -224,29 +224,29 @@
 
 // writeReport writes the observations since the last report and tracks which sites answer.
 func (a *Agent) writeReport(ctx context.Context, m sites.Model, since, period time.Duration) {
-	offered, observations := a.meter.Drain()
-	r := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
+	offered, observations := a.meter.TakeCounts()
+	report := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
 		WindowMs: float64(max(since, period)) / float64(time.Millisecond)}
 	a.mu.Lock()
 	for _, s := range m.Sites {
 		observation := observations[s.Name]
 		observation.Ready = a.ready[s.Name]
-		r.Observations[s.Name] = observation
+		report.Observations[s.Name] = observation
 		_, marked := a.unansweredSince[s.Name]
 		switch {
 		case observation.Answered > 0:
 			delete(a.unansweredSince, s.Name)
-		case observation.Attempts > 0 && !marked && !r.Stopped:
+		case observation.Attempts > 0 && !marked && !report.Stopped:
 			a.unansweredSince[s.Name] = a.now()
 		}
 	}
 	a.mu.Unlock()
-	for class, n := range offered {
-		r.Offered[class] = float64(n) / max(since, period).Seconds()
+	for class, requests := range offered {
+		report.Offered[class] = float64(requests) / max(since, period).Seconds()
 	}
 	ctx, cancel := context.WithTimeout(ctx, period)
 	defer cancel()
-	if err := a.store.records().WriteReport(ctx, a.options.Name, r); err != nil && ctx.Err() == nil {
+	if err := a.store.records().WriteReport(ctx, a.options.Name, report); err != nil && ctx.Err() == nil {
 		a.options.Log.WithError(err).Debug("sites: can't write the report")
 	}
 }
--- a/internal/fleet/siting/meter.go
+++ b/internal/fleet/siting/meter.go
@@ -81,10 +81,10 @@
 }
 
 // Tried counts an attempt at a site that was not cancelled. A session with an attempt in time becomes active.
-func (m *Meter) Tried(site string, heard, inTime bool, session uint64) {
+func (m *Meter) Tried(site string, responded, inTime bool, session uint64) {
 	m.Observe(site, func(s *sites.Observation) {
 		s.Attempts++
-		if heard {
+		if responded {
 			s.Answered, s.Served = s.Answered+1, s.Served+1
 		}
 		if inTime {
@@ -107,8 +107,8 @@
 	m.observations[site] = observation
 }
 
-// Drain returns the counts and resets them.
-func (m *Meter) Drain() (offered map[string]int, seen map[string]sites.Observation) {
+// TakeCounts returns the counts and resets them.
+func (m *Meter) TakeCounts() (offered map[string]int, seen map[string]sites.Observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	offered, seen = m.offered, m.observations
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -158,7 +158,7 @@
 	rank := a.Arrived("q", 7)
 	a.Tried(0, true, true, 7)
 	a.Refused("q", 0)
-	if offered, seen := a.meter.Drain(); rank != 0 || len(offered)+len(seen)+len(a.meter.sessions[0]) > 0 {
-		t.Errorf("rank %v, offered %v, observations %v", rank, offered, seen)
+	if offered, observations := a.meter.TakeCounts(); rank != 0 || len(offered)+len(observations)+len(a.meter.sessions[0]) > 0 {
+		t.Errorf("rank %v, offered %v, observations %v", rank, offered, observations)
 	}
 }
--- a/internal/world/plan.go
+++ b/internal/world/plan.go
@@ -26,7 +26,7 @@
 	if r.dead || r.life != life {
 		return
 	}
-	offered, seen := r.meter.Drain()
+	offered, seen := r.meter.TakeCounts()
 	rep := sites.Report{Router: r.name, Site: siteName(r.site), Observations: map[string]sites.Observation{}, Offered: map[string]float64{}}
 	for _, c := range Classes {
 		rep.Offered[c.Name] = float64(offered[c.Name]) / r.period().Seconds()
