--- a/internal/fleet/siting/agent.go
+++ b/internal/fleet/siting/agent.go
@@ -19,64 +19,64 @@
 	"sumacloft/internal/fleet/roster"
 )
 
-// Options set up an agent.
+// Options configure an agent.
 type Options struct {
 	Name, Boot string // of the router
 	Endpoints  []string
 	Zone       string // of this router
 	Roster     *roster.Roster
-	// Fence holds a write to this router's registration; nil: writes are not fenced.
+	// Fence binds writes to this router's registration. If nil, writes are not fenced.
 	Fence  loop.Fence
 	Log    logrus.FieldLogger
 	Broken sites.Fault
 }
 
-// Agent has a router take part in its fleet's plan for the loss of a site. Use Open, then Run. It serves chat.Meter.
+// Agent takes part in the fleet's site failover plan for one router. Call Open, then Run. It implements chat.Meter.
 type Agent struct {
-	o     Options
-	store Store
-	meter *Meter
-	zero  time.Time
-	says  loop.Complaints
-	// planned tells whether there is a plan: without one no request costs anything here.
+	options Options
+	store   Store
+	meter   *Meter
+	start   time.Time
+	faults  loop.FaultLogger
+	// planned is set if there is a plan. Without one, requests are not counted and pay no cost.
 	planned atomic.Bool
 
-	mu      sync.Mutex
-	terms   Terms
-	posture *sites.Decision
-	orders  map[string]sites.Orders
-	ready   map[string]int           // servers by site
-	missed  map[string]time.Duration // since when a site's servers have not answered this router
-	turn    map[string]int           // which servers of a site are probed next
+	mu              sync.Mutex
+	policy          Policy
+	decision        *sites.Decision
+	orders          map[string]sites.Orders
+	ready           map[string]int           // number of ready servers by site
+	unansweredSince map[string]time.Duration // start of the time in which a site's servers answer no attempt of this router
+	nextProbe       map[string]int           // round-robin position of a site's probes
 }
 
-// Terms are what the policy in force says.
-type Terms struct {
-	Model   sites.Model // without sites: there is no plan
+// Policy is the part of the current policy that concerns sites.
+type Policy struct {
+	Model   sites.Model // no plan if it has no sites
 	Version int64
 }
 
-// Open makes an agent and registers it with the keeper of the list. It comes after rooms that take servers out: what is
-// out has no weight in its site.
+// Open returns an agent and registers it with the roster. Call it after the components that drain servers have registered,
+// so that drained servers add no weight to their site.
 func Open(o Options) (*Agent, error) {
 	client, err := etcd.NewClient(o.Endpoints)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{o: o, store: Store{client}, meter: NewMeter(), zero: time.Now(), says: loop.Complaints{Log: o.Log},
-		missed: map[string]time.Duration{}, turn: map[string]int{}}
-	o.Roster.Tune(a.tune)
-	o.Roster.ShapeAll(a.shape)
-	o.Roster.Probing(a.probing())
+	a := &Agent{options: o, store: Store{client}, meter: NewMeter(), start: time.Now(), faults: loop.FaultLogger{Log: o.Log},
+		unansweredSince: map[string]time.Duration{}, nextProbe: map[string]int{}}
+	o.Roster.AdjustSettings(a.adjustSettings)
+	o.Roster.AdjustWorkers(a.adjustWorkers)
+	o.Roster.SubscribeProbes(a.probeSubscription())
 	return a, nil
 }
 
-// Close ends the agent's connections.
+// Close closes the connections to the store.
 func (a *Agent) Close() error { return a.store.Close() }
 
-func (a *Agent) now() time.Duration { return time.Since(a.zero) }
+func (a *Agent) now() time.Duration { return time.Since(a.start) }
 
-// Arrived gives a request's rank.
+// Arrived counts a request and returns its rank, which is 0 without a plan.
 func (a *Agent) Arrived(class string, session uint64) float64 {
 	if !a.planned.Load() {
 		return 0
@@ -84,109 +84,111 @@
 	return a.meter.Arrived(class, session)
 }
 
-// Tried counts an attempt at a site.
-func (a *Agent) Tried(zone int, heard, inTime bool, session uint64) {
+// Tried counts an attempt at a zone's servers.
+func (a *Agent) Tried(zone int, responded, inTime bool, session uint64) {
 	if a.planned.Load() {
-		a.meter.Tried(a.o.Roster.Zone(zone), heard, inTime, session)
+		a.meter.Tried(a.options.Roster.Zone(zone), responded, inTime, session)
 	}
 }
 
-// Refused counts what was turned away: what the plan has room for and the module turns away shows less room than was declared.
+// Refused counts a rejected request against the site with the largest share of its class. It counts only requests that the
+// plan admits: their rejection shows that the site has less capacity than declared.
 func (a *Agent) Refused(class string, rank float64) {
 	if !a.planned.Load() {
 		return
 	}
 	a.mu.Lock()
-	main, admit := a.o.Zone, a.posture.Admitted(class, a.o.Zone)
-	if p := a.posture; p != nil {
-		most := 0.0
-		for _, name := range slices.Sorted(maps.Keys(p.Shares[class][a.o.Zone])) {
-			if part := p.Shares[class][a.o.Zone][name]; part > most {
-				main, most = name, part
+	mainSite, admitted := a.options.Zone, a.decision.Admitted(class, a.options.Zone)
+	if decision := a.decision; decision != nil {
+		largest := 0.0
+		for _, name := range slices.Sorted(maps.Keys(decision.Shares[class][a.options.Zone])) {
+			if fraction := decision.Shares[class][a.options.Zone][name]; fraction > largest {
+				mainSite, largest = name, fraction
 			}
 		}
 	}
 	a.mu.Unlock()
-	if rank < admit {
-		a.meter.Saw(main, func(s *sites.Observation) { s.Rejected++ })
+	if rank < admitted {
+		a.meter.Observe(mainSite, func(s *sites.Observation) { s.Rejected++ })
 	}
 }
 
-// Took has the agent follow another policy; the keeper of the list takes it next and tells the module.
-func (a *Agent) Took(t Terms) {
+// SetPolicy sets the current policy. The caller then passes it to the roster, which updates the module.
+func (a *Agent) SetPolicy(policy Policy) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.terms = t
-	a.planned.Store(len(t.Model.Sites) > 0)
+	a.policy = policy
+	a.planned.Store(len(policy.Model.Sites) > 0)
 }
 
-// tune shows the settings as what is agreed on has them: the plan says what goes where, and what is taken.
-func (a *Agent) tune(set *brain.Settings, places map[string]int) {
+// adjustSettings applies the shared decision to the settings. Site shares replace the module's own zone preference, and the
+// admitted fractions of classes are scaled.
+func (a *Agent) adjustSettings(settings *brain.Settings, classIndex map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.terms.Model.Sites) == 0 {
+	if len(a.policy.Model.Sites) == 0 {
 		return
 	}
-	if a.posture != nil && len(a.posture.Shares) > 0 {
-		set.Zone = -1
+	if a.decision != nil && len(a.decision.Shares) > 0 {
+		settings.Zone = -1
 	}
-	for class, at := range places {
-		roster.Admit(set, at, a.posture.Admitted(class, a.o.Zone))
+	for class, at := range classIndex {
+		roster.ScaleAdmitted(settings, at, a.decision.Admitted(class, a.options.Zone))
 	}
 }
 
-// shape gives servers their parts by what is agreed on: a site's part is shared by its servers, as they weigh.
-func (a *Agent) shape(t roster.Terms, list []core.Worker) {
+// adjustWorkers sets class weights from the shared decision. A site's share is divided among its servers by weight.
+func (a *Agent) adjustWorkers(policy roster.Policy, list []core.Worker) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	weight, here := map[string]float64{}, map[string]bool{}
+	weights, planned := map[string]float64{}, map[string]bool{}
 	a.ready = map[string]int{}
 	for _, w := range list {
-		site := a.o.Roster.Site(w)
+		site := a.options.Roster.Site(w)
 		switch {
 		case w.Availability != brain.Ready:
 		case w.Weight > 0:
-			weight[site] += w.Weight
+			weights[site] += w.Weight
 			a.ready[site]++
 		default:
-			weight[site]++
+			weights[site]++
 			a.ready[site]++
 		}
 	}
-	m := a.terms.Model
+	m := a.policy.Model
 	if len(m.Sites) == 0 {
 		return
 	}
 	for _, s := range m.Sites {
-		here[s.Name] = true
+		planned[s.Name] = true
 	}
-	p := a.posture
-	if p == nil {
-		p = &sites.Decision{}
+	decision := a.decision
+	if decision == nil {
+		decision = &sites.Decision{}
 	}
-	dead := a.unreachable(m.WithDefaults())
+	unreachable := a.unreachableSites(m.WithDefaults())
 	for i := range list {
-		w, site := &list[i], a.o.Roster.Site(list[i])
-		if !here[site] {
+		w, site := &list[i], a.options.Roster.Site(list[i])
+		if !planned[site] {
 			continue
 		}
-		if dead[site] {
-			w.ClassWeights = make([]float64, len(t.Settings.Classes))
+		if unreachable[site] {
+			w.ClassWeights = make([]float64, len(policy.Settings.Classes))
 			continue
 		}
-		for class, at := range t.Places {
-			if row, named := p.Shares[class][a.o.Zone]; named {
-				roster.Scale(w, at, row[site]/max(weight[site], 1))
+		for class, at := range policy.ClassIndex {
+			if fractions, found := decision.Shares[class][a.options.Zone]; found {
+				roster.ScaleWeight(w, at, fractions[site]/max(weights[site], 1))
 			}
 		}
 	}
 }
 
-// unreachable are the sites that this router alone finds dead: nothing goes there from here, whatever the others see,
-// unless it can reach none.
-func (a *Agent) unreachable(m sites.Model) map[string]bool {
+// unreachableSites returns the sites that this router itself can't reach. It sends them nothing, whatever other routers
+// see. If it can reach no site at all, none is excluded.
+func (a *Agent) unreachableSites(m sites.Model) map[string]bool {
 	out := map[string]bool{}
-	for name, since := range a.missed {
+	for name, since := range a.unansweredSince {
 		if float64(a.now()-since)/float64(time.Millisecond) >= m.LostAfterMs {
 			out[name] = true
 		}
@@ -197,79 +199,79 @@
 	return out
 }
 
-// Run keeps the agent until ctx ends.
+// Run writes reports and applies decisions until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	decider := &sites.Decider{Router: a.o.Name, Fault: a.o.Broken}
-	loop.Steps{Client: a.store.Client, Watch: postureKey,
+	decider := &sites.Decider{Router: a.options.Name, Fault: a.options.Broken}
+	loop.Runner{Client: a.store.Client, WatchPrefix: postureKey,
 		Period: func() (time.Duration, bool) {
 			m := a.model()
 			return time.Duration(m.ReportMs) * time.Millisecond, len(m.Sites) > 0
 		},
 		Tick: func(ctx context.Context, since, period time.Duration) {
-			a.report(ctx, a.model(), since, period)
-			a.look(ctx, decider, period)
+			a.writeReport(ctx, a.model(), since, period)
+			a.refresh(ctx, decider, period)
 		},
-		Look: func(ctx context.Context, period time.Duration) { a.look(ctx, nil, period) },
+		Refresh: func(ctx context.Context, period time.Duration) { a.refresh(ctx, nil, period) },
 	}.Run(ctx)
 }
 
-// model is the plan in force, with its defaults.
+// model returns the current plan with defaults filled in.
 func (a *Agent) model() sites.Model {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.terms.Model.WithDefaults()
+	return a.policy.Model.WithDefaults()
 }
 
-// report writes what was seen since the last one.
-func (a *Agent) report(ctx context.Context, m sites.Model, since, period time.Duration) {
-	offered, seen := a.meter.Cut()
-	r := sites.Report{Router: a.o.Name, Boot: a.o.Boot, Site: a.o.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
+// writeReport writes the observations since the last report and tracks which sites answer.
+func (a *Agent) writeReport(ctx context.Context, m sites.Model, since, period time.Duration) {
+	offered, observations := a.meter.TakeCounts()
+	report := sites.Report{Router: a.options.Name, Boot: a.options.Boot, Site: a.options.Zone, Observations: map[string]sites.Observation{}, Offered: map[string]float64{}, Stopped: since > 3*period,
 		WindowMs: float64(max(since, period)) / float64(time.Millisecond)}
 	a.mu.Lock()
 	for _, s := range m.Sites {
-		one := seen[s.Name]
-		one.Ready = a.ready[s.Name]
-		r.Observations[s.Name] = one
-		_, was := a.missed[s.Name]
+		observation := observations[s.Name]
+		observation.Ready = a.ready[s.Name]
+		report.Observations[s.Name] = observation
+		_, marked := a.unansweredSince[s.Name]
 		switch {
-		case one.Answered > 0:
-			delete(a.missed, s.Name)
-		case one.Attempts > 0 && !was && !r.Stopped:
-			a.missed[s.Name] = a.now()
+		case observation.Answered > 0:
+			delete(a.unansweredSince, s.Name)
+		case observation.Attempts > 0 && !marked && !report.Stopped:
+			a.unansweredSince[s.Name] = a.now()
 		}
 	}
 	a.mu.Unlock()
-	for class, n := range offered {
-		r.Offered[class] = float64(n) / max(since, period).Seconds()
+	for class, requests := range offered {
+		report.Offered[class] = float64(requests) / max(since, period).Seconds()
 	}
-	ctx, done := context.WithTimeout(ctx, period)
-	defer done()
-	if err := a.store.records().Say(ctx, a.o.Name, r); err != nil && ctx.Err() == nil {
-		a.o.Log.WithError(err).Debug("sites: the report was not taken")
+	ctx, cancel := context.WithTimeout(ctx, period)
+	defer cancel()
+	if err := a.store.records().WriteReport(ctx, a.options.Name, report); err != nil && ctx.Err() == nil {
+		a.options.Log.WithError(err).Debug("sites: can't write the report")
 	}
 }
 
-// look reads what is agreed on, has the module follow it, and writes what should take its place if that is this
-// router's turn. Without a decider it only reads.
-func (a *Agent) look(ctx context.Context, d *sites.Decider, period time.Duration) {
-	defer a.o.Roster.Again() // what this router alone sees counts without the store too
-	ctx, done := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
-	defer done()
-	all, err := a.store.records().View(ctx, true)
+// refresh reads the shared decision and applies it to the module. If it is this router's turn, it also writes the next
+// decision. Without a decider it only reads.
+func (a *Agent) refresh(ctx context.Context, d *sites.Decider, period time.Duration) {
+	defer a.options.Roster.Refresh() // this router's own observations apply even if the store is down
+	ctx, cancel := context.WithTimeout(ctx, max(period, 200*time.Millisecond))
+	defer cancel()
+	records, err := a.store.records().ReadAll(ctx, true)
 	if err != nil {
 		return
 	}
-	v, err := viewOf(all)
-	a.says.Fault("sites", err)
+	v, err := toView(records)
+	a.faults.Report("sites", err)
 	a.mu.Lock()
-	v.Model, v.Version = a.terms.Model, a.terms.Version
+	v.Model, v.Version = a.policy.Model, a.policy.Version
 	a.orders = v.Orders
-	if v.Last != nil && (a.posture == nil || v.Last.Rev > a.posture.Rev) {
-		a.say(a.posture, v.Last)
-		a.posture = v.Last
+	if v.Last != nil && (a.decision == nil || v.Last.Rev > a.decision.Rev) {
+		a.logChanges(a.decision, v.Last)
+		a.decision = v.Last
 	}
 	a.mu.Unlock()
-	if d == nil || !all.Writable() {
+	if d == nil || !records.Writable() {
 		return
 	}
 	next := d.Next(v, a.now())
@@ -277,33 +279,33 @@
 		return
 	}
 	var fence []*pb.Compare
-	if a.o.Fence != nil {
+	if a.options.Fence != nil {
 		var registered bool
-		if fence, registered = a.o.Fence(); !registered {
+		if fence, registered = a.options.Fence(); !registered {
 			return
 		}
 	}
-	if rev, err := a.store.records().Move(ctx, all.StateRev, next, fence); err == nil {
+	if rev, err := a.store.records().ReplaceState(ctx, records.StateRev, next, fence); err == nil {
 		next.Rev = rev
 		a.mu.Lock()
-		a.say(a.posture, next)
-		a.posture = next
+		a.logChanges(a.decision, next)
+		a.decision = next
 		a.mu.Unlock()
 	}
 }
 
-// say logs what changed between two postures.
-func (a *Agent) say(from, to *sites.Decision) {
+// logChanges logs the differences between two decisions.
+func (a *Agent) logChanges(from, to *sites.Decision) {
 	if from == nil {
 		from = &sites.Decision{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(to.Sites)) {
-		v, w := to.Sites[name], from.Sites[name]
-		if v.State != w.State && (w.State != "" || v.State != sites.Up) || v.Kind != w.Kind {
-			a.o.Log.WithFields(logrus.Fields{"site": name, "state": v.State, "kind": v.Kind, "ramp": v.Ramp, "losses": v.Losses, "reason": v.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: a verdict")
+		current, previous := to.Sites[name], from.Sites[name]
+		if current.State != previous.State && (previous.State != "" || current.State != sites.Up) || current.Kind != previous.Kind {
+			a.options.Log.WithFields(logrus.Fields{"site": name, "state": current.State, "kind": current.Kind, "ramp": current.Ramp, "losses": current.Losses, "reason": current.Reason, "seq": to.Seq, "by": to.By}).Warn("sites: verdict changed")
 		}
 	}
 	if (len(from.Admit) == 0) != (len(to.Admit) == 0) {
-		a.o.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: classes that are taken in part")
+		a.options.Log.WithFields(logrus.Fields{"admit": to.Admit, "seq": to.Seq, "plan": to.Method}).Warn("sites: partial admission of classes started or ended")
 	}
 }
--- a/internal/fleet/siting/probe.go
+++ b/internal/fleet/siting/probe.go
@@ -10,39 +10,39 @@
 	"sumacloft/internal/fleet/roster"
 )
 
-// probed is how many servers of a site are probed at a time.
-const probed = 4
+// probesPerSite is the number of servers of a site that are probed per round.
+const probesPerSite = 4
 
-// probing has some servers of each site asked for a sign of life, again and again: a router that sends nothing to a site
-// would else know nothing of it.
-func (a *Agent) probing() roster.Probing {
-	return roster.Probing{
-		Every: func() time.Duration {
+// probeSubscription probes some servers of each site periodically. Without probes, a router that sends no requests to a
+// site has no observations of it.
+func (a *Agent) probeSubscription() roster.ProbeSubscription {
+	return roster.ProbeSubscription{
+		Interval: func() time.Duration {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			if len(a.terms.Model.Sites) == 0 {
+			if len(a.policy.Model.Sites) == 0 {
 				return 0
 			}
-			return min(roster.ProbeLimit, time.Duration(a.terms.Model.WithDefaults().ReportMs/2)*time.Millisecond) // each report has news
+			return min(roster.ProbeTimeout, time.Duration(a.policy.Model.WithDefaults().ReportMs/2)*time.Millisecond) // at least two rounds per report
 		},
-		Pick: func(list []core.Worker) (out []core.Worker) {
-			by := map[string][]core.Worker{}
+		Select: func(list []core.Worker) (out []core.Worker) {
+			bySite := map[string][]core.Worker{}
 			for _, w := range list {
-				by[a.o.Roster.Site(w)] = append(by[a.o.Roster.Site(w)], w)
+				bySite[a.options.Roster.Site(w)] = append(bySite[a.options.Roster.Site(w)], w)
 			}
-			for site, at := range by {
-				for range min(probed, len(at)) {
-					a.turn[site]++
-					out = append(out, at[a.turn[site]%len(at)])
+			for site, servers := range bySite {
+				for range min(probesPerSite, len(servers)) {
+					a.nextProbe[site]++
+					out = append(out, servers[a.nextProbe[site]%len(servers)])
 				}
 			}
 			return out
 		},
-		Heard: func(w core.Worker, heard bool, err error) {
-			a.meter.Saw(a.o.Roster.Site(w), func(s *sites.Observation) {
+		OnResult: func(w core.Worker, responded bool, err error) {
+			a.meter.Observe(a.options.Roster.Site(w), func(s *sites.Observation) {
 				s.Attempts++
 				switch {
-				case heard:
+				case responded:
 					s.Answered++
 				case errors.Is(err, context.DeadlineExceeded):
 					s.NoReply++
--- a/internal/fleet/siting/records.go
+++ b/internal/fleet/siting/records.go
@@ -13,58 +13,58 @@
 	"sumacloft/internal/fleet/loop"
 )
 
-// The keys. All of it lies under one prefix, so that one read shows it at one revision.
+// Keys. All records have one prefix, so that one read returns them at one revision.
 const (
-	root       = "/sumacloft/sites/"
-	postureKey = root + "posture"
-	orders     = root + "orders/"
+	root         = "/sumacloft/sites/"
+	postureKey   = root + "posture"
+	ordersPrefix = root + "orders/"
 )
 
-// Store reads and writes the records.
+// Store reads and writes the site records.
 type Store struct{ *etcd.Client }
 
 func (s Store) records() loop.Store[sites.Report, sites.Decision] {
-	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Root: root, Name: "posture"}
+	return loop.Store[sites.Report, sites.Decision]{Client: s.Client, Prefix: root, StateName: "posture"}
 }
 
-// View reads all records; copied is content with one node's copy.
-func (s Store) View(ctx context.Context, copied bool) (v sites.View, err error) {
-	all, err := s.records().View(ctx, copied)
+// View reads all records. With serializable set, one store member's copy is enough, which may be stale.
+func (s Store) View(ctx context.Context, serializable bool) (v sites.View, err error) {
+	records, err := s.records().ReadAll(ctx, serializable)
 	if err != nil {
 		return v, err
 	}
-	return viewOf(all)
+	return toView(records)
 }
 
-// All is the request for all records, from one node's copy.
-func All() *pb.RangeRequest { return etcd.Under(root, true) }
+// RangeAll returns the request for all records from one store member's copy, which may be stale.
+func RangeAll() *pb.RangeRequest { return etcd.Under(root, true) }
 
-// Read reads the records of an answer.
-func Read(r *pb.RangeResponse) (sites.View, error) { return viewOf(Store{}.records().Read(r)) }
+// Decode decodes the records of a range response.
+func Decode(r *pb.RangeResponse) (sites.View, error) { return toView(Store{}.records().Decode(r)) }
 
-// viewOf is what a decider works with. The view stands without the records that can't be read, which err names.
-func viewOf(all loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
+// toView converts stored records to the decider's input. Unreadable records are left out of the view and joined in err.
+func toView(records loop.View[sites.Report, sites.Decision]) (v sites.View, err error) {
 	v.Orders = map[string]sites.Orders{}
-	if v.Last = all.State; v.Last != nil {
-		v.Last.Rev = all.StateRev
+	if v.Last = records.State; v.Last != nil {
+		v.Last.Rev = records.StateRev
 	}
-	for _, name := range all.Names() {
-		one := all.Reports[name].Value
-		one.Rev = all.Reports[name].Rev
-		v.Reports = append(v.Reports, one)
+	for _, name := range records.Routers() {
+		report := records.Reports[name].Value
+		report.Rev = records.Reports[name].Rev
+		v.Reports = append(v.Reports, report)
 	}
-	faults := all.Faults
-	for key, value := range all.Others {
-		name, is := strings.CutPrefix(root+key, orders)
-		if !is {
+	faults := records.Faults
+	for key, value := range records.Others {
+		name, found := strings.CutPrefix(root+key, ordersPrefix)
+		if !found {
 			continue
 		}
-		var one sites.Orders
-		if err := json.Unmarshal(value, &one); err != nil {
+		var siteOrders sites.Orders
+		if err := json.Unmarshal(value, &siteOrders); err != nil {
 			faults = append(faults, &loop.RecordError{Key: root + key, Err: err})
 			continue
 		}
-		v.Orders[name] = one
+		v.Orders[name] = siteOrders
 	}
 	for _, f := range faults {
 		err = errors.Join(err, f)
@@ -72,16 +72,16 @@
 	return v, err
 }
 
-// Order writes what an operator says of a site; no orders take back what was said.
-func (s Store) Order(ctx context.Context, site string, o sites.Orders) error {
-	if o == (sites.Orders{}) {
-		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(orders + site)}})
+// SetOrders writes an operator's orders for a site. Empty orders delete the record.
+func (s Store) SetOrders(ctx context.Context, site string, orders sites.Orders) error {
+	if orders == (sites.Orders{}) {
+		_, err := s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Del(ordersPrefix + site)}})
 		return err
 	}
-	data, err := json.Marshal(o)
+	data, err := json.Marshal(orders)
 	if err != nil {
 		return err
 	}
-	_, err = s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(orders+site, data, 0)}})
+	_, err = s.Txn(ctx, &pb.TxnRequest{Success: []*pb.RequestOp{etcd.Put(ordersPrefix+site, data, 0)}})
 	return err
 }
--- a/internal/fleet/siting/siting_test.go
+++ b/internal/fleet/siting/siting_test.go
@@ -16,53 +16,53 @@
 	"sumacloft/internal/standin"
 )
 
-// module takes what an agent tells the module.
+// module records the settings and class weights that it receives.
 type module struct {
-	mu    sync.Mutex
-	set   brain.Settings
-	parts map[string][]float64 // by server
+	mu       sync.Mutex
+	settings brain.Settings
+	weights  map[string][]float64 // class weights by server
 }
 
-func (m *module) retune(s brain.Settings) {
+func (m *module) updateSettings(s brain.Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.set = s
+	m.settings = s
 }
 
-func (m *module) listed(_ brain.ListKind, list []core.Worker) {
+func (m *module) updateWorkers(_ brain.ListKind, list []core.Worker) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range list {
-		m.parts[w.Name] = w.ClassWeights
+		m.weights[w.Name] = w.ClassWeights
 	}
 }
 
-func (m *module) part(server string) float64 {
+func (m *module) weight(server string) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.parts[server]) == 0 {
+	if len(m.weights[server]) == 0 {
 		return 1
 	}
-	return m.parts[server][0]
+	return m.weights[server][0]
 }
 
-var errGone = &core.AttemptError{Stage: core.NotConnected, Err: errors.New("refused")}
+var errUnreachable = &core.AttemptError{Stage: core.NotConnected, Err: errors.New("refused")}
 
-// Two routers agree on a site's loss and its return, an operator's word goes before what they see, and what they agree on
-// reaches the module; with the store gone each still leaves out what it finds dead itself.
-func TestAgents(t *testing.T) {
+// Two routers agree on the loss and the return of a site, and the decision reaches their modules. An operator's order
+// overrides their observations. Without the store, each router still excludes the sites that it can't reach itself.
+func TestAgentsAgreeOnSiteLossAndReturn(t *testing.T) {
 	endpoint, stop := etcdtest.Serve(t, nil)
-	var dead sync.Map
+	var deadZones sync.Map
 	model := sites.Model{LostAfterMs: 200, BackAfterMs: 200, WarmMs: 500, ReportMs: 50, Classes: []sites.Class{{Name: "q"}},
 		Sites: []sites.Site{{Name: "a", Capacity: 100, Routers: 1}, {Name: "b", Capacity: 100, Routers: 1}}}
 	var agents []*Agent
 	var modules []*module
 	for _, name := range []string{"a", "b"} {
-		m := &module{parts: map[string][]float64{}}
-		r := roster.New(roster.Options{Zones: []string{"a", "b"}, Retune: m.retune, Listed: m.listed,
+		m := &module{weights: map[string][]float64{}}
+		r := roster.New(roster.Options{Zones: []string{"a", "b"}, UpdateSettings: m.updateSettings, UpdateWorkers: m.updateWorkers,
 			Probe: func(_ context.Context, w core.Worker) error {
-				if _, gone := dead.Load(w.Zone); gone {
-					return errGone
+				if _, unreachable := deadZones.Load(w.Zone); unreachable {
+					return errUnreachable
 				}
 				return nil
 			}})
@@ -70,15 +70,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Listed(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
-		a.Took(Terms{Model: model, Version: 1})
-		r.Took(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
-		ctx, end := context.WithCancel(t.Context())
+		r.UpdateWorkers(brain.ListComplete, []core.Worker{{Name: "s0", Engine: brain.Engine{ID: 1, Zone: 0}}, {Name: "s1", Engine: brain.Engine{ID: 2, Zone: 1}}})
+		a.SetPolicy(Policy{Model: model, Version: 1})
+		r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
+		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); a.Run(ctx) }()
-		probed := make(chan struct{})
-		go func() { defer close(probed); r.Probes(ctx) }()
-		t.Cleanup(func() { end(); <-ended; <-probed; _ = a.Close() })
+		probesEnded := make(chan struct{})
+		go func() { defer close(probesEnded); r.RunProbes(ctx) }()
+		t.Cleanup(func() { cancel(); <-ended; <-probesEnded; _ = a.Close() })
 		agents, modules = append(agents, a), append(modules, m)
 	}
 	state := func(site string, want sites.State) func() bool {
@@ -87,78 +87,78 @@
 			return err == nil && v.Last != nil && v.Last.Sites[site].State == want
 		}
 	}
-	parts := func(want float64) func() bool {
+	weightsMatch := func(want float64) func() bool {
 		return func() bool {
-			return (modules[0].part("s1") > 0) == (want > 0) && (modules[1].part("s1") > 0) == (want > 0)
+			return (modules[0].weight("s1") > 0) == (want > 0) && (modules[1].weight("s1") > 0) == (want > 0)
 		}
 	}
-	standin.Eventually(t, 5*time.Second, "both are up", state("b", sites.Up))
-	dead.Store(1, true)
-	standin.Eventually(t, 10*time.Second, "b is lost", state("b", sites.Lost))
-	standin.Eventually(t, 5*time.Second, "nothing goes there", parts(0))
-	dead.Delete(1)
-	standin.Eventually(t, 10*time.Second, "b is back", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there", parts(1))
-	if err := agents[0].store.Order(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
+	standin.Eventually(t, 5*time.Second, "site b is up", state("b", sites.Up))
+	deadZones.Store(1, true)
+	standin.Eventually(t, 10*time.Second, "site b is lost", state("b", sites.Lost))
+	standin.Eventually(t, 5*time.Second, "no weight on site b", weightsMatch(0))
+	deadZones.Delete(1)
+	standin.Eventually(t, 10*time.Second, "site b is up again after the failure", state("b", sites.Up))
+	standin.Eventually(t, 5*time.Second, "weight on site b after the failure", weightsMatch(1))
+	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{Lose: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, 5*time.Second, "b is declared lost", state("b", sites.Lost))
-	if err := agents[0].store.Order(t.Context(), "b", sites.Orders{}); err != nil {
+	standin.Eventually(t, 5*time.Second, "site b is lost by order", state("b", sites.Lost))
+	if err := agents[0].store.SetOrders(t.Context(), "b", sites.Orders{}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Eventually(t, 10*time.Second, "b is up again", state("b", sites.Up))
-	standin.Eventually(t, 5*time.Second, "work goes there again", parts(1))
+	standin.Eventually(t, 10*time.Second, "site b is up after the order is withdrawn", state("b", sites.Up))
+	standin.Eventually(t, 5*time.Second, "weight on site b after the order is withdrawn", weightsMatch(1))
 	stop()
-	dead.Store(1, true)
-	standin.Eventually(t, 5*time.Second, "each leaves it out by itself", parts(0))
+	deadZones.Store(1, true)
+	standin.Eventually(t, 5*time.Second, "each router excludes site b without the store", weightsMatch(0))
 }
 
-// Ranks are even whatever sessions there are, sessions under way come first, and one session's requests have one place.
-func TestRanks(t *testing.T) {
+// Ranks are uniform for any mix of sessions. Active sessions rank first, and a session's requests keep a stable rank.
+func TestArrivalRanks(t *testing.T) {
 	m := NewMeter()
 	for i := range 3000 {
 		s := uint64(i % 300)
 		rank := m.Arrived("q", s)
 		if rank >= 1 {
-			t.Fatalf("request %d of a class that is taken whole has rank %v", i, rank)
+			t.Fatalf("request %d has rank %v, want below 1", i, rank)
 		}
 		if rank < 0.5 {
-			m.took(s)
+			m.remember(s)
 		}
 	}
-	taken, n := 0, 3000
-	for i := range n {
+	admitted, total := 0, 3000
+	for i := range total {
 		s := uint64(1000 + i%600) // half are new
 		if i%2 == 0 {
 			s = uint64(i % 300)
 		}
 		rank := m.Arrived("q", s)
 		if rank < 0.3 {
-			taken++
+			admitted++
 		}
-		if known := m.known[0][s]; known && rank > 0.75 {
-			t.Fatalf("a session under way has rank %v", rank)
+		if known := m.sessions[0][s]; known && rank > 0.75 {
+			t.Fatalf("an active session has rank %v", rank)
 		}
 	}
-	if part := float64(taken) / float64(n); math.Abs(part-0.3) > 0.06 {
-		t.Errorf("%v of the requests have a rank below 0.3", part)
+	if fraction := float64(admitted) / float64(total); math.Abs(fraction-0.3) > 0.06 {
+		t.Errorf("fraction of requests with a rank below 0.3: %v", fraction)
 	}
 }
 
-// Without a plan nothing is counted and no session remembered.
-func TestNoPlanCostsNothing(t *testing.T) {
-	r := roster.New(roster.Options{Zones: []string{"a"}, Retune: func(brain.Settings) {}, Listed: func(brain.ListKind, []core.Worker) {}})
+// Without a plan no request is counted and no session is remembered.
+func TestNoPlanCountsNothing(t *testing.T) {
+	r := roster.New(roster.Options{Zones: []string{"a"}, UpdateSettings: func(brain.Settings) {}, UpdateWorkers: func(brain.ListKind, []core.Worker) {}})
 	a, err := Open(Options{Endpoints: []string{"127.0.0.1:1"}, Zone: "a", Roster: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
-	a.Took(Terms{})
-	r.Took(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
+	a.SetPolicy(Policy{})
+	r.SetPolicy(brain.Settings{Classes: make([]brain.Class, 1)}, map[string]int{"q": 0}, 1)
 	rank := a.Arrived("q", 7)
 	a.Tried(0, true, true, 7)
 	a.Refused("q", 0)
-	if offered, seen := a.meter.Cut(); rank != 0 || len(offered)+len(seen)+len(a.meter.known[0]) > 0 {
-		t.Errorf("rank %v, %v, %v", rank, offered, seen)
+	if offered, observations := a.meter.TakeCounts(); rank != 0 || len(offered)+len(observations)+len(a.meter.sessions[0]) > 0 {
+		t.Errorf("rank %v, offered %v, observations %v", rank, offered, observations)
 	}
 }
