--- a/cmd/fleetd/disk.go
+++ b/cmd/fleetd/disk.go
@@ -79,7 +79,7 @@
 
 // openRemains reads the disk of a member that does not run. Opening a log writes to it, so whose disk it is, and whether that
 // member runs, is found out on a copy.
-func openRemains(folder string) (*member.Remains, error) {
+func openRemains(folder string) (*member.OfflineDisk, error) {
 	if _, err := os.Stat(filepath.Join(folder, disklog.ControlName)); err != nil {
 		return nil, diskError.New("%s is no data folder of a control member: %w", folder, err)
 	}
@@ -111,12 +111,12 @@
 }
 
 // remainsIn opens the log in a folder.
-func remainsIn(folder string) (*member.Remains, error) {
+func remainsIn(folder string) (*member.OfflineDisk, error) {
 	files, err := disklog.OS(folder)
 	if err != nil {
 		return nil, err
 	}
-	return member.OpenRemains(files)
+	return member.OpenOfflineDisk(files)
 }
 
 // running tells whether something takes connections at an address.
@@ -130,7 +130,7 @@
 }
 
 // remainsText is what a disk holds, for people.
-func remainsText(remains *member.Remains) string {
+func remainsText(remains *member.OfflineDisk) string {
 	self := remains.Self()
 	t := newTable("PARTITION", "TERM", "LAST TERM", "LAST", "KNOWN COMMITTED", "VOTERS")
 	for _, group := range remains.Groups() {
--- a/cmd/fleetd/main.go
+++ b/cmd/fleetd/main.go
@@ -165,7 +165,7 @@
 	}
 	defer p.stop()
 	control := member.New(p.settings, network.System{}, member.Disk{Open: disklog.OS}, p.log)
-	control.ShowLog(p.ring)
+	control.ServeLog(p.ring)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go reload(p, hangups, control.Reload)
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -164,14 +164,14 @@
 // queryMember synchronizes the agent's replica with a control member's. If the member has a leader, it has the member
 // confirm the configuration. It reports whether the member answered.
 func (a *Agent) queryMember(ctx context.Context, address string) (answered bool) {
-	standing, err := a.members.Probe(ctx, address)
+	authority, err := a.members.Probe(ctx, address)
 	if err != nil {
 		return false
 	}
-	if standing == message.Durable {
+	if authority == message.Durable {
 		a.confirmation.countVoter(address)
 	}
-	if standing != message.LeaderBacked || a.confirmation.isConfirmed() {
+	if authority != message.LeaderBacked || a.confirmation.isConfirmed() {
 		return true
 	}
 	if err := a.fetchNewest(ctx, address); err != nil {
--- a/internal/control/member/faults.go
+++ b/internal/control/member/faults.go
@@ -19,16 +19,16 @@
 	AcknowledgeAlone bool
 	// AcknowledgeByTwo acknowledges it once one other member has it, regardless of the size of a majority.
 	AcknowledgeByTwo bool
-	// IgnoreStanding treats the member as always in contact with a leader and does not try routers that are considered down.
-	IgnoreStanding bool
+	// IgnoreAuthority treats the member as always in contact with a leader and does not try routers that are considered down.
+	IgnoreAuthority bool
 	// LeaveAtOnce stops a member that is shutting down without waiting for the others.
 	LeaveAtOnce bool
 }
 
-// Break injects faults into the member. Call it before Run.
-func (m *Member) Break(faults Faults) {
+// InjectFaults injects faults into the member. Call it before Run.
+func (m *Member) InjectFaults(faults Faults) {
 	m.faults = faults
-	if faults.IgnoreStanding {
+	if faults.IgnoreAuthority {
 		m.members.IgnoreAuthority()
 	}
 }
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -107,9 +107,9 @@
 		Client:    m.client,
 		Log:       log,
 		OnChange:  m.mergeUpdates,
-		HasLeader: func() bool { return m.standing() == message.LeaderBacked },
+		HasLeader: func() bool { return m.authority() == message.LeaderBacked },
 	})
-	m.members.Node().SetAuthority(m.standing)
+	m.members.Node().SetAuthority(m.authority)
 	return m
 }
 
@@ -266,8 +266,8 @@
 	return m.host.HasLeaders(limit) && (m.host.Leads() || m.members.InContact(leaderlessTimeout))
 }
 
-// standing returns how reliable this member's copy of the fleet state is.
-func (m *Member) standing() message.Authority {
+// authority returns how reliable this member's copy of the fleet state is.
+func (m *Member) authority() message.Authority {
 	switch {
 	case m.isLed(ledTimeout):
 		return message.LeaderBacked
--- a/internal/control/member/remains.go
+++ b/internal/control/member/remains.go
@@ -12,16 +12,16 @@
 	"sumacloft/internal/status"
 )
 
-// Remains is the content of the disk of a stopped control member. Operators use it to recover after the loss of a majority of
-// the disks. Open it with OpenRemains and release it with Close.
-type Remains struct {
+// OfflineDisk is the content of the disk of a stopped control member. Operators use it to recover after the loss of a majority
+// of the disks. Open it with OpenOfflineDisk and release it with Close.
+type OfflineDisk struct {
 	partitions *partition.OfflineDisk
 	settings   *settingsMachine
 }
 
-// OpenRemains reads the disk of a control member that is not running.
-func OpenRemains(files disklog.FileSystem) (*Remains, error) {
-	r := &Remains{settings: &settingsMachine{publish: func(uint64, []byte) {}}}
+// OpenOfflineDisk reads the disk of a control member that is not running.
+func OpenOfflineDisk(files disklog.FileSystem) (*OfflineDisk, error) {
+	r := &OfflineDisk{settings: &settingsMachine{publish: func(uint64, []byte) {}}}
 	machines := serviceMachines()
 	machines[settingsGroup] = r.settings
 	for number := range partition.Group(coordinationPartitions) {
@@ -37,20 +37,20 @@
 }
 
 // Close releases the disk.
-func (r *Remains) Close() error { return r.partitions.Close() }
+func (r *OfflineDisk) Close() error { return r.partitions.Close() }
 
 // Self returns the member that the disk belongs to.
-func (r *Remains) Self() consensus.Member { return r.partitions.Self() }
+func (r *OfflineDisk) Self() consensus.Member { return r.partitions.Self() }
 
 // Groups lists the stored state of each partition.
-func (r *Remains) Groups() []partition.OfflineGroup { return r.partitions.Groups() }
+func (r *OfflineDisk) Groups() []partition.OfflineGroup { return r.partitions.Groups() }
 
 // Name returns the name of a partition for operators.
-func (r *Remains) Name(number partition.Group) string { return partitionName(number) }
+func (r *OfflineDisk) Name(number partition.Group) string { return partitionName(number) }
 
 // Restore makes this member the only member of all partitions and keeps the state on its disk; see partition.OfflineDisk. It
 // returns the configuration that is then in force.
-func (r *Remains) Restore() (status.Configuration, error) {
+func (r *OfflineDisk) Restore() (status.Configuration, error) {
 	if err := r.partitions.Restore(); err != nil {
 		return status.Configuration{}, err
 	}
--- a/internal/control/member/status.go
+++ b/internal/control/member/status.go
@@ -14,8 +14,8 @@
 	"sumacloft/internal/status"
 )
 
-// ShowLog sets the log that the member serves to operators. Call it before Run.
-func (m *Member) ShowLog(lines status.Log) { m.logLines = lines }
+// ServeLog sets the log that the member serves to operators. Call it before Run.
+func (m *Member) ServeLog(lines status.Log) { m.logLines = lines }
 
 // handleStatus registers the status and log calls of operators.
 func (m *Member) handleStatus(mux *http.ServeMux) {
--- a/internal/fleettest/control.go
+++ b/internal/fleettest/control.go
@@ -100,7 +100,7 @@
 	}
 	log := c.fleet.log.logger(c.Node)
 	running := member.New(settings, c.process, kept, log)
-	running.Break(c.fleet.plan.Faults.Member)
+	running.InjectFaults(c.fleet.plan.Faults.Member)
 	c.fleet.process(func() {
 		defer close(ended)
 		if err := running.Run(ctx); err != nil {
@@ -150,7 +150,7 @@
 	c.disk.with(func(d *memdisk) { d.Restart() })
 }
 
-// reportLimit bounds the question for a report.
+// reportLimit bounds the request for a report.
 const reportLimit = 500 * time.Millisecond
 
 // Report is what the member tells operators; nil if it does not answer.
--- a/internal/fleettest/cutoff_test.go
+++ b/internal/fleettest/cutoff_test.go
@@ -238,7 +238,7 @@
 	for range 10 {
 		found = found || !startsBesideStale(t, Faults{
 			Agent:  agent.Faults{TrustAnyMember: true},
-			Member: member.Faults{IgnoreStanding: true},
+			Member: member.Faults{IgnoreAuthority: true},
 		})
 	}
 	qt.New(t).Assert(found, qt.IsTrue)
--- a/internal/fleettest/remains_test.go
+++ b/internal/fleettest/remains_test.go
@@ -13,7 +13,7 @@
 
 // Restore makes the disk of a member that does not run the only one of the partitions.
 func (c *Control) Restore() (status.Configuration, error) {
-	remains, err := member.OpenRemains(c.disk.mount())
+	remains, err := member.OpenOfflineDisk(c.disk.mount())
 	if err != nil {
 		return status.Configuration{}, err
 	}
