--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -119,7 +119,7 @@
 // open opens the partitions on the member's disk. It retries after write errors.
 func (m *Member) open(ctx context.Context) error {
 	if m.settings.DataFolder == "" {
-		return Error.New("data_folder is not set: a control member needs a disk")
+		return Error.New("data_folder is not set: a control member needs a disk; give the role to machines that have one")
 	}
 	files, err := m.disk.Open(m.settings.DataFolder)
 	if err != nil {
