--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -107,9 +107,9 @@
 		Client:    m.client,
 		Log:       log,
 		OnChange:  m.mergeUpdates,
-		HasLeader: func() bool { return m.standing() == message.LeaderBacked },
+		HasLeader: func() bool { return m.authority() == message.LeaderBacked },
 	})
-	m.members.Node().SetAuthority(m.standing)
+	m.members.Node().SetAuthority(m.authority)
 	return m
 }
 
@@ -119,7 +119,7 @@
 // open opens the partitions on the member's disk. It retries after write errors.
 func (m *Member) open(ctx context.Context) error {
 	if m.settings.DataFolder == "" {
-		return Error.New("data_folder is not set: a control member needs a disk")
+		return Error.New("data_folder is not set: a control member needs a disk; give the role to machines that have one")
 	}
 	files, err := m.disk.Open(m.settings.DataFolder)
 	if err != nil {
@@ -266,8 +266,8 @@
 	return m.host.HasLeaders(limit) && (m.host.Leads() || m.members.InContact(leaderlessTimeout))
 }
 
-// standing returns how reliable this member's copy of the fleet state is.
-func (m *Member) standing() message.Authority {
+// authority returns how reliable this member's copy of the fleet state is.
+func (m *Member) authority() message.Authority {
 	switch {
 	case m.isLed(ledTimeout):
 		return message.LeaderBacked
