--- a/internal/lab/copies_test.go
+++ b/internal/lab/copies_test.go
@@ -89,7 +89,7 @@
 		long                 bool
 	}{
 		{"believes-after-restart", "copies are believed in", "abrupt;await 2 copies;restart holder", false},
-		{"no-fence", "it follows state", "abrupt;await 1 copies;new hot;await 4 copies;new hot;await 4 copies", true},
+		{"no-fence", "follows state", "abrupt;await 1 copies;new hot;await 4 copies;new hot;await 4 copies", true},
 		{"warms-busy", "was read to in background", "abrupt;jam on;wait 5000;new hot;wait 6000", true},
 	} {
 		t.Run(c.broken, func(t *testing.T) {
